--- a/core/tackjob/chain.go
+++ b/core/tackjob/chain.go
@@ -2,20 +2,21 @@
 
 import "auburntack/core/tackclock"
 
-// Chain is the time of the longest chain of steps that wait for each other,
-// by the estimates.
+// Chain returns the estimated duration of the longest chain of dependent steps, the
+// critical path of one occurrence.
 func (s *Spec) Chain() tackclock.Duration {
-	return s.chain(func(int) bool { return false })
+	return s.longestChain(func(int) bool { return false })
 }
 
-// ChainLeft is the longest chain of an occurrence's steps that are not done, by
-// the estimates.
+// ChainLeft returns the estimated duration of the longest chain of dependent steps of the
+// occurrence that are not done yet.
 func (j *Job) ChainLeft(occurrence int32) tackclock.Duration {
-	return j.chain(func(step int) bool { return j.StepDone(occurrence, int32(step)) })
+	return j.longestChain(func(step int) bool { return j.StepDone(occurrence, int32(step)) })
 }
 
-// chain is the longest chain of steps, without those that are done.
-func (s *Spec) chain(done func(step int) bool) tackclock.Duration {
+// longestChain returns the duration of the longest chain of dependent steps, leaving out those
+// for which done returns true.
+func (s *Spec) longestChain(done func(step int) bool) tackclock.Duration {
 	ends := make([]tackclock.Duration, len(s.Steps))
 	var longest tackclock.Duration
 	for i := range s.Steps {
@@ -32,8 +33,8 @@
 	return longest
 }
 
-// Work is what one occurrence takes, in milliseconds of thousandths of a core,
-// by the estimates.
+// Work returns the estimated work of one occurrence, in milliseconds of thousandths of a
+// core.
 func (s *Spec) Work() int64 {
 	var total int64
 	for i := range s.Steps {
@@ -42,8 +43,8 @@
 	return total
 }
 
-// Work is what so many items of the step take, in milliseconds of thousandths
-// of a core, by the estimate.
+// Work returns the estimated work of the given number of items of the step, in
+// milliseconds of thousandths of a core.
 func (s *Step) Work(items int) int64 {
 	return int64(items) * int64(s.MilliCores) * int64(s.Estimate)
 }
--- a/core/tackjob/crash.go
+++ b/core/tackjob/crash.go
@@ -6,41 +6,42 @@
 )
 
 type (
-	// Crash is a worker's crash under an item.
+	// Crash is the crash of a worker while it ran an item.
 	Crash struct {
 		Item            Item `cbor:"1,keyasint"`
 		tackcrash.Crash `cbor:"2,keyasint"`
 	}
 
-	// Doubt is a worker that fell silent under an item.
+	// Doubt is a possible crash: a worker stopped reporting while it ran an item.
 	Doubt struct {
 		Item            Item `cbor:"1,keyasint"`
 		tackcrash.Doubt `cbor:"2,keyasint"`
 	}
 
-	// Dismissal ends a doubt: the worker did not crash, or not by itself.
+	// Dismissal resolves a Doubt: the worker did not crash, or its end has a known cause
+	// outside the worker.
 	Dismissal struct {
 		Item Item   `cbor:"1,keyasint"`
 		Run  uint64 `cbor:"2,keyasint"`
 	}
 
-	// Findings are what a leader found out about items under which workers crashed,
-	// or may have.
+	// Findings are what a leader has learned about items under which workers crashed or
+	// may have crashed.
 	Findings struct {
 		Crashes   []Crash     `cbor:"1,keyasint,omitempty"`
 		Doubts    []Doubt     `cbor:"2,keyasint,omitempty"`
 		Dismissed []Dismissal `cbor:"3,keyasint,omitempty"`
-		// Forgiven are items whose earlier crashes count no more.
+		// Forgiven are items whose earlier crashes no longer count.
 		Forgiven []Item `cbor:"4,keyasint,omitempty"`
 	}
 )
 
-// Empty reports whether nothing was found out.
+// Empty reports whether there are no findings.
 func (f *Findings) Empty() bool {
 	return len(f.Crashes)+len(f.Doubts)+len(f.Dismissed)+len(f.Forgiven) == 0
 }
 
-// Add appends what else was found out.
+// Add appends the findings in o.
 func (f *Findings) Add(o Findings) {
 	f.Crashes = append(f.Crashes, o.Crashes...)
 	f.Doubts = append(f.Doubts, o.Doubts...)
@@ -48,31 +49,32 @@
 	f.Forgiven = append(f.Forgiven, o.Forgiven...)
 }
 
-// Find takes findings in, at the log's time now, and closes the jobs with an item that
-// is at fault. Items that last are given up as well: one of them that is started for
-// good would crash workers for good.
+// Find applies findings at log time now and fails the jobs that have an item at fault.
+// This includes long-running items: they are restarted without limit, so a faulty one
+// would keep crashing workers.
 func (t *Table) Find(f *Findings, now tackclock.Time) {
 	for _, d := range f.Doubts {
-		t.change(d.Item, now, func(r tackcrash.Record) tackcrash.Record { return r.WithDoubt(d.Doubt) })
+		t.updateCrashes(d.Item, now, func(r tackcrash.Record) tackcrash.Record { return r.WithDoubt(d.Doubt) })
 	}
 	for _, c := range f.Crashes {
-		t.change(c.Item, now, func(r tackcrash.Record) tackcrash.Record { return r.With(c.Crash) })
+		t.updateCrashes(c.Item, now, func(r tackcrash.Record) tackcrash.Record { return r.With(c.Crash) })
 	}
 	for _, d := range f.Dismissed {
-		t.change(d.Item, now, func(r tackcrash.Record) tackcrash.Record { return r.WithoutDoubt(d.Run) })
+		t.updateCrashes(d.Item, now, func(r tackcrash.Record) tackcrash.Record { return r.WithoutDoubt(d.Run) })
 	}
 	for _, i := range f.Forgiven {
-		t.change(i, now, func(tackcrash.Record) tackcrash.Record { return tackcrash.Record{} })
+		t.updateCrashes(i, now, func(tackcrash.Record) tackcrash.Record { return tackcrash.Record{} })
 	}
 }
 
-// change replaces the record of an item that is owed.
-func (t *Table) change(i Item, now tackclock.Time, next func(tackcrash.Record) tackcrash.Record) {
+// updateCrashes replaces the crash record of an item, if its job is open and the item is not
+// done.
+func (t *Table) updateCrashes(i Item, now tackclock.Time, next func(tackcrash.Record) tackcrash.Record) {
 	j := t.jobs[i.Job]
 	if j == nil || j.Phase != Open || !j.Has(i) || j.Done(i) {
 		return
 	}
-	i = j.counted(i)
+	i = j.recordItem(i)
 	record := next(j.CrashesUnder(i))
 	s := &j.progress(i.Occurrence).Steps[i.Step]
 	if record.Empty() {
@@ -88,18 +90,18 @@
 	}
 }
 
-// counted is the item that a crash counts against. A gang starts as one, so it is
-// given up as one.
-func (j *Job) counted(i Item) Item {
+// recordItem returns the item that carries the crash record of i. A gang starts and fails as
+// a unit, so the record of all its items is kept under index 0.
+func (j *Job) recordItem(i Item) Item {
 	if j.Steps[i.Step].Gang {
 		i.Index = 0
 	}
 	return i
 }
 
-// CrashesUnder is the record of the crashes under an item.
+// CrashesUnder returns the crash record of an item.
 func (j *Job) CrashesUnder(i Item) tackcrash.Record {
-	i = j.counted(i)
+	i = j.recordItem(i)
 	p, ok := j.Progress[i.Occurrence]
 	if !ok {
 		return tackcrash.Record{}
@@ -107,7 +109,7 @@
 	return p.Steps[i.Step].Crashes[i.Index]
 }
 
-// EachDoubt calls f for every doubt that is not settled, in no order.
+// EachDoubt calls f for every unresolved doubt, in no particular order.
 func (j *Job) EachDoubt(f func(Doubt)) {
 	for occurrence, p := range j.Progress {
 		for step := range p.Steps {
--- a/core/tackjob/job.go
+++ b/core/tackjob/job.go
@@ -1,6 +1,6 @@
-// Package tackjob holds jobs: steps that wait for each other, the items of
-// each step, and how far they have come. It is driven by the replicated log
-// and knows nothing of workers.
+// Package tackjob holds jobs: their steps, the dependencies between the steps, the items
+// of each step, and the progress made. It is driven by the replicated log and has no
+// knowledge of workers.
 package tackjob
 
 import (
@@ -15,85 +15,87 @@
 )
 
 const (
-	// Open jobs are owed.
+	// Open jobs have work left to do.
 	Open Phase = iota
-	// Complete jobs have all items done.
+	// Complete jobs have all their items done.
 	Complete
-	// Failed jobs have an item that failed too often.
+	// Failed jobs have an item that failed too often or that was found to crash workers.
 	Failed
-	// Cancelled jobs were withdrawn by their caller.
+	// Cancelled jobs were cancelled by their caller.
 	Cancelled
 )
 
 const (
-	// MaxSpecBytes bounds the text that is handed to the workers.
+	// MaxSpecBytes is the size limit of the text that is passed to the workers.
 	MaxSpecBytes = 4000
-	// maxItems bounds the items of one job over all steps and occurrences, so
-	// that one request cannot fill the memory of every replica.
+	// maxItems limits the items of one job over all steps and occurrences, so that one
+	// request cannot exhaust the memory of every replica.
 	maxItems = 100_000
-	// maxSteps bounds the steps of one job.
+	// maxSteps limits the steps of one job.
 	maxSteps = 1000
 	idLength = 16
 )
 
 type (
-	// ID names a job; the caller chooses it.
+	// ID identifies a job; the caller chooses it.
 	ID string
 
-	// Phase is how a job stands.
+	// Phase is the stage of a job's life cycle.
 	Phase uint8
 
-	// Step is a set of like items.
+	// Step is a set of items with the same requirements.
 	Step struct {
 		Count int `cbor:"1,keyasint"`
-		// Room has a key of its own: its fields' keys are those of the step's
-		// first ones, and would be lost without notice.
+		// Room is encoded under a key of its own: if it were inlined, its keys would
+		// collide with those of the step's first fields, and the codec drops colliding
+		// fields silently.
 		tackroom.Room `cbor:"2,keyasint"`
-		// Estimate is the caller's rough guess of an item's run time.
+		// Estimate is the caller's estimate of an item's run time.
 		Estimate tackclock.Duration `cbor:"4,keyasint,omitempty"`
-		// After are the steps that must be done before this one starts.
+		// After lists the steps that must be done before this one starts.
 		After       []int `cbor:"5,keyasint,omitempty"`
 		Checkpoints bool  `cbor:"6,keyasint,omitempty"`
-		// Gang items work only together.
+		// Gang says that the items run only all together.
 		Gang     bool `cbor:"7,keyasint,omitempty"`
 		SameRack bool `cbor:"8,keyasint,omitempty"`
-		// Requires is a label that the worker must carry.
+		// Requires is a label that the worker must have.
 		Requires string `cbor:"9,keyasint,omitempty"`
 		// Affinity is the rack on which the items run fastest.
 		Affinity string `cbor:"10,keyasint,omitempty"`
-		// MaxPerWorker bounds the items of one occurrence on one worker; 0
-		// is no bound.
+		// MaxPerWorker limits the items of one occurrence on one worker; 0 means no
+		// limit.
 		MaxPerWorker int `cbor:"11,keyasint,omitempty"`
-		// Speculative items may run in copies.
+		// Speculative says that an item may run in several copies at once.
 		Speculative bool `cbor:"12,keyasint,omitempty"`
-		// LongRunning items run until the job is cancelled.
+		// LongRunning says that the items run until the job is cancelled.
 		LongRunning bool `cbor:"13,keyasint,omitempty"`
-		// Image names what the items run.
+		// Image identifies what the items run.
 		Image string `cbor:"14,keyasint,omitempty"`
-		// LatencyTarget bounds the tail latency of items that serve.
+		// LatencyTarget limits the tail latency of items that serve requests.
 		LatencyTarget tackclock.Duration `cbor:"15,keyasint,omitempty"`
-		// Fills marks items that take only the processor time that others
-		// leave; their MilliCores do not count against a worker.
+		// Fills marks items that use only the processor time left over by others; their
+		// MilliCores do not count against the capacity of a worker.
 		Fills bool `cbor:"16,keyasint,omitempty"`
-		// MayMiss is how many items may be away by the system's own doing.
+		// MayMiss is the number of items that the system may take down at a time, for
+		// example for maintenance.
 		MayMiss int `cbor:"17,keyasint,omitempty"`
 	}
 
-	// Spec is a job as it was handed in.
+	// Spec is a job as it was submitted.
 	Spec struct {
 		ID    ID                   `cbor:"1,keyasint"`
 		Queue tackcatalog.QueueKey `cbor:"2,keyasint"`
-		// Text goes to the workers unread.
+		// Text is passed to the workers without being interpreted.
 		Text  string `cbor:"3,keyasint,omitempty"`
 		Steps []Step `cbor:"4,keyasint"`
-		// Repeats, if above zero, is how often the steps run, at First and
+		// Repeats, if above zero, is the number of times the steps run: at First and at
 		// every Interval after it.
 		Repeats  int                `cbor:"5,keyasint,omitempty"`
 		First    tackclock.Time     `cbor:"6,keyasint,omitempty"`
 		Interval tackclock.Duration `cbor:"7,keyasint,omitempty"`
 	}
 
-	// Item names one piece of work of a job.
+	// Item identifies one piece of work of a job.
 	Item struct {
 		Job        ID    `cbor:"1,keyasint"`
 		Occurrence int32 `cbor:"2,keyasint,omitempty"`
@@ -101,21 +103,22 @@
 		Index      int32 `cbor:"4,keyasint,omitempty"`
 	}
 
-	// Job is an accepted job and its progress.
+	// Job is an accepted job with its progress.
 	Job struct {
 		Spec
-		// Attempts, Service, Priority and the objective are those of the
-		// queue when the job was accepted; Service follows later catalogs.
+		// Attempts, Service, Priority and the objective are those of the queue at the
+		// time the job was accepted. Service is updated when the catalog changes.
 		Service   tackid.Service     `cbor:"8,keyasint"`
 		Attempts  int                `cbor:"9,keyasint,omitempty"`
 		Priority  int                `cbor:"10,keyasint,omitempty"`
 		Objective tackclock.Duration `cbor:"11,keyasint,omitempty"`
 		Stretch   float64            `cbor:"12,keyasint,omitempty"`
 		Advised   bool               `cbor:"18,keyasint,omitempty"`
-		// Workspace is whose key the job was handed in with; empty if it needed none.
+		// Workspace is the holder of the key that the job was submitted with; empty if
+		// none was needed.
 		Workspace tackid.Workspace `cbor:"19,keyasint,omitempty"`
-		// Accepted and Closed are log times; Term is the leader's that
-		// appended the job.
+		// Accepted and Closed are log times. Term is the term of the leader that appended
+		// the job to the log.
 		Accepted tackclock.Time     `cbor:"13,keyasint,omitempty"`
 		Closed   tackclock.Time     `cbor:"14,keyasint,omitempty"`
 		Term     tackreplica.Term   `cbor:"15,keyasint,omitempty"`
@@ -123,35 +126,34 @@
 		Progress map[int32]Progress `cbor:"17,keyasint,omitempty"` // by occurrence
 	}
 
-	// Progress is how far the steps of one occurrence are.
+	// Progress is the progress of the steps of one occurrence.
 	Progress struct {
 		Steps []StepProgress `cbor:"1,keyasint"`
 	}
 
-	// StepProgress counts the ends of a step's items. Done has a bit for each
-	// item.
+	// StepProgress records the results of a step's items. Done has one bit for each item.
 	StepProgress struct {
 		Done     []byte             `cbor:"1,keyasint,omitempty"`
 		Count    int                `cbor:"2,keyasint,omitempty"`
 		Failures map[int32]Failures `cbor:"3,keyasint,omitempty"`
-		// Crashes are the workers' crashes under each item, by index; a gang's stand
-		// at 0.
+		// Crashes are the crash records of the items, by index. That of a gang is kept at
+		// 0.
 		Crashes map[int32]tackcrash.Record `cbor:"4,keyasint,omitempty"`
 	}
 
-	// Failures are the numbers of an item's runs that failed. A worker lists an
-	// end until it is told that it may forget it, so after a change of the leader
-	// it may list one that was counted before. Copies do not fail in the order of
-	// their numbers.
+	// Failures are the numbers of the failed runs of an item. A worker reports the end of
+	// a run until it is told that the end is recorded, so after a change of leader an end
+	// that was counted already may be reported again. Run numbers are kept one by one
+	// because concurrent copies of an item need not fail in numerical order.
 	Failures struct {
-		// Earlier is how many runs an earlier release counted, and LastEarlier the
-		// number of the last of them, to which their numbers rose.
+		// Earlier is the number of failed runs counted by a previous release, which
+		// stored no run numbers, and LastEarlier is the highest run number among them.
 		Earlier     int      `cbor:"1,keyasint,omitempty"`
 		LastEarlier uint64   `cbor:"2,keyasint,omitempty"`
 		Runs        []uint64 `cbor:"3,keyasint,omitempty"`
 	}
 
-	// InvalidError reports the first thing that is wrong with a job.
+	// InvalidError reports the first problem found in a job.
 	InvalidError struct {
 		Field   string
 		Problem string
@@ -163,7 +165,7 @@
 	return fmt.Sprintf("%s: %s", e.Field, e.Problem)
 }
 
-// Valid reports whether the id is 16 hexadecimal digits.
+// Valid reports whether the ID is 16 hexadecimal digits.
 func (id ID) Valid() bool {
 	if len(id) != idLength {
 		return false
@@ -176,12 +178,12 @@
 	return true
 }
 
-// String returns the item as it stands in log lines.
+// String returns the form of the item that is used in log messages.
 func (i Item) String() string {
 	return fmt.Sprintf("%s.%d.%d.%d", i.Job, i.Occurrence, i.Step, i.Index)
 }
 
-// Occurrences is how often the steps run.
+// Occurrences returns the number of times the steps run.
 func (s *Spec) Occurrences() int {
 	return max(s.Repeats, 1)
 }
@@ -196,7 +198,7 @@
 	return false
 }
 
-// Due is when an occurrence may start; zero is at once.
+// Due returns the time at which an occurrence may start; zero means immediately.
 func (s *Spec) Due(occurrence int32) tackclock.Time {
 	if s.Repeats == 0 {
 		return 0
@@ -245,7 +247,7 @@
 	return nil
 }
 
-// Takes is what one item counts against a worker's capacity.
+// Takes returns the resources that one item reserves on a worker.
 func (s *Step) Takes() tackroom.Room {
 	r := s.Room
 	if s.Fills {
--- a/core/tackjob/progress.go
+++ b/core/tackjob/progress.go
@@ -7,24 +7,24 @@
 )
 
 type (
-	// End is a run's end that counts for its job.
+	// End is the end of a run that counts towards its job.
 	End struct {
 		Item Item `cbor:"1,keyasint"`
-		// Failed is false for an item that is done.
+		// Failed is false if the item is done.
 		Failed bool `cbor:"2,keyasint,omitempty"`
-		// Gang says that the end stands for all items of the step.
+		// Gang says that the end applies to all items of the step.
 		Gang bool `cbor:"3,keyasint,omitempty"`
-		// Run is the number of the run, which rises from run to run.
+		// Run is the number of the run. Later runs have higher numbers.
 		Run uint64 `cbor:"4,keyasint,omitempty"`
 	}
 )
 
-// String names the phase.
+// String returns the name of the phase.
 func (p Phase) String() string {
 	return [...]string{Open: "open", Complete: "complete", Failed: "failed", Cancelled: "cancelled"}[p]
 }
 
-// progress returns the occurrence's progress, made where there is none.
+// progress returns the progress of the occurrence, which it creates if there is none.
 func (j *Job) progress(occurrence int32) Progress {
 	p, ok := j.Progress[occurrence]
 	if ok {
@@ -41,20 +41,20 @@
 	return p
 }
 
-// Has reports whether the job has such an item.
+// Has reports whether the job contains the item.
 func (j *Job) Has(i Item) bool {
 	return i.Occurrence >= 0 && int(i.Occurrence) < j.Occurrences() &&
 		i.Step >= 0 && int(i.Step) < len(j.Steps) &&
 		i.Index >= 0 && int(i.Index) < j.Steps[i.Step].Count
 }
 
-// Done reports whether the item has ended well.
+// Done reports whether the item has completed successfully.
 func (j *Job) Done(i Item) bool {
 	p, ok := j.Progress[i.Occurrence]
 	return ok && p.Steps[i.Step].has(i.Index)
 }
 
-// Failures is how many runs of the item have failed.
+// Failures returns the number of failed runs of the item.
 func (j *Job) Failures(i Item) int {
 	p, ok := j.Progress[i.Occurrence]
 	if !ok {
@@ -68,18 +68,18 @@
 	return f.Earlier + len(f.Runs)
 }
 
-// has reports whether the run was counted.
+// has reports whether the run has been counted.
 func (f *Failures) has(run uint64) bool {
 	return f.Earlier > 0 && run <= f.LastEarlier || slices.Contains(f.Runs, run)
 }
 
-// StepDone reports whether all items of the step have ended well.
+// StepDone reports whether all items of the step have completed successfully.
 func (j *Job) StepDone(occurrence, step int32) bool {
 	p, ok := j.Progress[occurrence]
 	return ok && p.Steps[step].Count == j.Steps[step].Count
 }
 
-// Ready reports whether all steps that the step waits for are done.
+// Ready reports whether all steps that the step depends on are done.
 func (j *Job) Ready(occurrence, step int32) bool {
 	for _, a := range j.Steps[step].After {
 		if !j.StepDone(occurrence, int32(a)) {
@@ -89,8 +89,8 @@
 	return true
 }
 
-// Take counts an end, at the log's time now. It reports whether it changed
-// anything: an end that was counted before does not.
+// Take records the end of a run at log time now. It reports whether the job changed; an
+// end that was recorded before changes nothing.
 func (j *Job) Take(e End, now tackclock.Time) bool {
 	if j.Phase != Open || !j.Has(e.Item) {
 		return false
@@ -101,10 +101,10 @@
 		return false
 	}
 	if e.Failed {
-		return j.takeFailure(s, e, now)
+		return j.recordFailure(s, e, now)
 	}
 	if j.Steps[e.Item.Step].LongRunning {
-		return false // it is started again however it ended
+		return false // long-running items are restarted however they end
 	}
 	if e.Gang {
 		s.setAll(j.Steps[e.Item.Step].Count)
@@ -117,14 +117,14 @@
 	return true
 }
 
-func (j *Job) takeFailure(s *StepProgress, e End, now tackclock.Time) bool {
+func (j *Job) recordFailure(s *StepProgress, e End, now tackclock.Time) bool {
 	step := &j.Steps[e.Item.Step]
 	if step.LongRunning {
 		return false
 	}
 	index := e.Item.Index
 	if step.Gang {
-		index = 0 // a gang fails as one
+		index = 0 // a gang fails as a unit
 	}
 	f := s.Failures[index]
 	if f.has(e.Run) {
--- a/core/tackjob/table.go
+++ b/core/tackjob/table.go
@@ -5,29 +5,30 @@
 	"auburntack/core/tackreplica"
 )
 
-// Table is all jobs that are known. Its zero value is empty.
+// Table holds all known jobs. Its zero value is empty.
 type Table struct {
 	jobs map[ID]*Job
 }
 
-// Get returns the job, or nil.
+// Get returns the job with the ID, or nil.
 func (t *Table) Get(id ID) *Job {
 	return t.jobs[id]
 }
 
-// Len returns how many jobs are known.
+// Len returns the number of known jobs.
 func (t *Table) Len() int {
 	return len(t.jobs)
 }
 
-// Each calls f for every job, in no order.
+// Each calls f for every job, in no particular order.
 func (t *Table) Each(f func(*Job)) {
 	for _, j := range t.jobs {
 		f(j)
 	}
 }
 
-// Accept adds a job unless its id is known, and returns the one that counts.
+// Accept adds the job, unless a job with its ID is known, and returns the job that is
+// stored under the ID.
 func (t *Table) Accept(j *Job, term tackreplica.Term, now tackclock.Time) *Job {
 	if known := t.jobs[j.ID]; known != nil {
 		return known
@@ -40,7 +41,7 @@
 	return j
 }
 
-// Cancel withdraws a job. It returns nil if there is none.
+// Cancel cancels an open job. It returns the job with the ID, or nil if there is none.
 func (t *Table) Cancel(id ID, now tackclock.Time) *Job {
 	j := t.jobs[id]
 	if j != nil && j.Phase == Open {
@@ -49,7 +50,7 @@
 	return j
 }
 
-// Expire forgets what was closed before the given time.
+// Expire removes the jobs that were closed before the given time.
 func (t *Table) Expire(before tackclock.Time) {
 	for id, j := range t.jobs {
 		if j.Phase != Open && j.Closed < before {
@@ -58,7 +59,7 @@
 	}
 }
 
-// All returns the jobs for a snapshot.
+// All returns all jobs, for a snapshot.
 func (t *Table) All() []*Job {
 	all := make([]*Job, 0, len(t.jobs))
 	for _, j := range t.jobs {
