--- a/core/tackwork/key_test.go
+++ b/core/tackwork/key_test.go
@@ -11,7 +11,7 @@
 	"auburntack/core/tackworkspace"
 )
 
-// putKeys puts a catalog in force that gives each workspace named one key.
+// putKeys puts a catalog in force in which each of the given workspaces has one key.
 func (l *log) putKeys(t *testing.T, v tackcatalog.Version, keys map[tackid.Workspace]string) {
 	t.Helper()
 	c := l.Catalog
@@ -35,28 +35,28 @@
 	l.putKeys(t, 5, map[tackid.Workspace]string{"mairies": "m", "postes": "p"})
 	l.assertHolder(t, "m", "mairies")
 	if out := l.append(t, Change{Submit: twoSteps(first), Key: tackworkspace.Print("m")}); out.NoKey || out.Job.Workspace != "mairies" {
-		t.Fatalf("handed in with a key of mairies: %+v", out)
+		t.Fatalf("submitted with a key of mairies: %+v", out)
 	}
-	t.Run("an older catalog gives no key back", func(t *testing.T) {
+	t.Run("an older catalog restores no key", func(t *testing.T) {
 		l.putKeys(t, 7, map[tackid.Workspace]string{"postes": "p"})
 		l.putKeys(t, 6, map[tackid.Workspace]string{"mairies": "m"})
 		l.assertHolder(t, "m", "")
 		l.assertHolder(t, "p", "postes")
 	})
-	// Symptom: a job runs whose caller's key was taken away before it was accepted.
-	// Sequence: the leader looks the key up; a catalog without it is accepted while the
-	// job is on its way into the log. Cause: the key was not looked at again there.
-	t.Run("a key that was taken away meanwhile hands nothing in", func(t *testing.T) {
+	// A job must not be accepted with a key that a new catalog removes after the leader
+	// has looked the key up but before the job is applied. This requires a second lookup
+	// when the job is applied.
+	t.Run("a key that was removed meanwhile submits nothing", func(t *testing.T) {
 		if out := l.append(t, Change{Submit: twoSteps(second), Key: tackworkspace.Print("m")}); !out.NoKey || out.Job != nil {
 			t.Errorf("accepted: %+v", out)
 		}
 	})
-	t.Run("what was accepted keeps its workspace", func(t *testing.T) {
+	t.Run("an accepted job keeps its workspace", func(t *testing.T) {
 		if j := l.Jobs.Get(first); j.Workspace != "mairies" || j.Phase != tackjob.Open {
 			t.Errorf("the job is %+v", j)
 		}
 	})
-	t.Run("a snapshot keeps all of it", func(t *testing.T) {
+	t.Run("a snapshot keeps keys and workspaces", func(t *testing.T) {
 		data, err := l.Snapshot()
 		if err != nil {
 			t.Fatal(err)
@@ -73,22 +73,22 @@
 	})
 }
 
-// Symptom: after an upgrade all callers are turned away, or the state cannot be read.
-// Sequence: a VM of this release starts on a snapshot and a log that one of the release
-// before has written, which knows no workspaces.
+// A VM of this release must be able to start from a snapshot and a log written by the
+// previous release, which has no workspaces. Otherwise an upgrade refuses all callers or
+// cannot read the state.
 func TestStateBeforeWorkspacesIsRead(t *testing.T) {
-	type formerCatalog struct {
+	type oldCatalog struct {
 		Version  tackcatalog.Version   `cbor:"1,keyasint"`
 		Queues   []map[int]any         `cbor:"2,keyasint"`
 		Services []tackcatalog.Service `cbor:"3,keyasint"`
 		Source   []byte                `cbor:"5,keyasint"`
 	}
-	former := formerCatalog{
+	old := oldCatalog{
 		Version: 4, Source: []byte("four"), Services: []tackcatalog.Service{{Name: "names-api"}},
 		Queues: []map[int]any{{1: "a.example", 2: "/q/", 4: "names-api", 5: 1, 9: 2}},
 	}
 	const id = "00000000000000a1"
-	data, err := cbor.Marshal(map[int]any{1: former, 2: []map[int]any{{1: id, 2: map[int]any{1: "a.example", 2: "/q/"}, 4: []any{map[int]any{1: 2}}, 8: "names-api"}}, 3: nil, 4: 0})
+	data, err := cbor.Marshal(map[int]any{1: old, 2: []map[int]any{{1: id, 2: map[int]any{1: "a.example", 2: "/q/"}, 4: []any{map[int]any{1: 2}}, 8: "names-api"}}, 3: nil, 4: 0})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,6 +103,6 @@
 		t.Errorf("the job is %+v", j)
 	}
 	if out := l.append(t, Change{Submit: twoSteps("00000000000000a2")}); out.NoKey || out.Job == nil {
-		t.Errorf("handed in without a key: %+v", out)
+		t.Errorf("submitted without a key: %+v", out)
 	}
 }
--- a/core/tackwork/state.go
+++ b/core/tackwork/state.go
@@ -1,5 +1,5 @@
-// Package tackwork is the state that the replicated log of a control VM
-// drives: the catalog of queues, the jobs, and the waves of upkeep.
+// Package tackwork is the state machine of a control VM's replicated log: the catalog of
+// queues, the jobs, the maintenance waves and the quota grants.
 package tackwork
 
 import (
@@ -19,33 +19,33 @@
 )
 
 const (
-	// defaultKeepClosed is two minutes and a rest that covers a caller that is
-	// late.
+	// defaultKeepClosed is two minutes, plus 30 seconds for callers that are late.
 	defaultKeepClosed = 150 * tackclock.Second
-	// expireEvery spaces out the passes that forget closed jobs.
-	expireEvery = 10 * tackclock.Second
+	// expireInterval is the interval between the passes that remove closed jobs.
+	expireInterval = 10 * tackclock.Second
 )
 
 type (
-	// State is what the log has brought about. Its zero value is empty.
+	// State is the result of applying the log. Its zero value is empty.
 	State struct {
-		// KeepClosed is how long a closed job can still be asked for, the same on
-		// all replicas; zero is two and a half minutes.
+		// KeepClosed is how long a closed job can still be looked up. It must be the same
+		// on all replicas; zero means two and a half minutes.
 		KeepClosed tackclock.Duration
 
 		Catalog tackcatalog.Catalog
 		Jobs    tackjob.Table
 		Waves   tackupkeep.Table
-		// Grants are what workspaces may have running, as the leaders asked for it.
+		// Grants are the limits, requested by the leaders, on what each workspace may
+		// have running.
 		Grants tackquota.Grants
 
-		// holders follows from Catalog.
+		// holders is derived from Catalog.
 		holders tackworkspace.Holders
 		expired tackclock.Time
 	}
 
-	// Change is one entry of the log. One field is set; Findings may stand beside Ends,
-	// Key beside Submit.
+	// Change is one entry of the log. Exactly one field is set, except that Findings may
+	// accompany Ends, and Key accompanies Submit.
 	Change struct {
 		Submit  *tackjob.Spec        `cbor:"1,keyasint,omitempty"`
 		Cancel  tackjob.ID           `cbor:"2,keyasint,omitempty"`
@@ -53,31 +53,30 @@
 		Catalog *tackcatalog.Catalog `cbor:"4,keyasint,omitempty"`
 		Wave    *tackupkeep.Wave     `cbor:"5,keyasint,omitempty"`
 		Upkeep  *UpkeepBegun         `cbor:"6,keyasint,omitempty"`
-		// Orders are VMs that the leader is about to order about. They change
-		// nothing; whoever leads next knows of them.
+		// Orders are VMs to which the leader is about to give orders. They change
+		// nothing; they tell the next leader that such orders may have been given.
 		Orders   []tackid.VM       `cbor:"7,keyasint,omitempty"`
 		Findings *tackjob.Findings `cbor:"8,keyasint,omitempty"`
-		// Key is what a job is handed in with, beside Submit; empty if its queue
-		// needs none.
+		// Key is the key that a job is submitted with; empty if its queue requires none.
 		Key tackworkspace.Fingerprint `cbor:"9,keyasint,omitempty"`
-		// Grants may stand beside Ends as well.
+		// Grants may accompany Ends as well.
 		Grants []tackquota.Grant `cbor:"10,keyasint,omitempty"`
 	}
 
-	// UpkeepBegun notes that the platform has taken a VM down for a wave.
+	// UpkeepBegun records that the platform has taken a VM down for a wave.
 	UpkeepBegun struct {
 		Wave tackupkeep.Number `cbor:"1,keyasint"`
 		VM   tackid.VM         `cbor:"2,keyasint"`
 	}
 
-	// Outcome is what a change did. Job is the one that was submitted or
-	// cancelled, nil if there is none of that id.
+	// Outcome is the effect of a change. Job is the job that was submitted or cancelled,
+	// nil if there is none with that ID.
 	Outcome struct {
 		Job *tackjob.Job
-		// Conflict says that the catalog's version is held with other
-		// content, so that nothing was changed.
+		// Conflict says that the version of the catalog is stored with different content,
+		// so that nothing was changed.
 		Conflict bool
-		// NoQueue says that no queue of that key is in the catalog.
+		// NoQueue says that the catalog has no queue with that key.
 		NoQueue bool
 		// NoKey says that no workspace holds the key any more.
 		NoKey bool
@@ -92,7 +91,7 @@
 	}
 )
 
-// Encode returns the change as it stands in the log.
+// Encode returns the log encoding of the change.
 func (c *Change) Encode() []byte {
 	data, err := cbor.Marshal(c)
 	if err != nil {
@@ -101,7 +100,8 @@
 	return data
 }
 
-// Apply carries out an entry of the log. Entries without a change do nothing.
+// Apply applies an entry of the log. Entries of other kinds than EntryNormal have no
+// effect.
 func (s *State) Apply(e tackreplica.Entry) (Change, Outcome, error) {
 	var c Change
 	if e.Kind != tackreplica.EntryNormal {
@@ -142,9 +142,9 @@
 	return Outcome{}
 }
 
-// submit accepts a job. The queue and the holder of the key are looked up here and
-// not where the job came in: a change of the catalog may stand in the log between
-// the two, and a key that it takes away must not be used after it.
+// submit accepts a job. The queue and the holder of the key are looked up here and not
+// when the request arrives: a change of the catalog may come between the two in the log,
+// and a key that it removes must not be used after it.
 func (s *State) submit(c *Change, e tackreplica.Entry) Outcome {
 	spec := c.Submit
 	if known := s.Jobs.Get(spec.ID); known != nil {
@@ -166,9 +166,9 @@
 	return Outcome{Job: s.Jobs.Accept(j, e.Term, e.Time)}
 }
 
-// replaceCatalog puts a catalog in force if its version is the highest. A
-// version that is held with other content is refused: two operators that race
-// would otherwise both be told that theirs counts.
+// replaceCatalog puts a catalog in force if its version is the highest. It refuses a
+// version that is stored with different content: otherwise two operators that race would
+// both be told that their catalog is in force.
 func (s *State) replaceCatalog(c *tackcatalog.Catalog) Outcome {
 	if c.Version == s.Catalog.Version && !c.Same(&s.Catalog) {
 		return Outcome{Conflict: true}
@@ -200,14 +200,14 @@
 }
 
 func (s *State) expire(now tackclock.Time) {
-	if now.Sub(s.expired) < expireEvery {
+	if now.Sub(s.expired) < expireInterval {
 		return
 	}
 	s.expired = now
 	s.Jobs.Expire(now.Add(-cmp.Or(s.KeepClosed, defaultKeepClosed)))
 }
 
-// Snapshot returns the state in the form that Restore reads.
+// Snapshot returns the encoded state, which Restore reads.
 func (s *State) Snapshot() ([]byte, error) {
 	return cbor.Marshal(snapshot{Catalog: s.Catalog, Jobs: s.Jobs.All(), Waves: s.Waves.All(), Expired: s.expired, Grants: s.Grants})
 }
--- a/core/tackwork/state_test.go
+++ b/core/tackwork/state_test.go
@@ -14,7 +14,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// fill sets every field that can be reached from v to a value that is not zero.
+// fill sets every field that can be reached from v to a non-zero value.
 func fill(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -48,10 +48,10 @@
 	}
 }
 
-// Symptom: workers refused thousands of starts for want of room, and lasting
-// items never ran. Sequence: a job with steps was accepted and read back from
-// the log; its items took no processor. Cause: an embedded struct's fields had
-// the same keys as the step's own, and the codec dropped one of each pair.
+// Every field must survive the encoding. When a field of an embedded struct has the same
+// key as one of the outer struct, the codec silently drops one of the two: accepted jobs
+// were read back with items that needed no processor, so workers refused thousands of
+// starts for lack of capacity and long-running items never ran.
 func TestLogKeepsEveryField(t *testing.T) {
 	assertKept := func(t *testing.T, sent, got any) {
 		t.Helper()
@@ -73,7 +73,7 @@
 	t.Run("answer", func(t *testing.T) { assertKept(t, new(Answer), new(Answer)) })
 }
 
-// log is a state and what was appended to it.
+// log is a state to which entries are appended.
 type log struct {
 	State
 	index tackid.Revision
@@ -127,7 +127,7 @@
 		l := newLog(t)
 		l.append(t, Change{Submit: twoSteps(id)})
 		l.append(t, done(id, 0, 0))
-		l.append(t, done(id, 0, 0)) // listed twice
+		l.append(t, done(id, 0, 0)) // reported twice
 		l.append(t, done(id, 1, 0))
 		assertPhase(t, l, tackjob.Open)
 		l.append(t, done(id, 0, 1))
@@ -142,18 +142,17 @@
 		l.append(t, failed(id, 0, 3))
 		assertPhase(t, l, tackjob.Failed)
 	})
-	// Symptom: a job was shown as failed after one failed run fewer than its
-	// queue allows. Sequence: a failed end was written to the log, the leader was
-	// lost before the worker heard that it may forget it, and the next leader was
-	// told of it again. Cause: both were counted.
-	t.Run("does not fail by one end that is listed twice", func(t *testing.T) {
+	// A failed end that was recorded by one leader may be reported again to the next one,
+	// if the leader is lost before the worker is told that the end is recorded. Counting
+	// it twice fails the job one failed run too early.
+	t.Run("does not count an end that is reported twice", func(t *testing.T) {
 		l := newLog(t)
 		l.append(t, Change{Submit: twoSteps(id)})
 		l.append(t, failed(id, 0, 1))
 		l.append(t, failed(id, 0, 1))
 		assertPhase(t, l, tackjob.Open)
 	})
-	t.Run("stays one job when handed in again", func(t *testing.T) {
+	t.Run("stays one job when submitted again", func(t *testing.T) {
 		l := newLog(t)
 		first := l.append(t, Change{Submit: twoSteps(id)})
 		again := l.append(t, Change{Submit: twoSteps(id)})
@@ -161,11 +160,11 @@
 			t.Errorf("two jobs: %p and %p", first.Job, again.Job)
 		}
 	})
-	t.Run("is refused once its queue was dropped", func(t *testing.T) {
+	t.Run("is refused once its queue is removed", func(t *testing.T) {
 		l := newLog(t)
 		l.append(t, Change{Catalog: &tackcatalog.Catalog{Version: 5, Source: []byte("five")}})
 		if out := l.append(t, Change{Submit: twoSteps(id)}); !out.NoQueue {
-			t.Errorf("accepted into a queue that is not there: %+v", out)
+			t.Errorf("accepted into a queue that does not exist: %+v", out)
 		}
 	})
 }
@@ -177,13 +176,13 @@
 	}
 	l := newLog(t)
 	if out := put(t, l, 4, "four"); out.Conflict {
-		t.Error("the same change sent again is refused")
+		t.Error("the same catalog sent again is refused")
 	}
 	if out := put(t, l, 4, "other"); !out.Conflict {
-		t.Error("other content under the version held is accepted")
+		t.Error("different content under the stored version is accepted")
 	}
 	if out := put(t, l, 2, "old"); out.Conflict || l.Catalog.Version != 4 {
-		t.Errorf("an older version changed something: %+v, version %d", out, l.Catalog.Version)
+		t.Errorf("an older version had an effect: %+v, version %d", out, l.Catalog.Version)
 	}
 }
 
