--- a/core/tackworkspace/workspace.go
+++ b/core/tackworkspace/workspace.go
@@ -1,5 +1,5 @@
-// Package tackworkspace holds the customers whose jobs the workers run: their
-// keys, their shares, and what each may have running.
+// Package tackworkspace holds the workspaces, which are the customers whose jobs the
+// workers run: their keys, their shares, and the caps on what each may have running.
 package tackworkspace
 
 import (
@@ -11,44 +11,43 @@
 	"auburntack/core/tackroom"
 )
 
-// shortDigits is how many digits tell the keys of a deployment apart in tables
-// and log lines.
+// shortDigits is the number of digits of a fingerprint that are shown in tables and log
+// messages. It suffices to tell the keys of a deployment apart.
 const shortDigits = 12
 
 type (
-	// Fingerprint is the SHA-256 sum of a key, in hexadecimal digits. A key is
-	// looked up by its fingerprint, so the time that a lookup takes says nothing
-	// about the keys that there are, and nothing but fingerprints is passed on
-	// and logged. The empty fingerprint stands for no key.
+	// Fingerprint is the SHA-256 sum of a key, in hexadecimal digits. Keys are looked up
+	// by their fingerprints, so the time that a lookup takes reveals nothing about the
+	// existing keys, and only fingerprints are passed on and logged. The empty
+	// fingerprint stands for no key.
 	Fingerprint string
 
-	// Workspace is a customer as the operators configure it.
+	// Workspace is a customer as configured by the operators.
 	Workspace struct {
 		Name tackid.Workspace `cbor:"1,keyasint"`
-		// Keys are those that its callers may show.
+		// Keys are the keys that its callers may present.
 		Keys []Fingerprint `cbor:"2,keyasint,omitempty"`
-		// Weight is its share when all workers are busy.
+		// Weight is the weight of its share when all workers are busy.
 		Weight float64 `cbor:"3,keyasint,omitempty"`
-		// Cap bounds what it has running over all workers. A part that is zero
-		// is no bound.
+		// Cap limits what it has running over all workers. A zero field means no limit.
 		Cap tackroom.Room `cbor:"4,keyasint"`
-		// Priority 0 goes before higher figures.
+		// Priority 0 is served first, higher values later.
 		Priority int `cbor:"5,keyasint,omitempty"`
 	}
 
-	// Holders tells who holds a key. Its zero value knows none.
+	// Holders maps keys to the workspaces that hold them. Its zero value is empty.
 	Holders struct {
 		byKey map[Fingerprint]tackid.Workspace
 	}
 
-	// Problem is one thing that is wrong with a list of workspaces.
+	// Problem is one problem found in a list of workspaces.
 	Problem struct {
 		Field string
 		Text  string
 	}
 )
 
-// Print returns the fingerprint of a key; that of no key is empty.
+// Print returns the fingerprint of a key; the fingerprint of the empty key is empty.
 func Print(key string) Fingerprint {
 	if key == "" {
 		return ""
@@ -57,12 +56,12 @@
 	return Fingerprint(hex.EncodeToString(sum[:]))
 }
 
-// Short returns the digits that stand in tables and log lines.
+// Short returns the digits that are shown in tables and log messages.
 func (f Fingerprint) Short() string {
 	return string(f[:min(len(f), shortDigits)])
 }
 
-// HoldersOf returns who holds which key.
+// HoldersOf returns the holders of the keys of the given workspaces.
 func HoldersOf(list []Workspace) Holders {
 	h := Holders{byKey: make(map[Fingerprint]tackid.Workspace)}
 	for i := range list {
@@ -79,8 +78,8 @@
 	return name, ok && key != ""
 }
 
-// Check returns all that is wrong with a list of workspaces. A key that two of them
-// share would let each see and cancel the other's jobs.
+// Check returns all problems found in a list of workspaces. A key must not be shared by
+// two of them: each could see and cancel the jobs of the other.
 func Check(list []Workspace) []Problem {
 	var problems []Problem
 	names := make(map[tackid.Workspace]int)
--- a/core/tackworkspace/workspace_test.go
+++ b/core/tackworkspace/workspace_test.go
@@ -26,14 +26,14 @@
 func TestFingerprintHidesItsKey(t *testing.T) {
 	const key = "k5x7xn7fz7gfsr3xqtrp"
 	if f := Print(key); strings.Contains(string(f), key) || len(f) != 64 || len(f.Short()) != shortDigits {
-		t.Errorf("fingerprint %q, in short %q", f, f.Short())
+		t.Errorf("fingerprint %q, short form %q", f, f.Short())
 	}
 	if f := Print(""); f != "" || f.Short() != "" {
-		t.Errorf("no key has the fingerprint %q", f)
+		t.Errorf("the empty key has the fingerprint %q", f)
 	}
 }
 
-// BenchmarkHolder looks keys up in 45 workspaces with two each.
+// BenchmarkHolder looks up keys among 45 workspaces with two keys each.
 func BenchmarkHolder(b *testing.B) {
 	var list []Workspace
 	for i := range 45 {
