--- a/core/tackquota/book.go
+++ b/core/tackquota/book.go
@@ -1,13 +1,13 @@
-// Package tackquota keeps account of what each workspace has running, and says
-// what it may start.
+// Package tackquota tracks what each workspace has running and decides what it may start.
 //
-// A workspace's cap holds over all workers at any moment, whichever leader ordered
-// the runs. A leader counts each run from the order until its worker has listed the
-// end, or its lease is over. What an earlier leader started and no worker has listed
-// yet it cannot count. It knows a bound: before a leader lets a workspace run more
-// than any leader has, it has the log hold that amount, the grant. So what runs never
-// exceeds the newest grant, and a new leader starts beside the grant it finds until
-// the leases of its predecessors are over.
+// The cap of a workspace holds over all workers at any moment, whichever leader ordered
+// the runs. A leader counts each run from the order to start it until its worker has
+// reported its end, or the lease of the run has expired. It cannot count runs that an
+// earlier leader started and that no worker has reported yet, but it knows an upper bound
+// for them: before a leader lets a workspace run more than any leader has, it commits
+// that amount, the grant, to the log. So what runs never exceeds the newest grant, and a
+// new leader counts the whole grant that it finds as running until the leases of its
+// predecessors have expired.
 package tackquota
 
 import (
@@ -22,92 +22,95 @@
 )
 
 const (
-	// stepParts is the part of its cap by which a workspace's grant is to exceed what
-	// runs, so that starts need not wait for the log.
-	stepParts = 8
-	// slackParts is how many such parts it may exceed it. What a grant exceeds is kept
-	// from starting for a while under the next leader.
-	slackParts = 3
-	// lowerEvery spaces out the looks for grants that are too high.
-	lowerEvery = tackclock.Second
-	// unknown is beyond the room of all workers together.
-	unknown = math.MaxInt32
+	// grantStepDivisor divides the cap into steps. A grant is requested one step above
+	// what runs, so that starts need not wait for the log.
+	grantStepDivisor = 8
+	// maxSlackSteps is the number of steps by which a grant may exceed what runs before
+	// it is lowered. Under the next leader, the excess cannot be used until the leases of
+	// its predecessors have expired.
+	maxSlackSteps = 3
+	// lowerInterval is the interval between the searches for grants that are too high.
+	lowerInterval = tackclock.Second
+	// unlimited exceeds the resources of all workers together.
+	unlimited = math.MaxInt32
 )
 
 type (
-	// Grant is what a workspace may have running at most, as the log holds it.
+	// Grant is the limit on what a workspace may have running, as committed to the log.
 	Grant struct {
 		Workspace tackid.Workspace `cbor:"1,keyasint"`
 		Room      tackroom.Room    `cbor:"2,keyasint"`
 	}
 
-	// Grants are those that the log holds.
+	// Grants are the grants committed to the log.
 	Grants map[tackid.Workspace]tackroom.Room
 
-	// Book is one leader's accounts. Its zero value has none. It is not safe for
+	// Book holds the accounts of one leader. Its zero value has none. It is not safe for
 	// concurrent use.
 	Book struct {
 		accounts map[tackid.Workspace]*Account
-		// sure is when nothing runs any more that an earlier leader started and no
-		// worker has listed.
-		sure    tackclock.Time
-		asking  []*Account // whose grants the log is to change
-		all     tackroom.Room
-		weights float64 // of all workspaces together
-		lowerAt tackclock.Time
+		// leasesOver is the time from which on nothing runs that an earlier leader
+		// started and that no worker has reported.
+		leasesOver tackclock.Time
+		requesting []*Account // accounts with a grant to propose
+		all        tackroom.Room
+		weights    float64 // sum over all workspaces
+		lowerAt    tackclock.Time
 	}
 
-	// Account is what one workspace has running.
+	// Account tracks what one workspace has running.
 	Account struct {
 		book *Book
 		name tackid.Workspace
-		cap  tackroom.Room // a part that is zero is no bound
-		// weight is its share of all, against that of the others; zero if it has none.
+		cap  tackroom.Room // a zero field means no limit
+		// weight is its share relative to the weights of the others; zero if it has none.
 		weight float64
 		// used is what is known to run, and earlier the part of it that earlier leaders
 		// started.
 		used    tackroom.Room
 		earlier tackroom.Room
-		// inherited is what earlier leaders may have had running.
+		// inherited is the limit on what earlier leaders may have had running.
 		inherited tackroom.Room
-		// asked is the newest grant that was asked for, and onTheirWay those of which it is
-		// not known yet that the log holds them. granted is the least of those and of the
-		// one that it holds: any of them may be what the next leader finds.
-		asked      tackroom.Room
-		onTheirWay []tackroom.Room
+		// requested is the newest grant that was requested, and proposed are the proposed
+		// grants that are not known to be committed. granted is the minimum of those and
+		// of the committed one: the next leader may find any of them.
+		requested  tackroom.Room
+		proposed   []tackroom.Room
 		granted    tackroom.Room
-		asking     bool // in Book.asking
+		requesting bool // is in Book.requesting
 	}
 )
 
-// Begin begins the accounts of a leader, which finds these grants in its log. Until
-// sure, things may run that an earlier leader started and no worker has listed.
-func (b *Book) Begin(sure tackclock.Time, workspaces []tackworkspace.Workspace, grants Grants) {
-	*b = Book{accounts: make(map[tackid.Workspace]*Account), sure: sure}
+// Begin resets the accounts for a new leader that finds the given grants in its log.
+// Until leasesOver, there may be running items that an earlier leader started and that no
+// worker has reported.
+func (b *Book) Begin(leasesOver tackclock.Time, workspaces []tackworkspace.Workspace, grants Grants) {
+	*b = Book{accounts: make(map[tackid.Workspace]*Account), leasesOver: leasesOver}
 	for name, room := range grants {
 		a := b.Account(name)
-		a.inherited, a.granted, a.asked = room, room, room
+		a.inherited, a.granted, a.requested = room, room, room
 	}
 	b.SetCaps(workspaces)
 }
 
-// BeginAgain begins the accounts anew for the same leader, some of whose proposals may
-// be on their way into the log.
-func (b *Book) BeginAgain(sure tackclock.Time, workspaces []tackworkspace.Workspace, grants Grants) {
+// BeginAgain resets the accounts for the same leader, some of whose proposals may not be
+// committed yet.
+func (b *Book) BeginAgain(leasesOver tackclock.Time, workspaces []tackworkspace.Workspace, grants Grants) {
 	before := b.accounts
-	b.Begin(sure, nil, grants)
+	b.Begin(leasesOver, nil, grants)
 	for name, a := range before {
-		if len(a.onTheirWay) > 0 {
+		if len(a.proposed) > 0 {
 			next := b.Account(name)
-			next.onTheirWay = a.onTheirWay
+			next.proposed = a.proposed
 			next.grant(next.granted)
-			next.asked = next.granted // others may be lost
+			next.requested = next.granted // requests that were not proposed may be lost
 		}
 	}
 	b.SetCaps(workspaces)
 }
 
-// SetCaps takes in the workspaces of a catalog. One that it does not name has no cap.
+// SetCaps sets the caps and weights from the workspaces of a catalog. A workspace that is
+// not listed has no cap.
 func (b *Book) SetCaps(workspaces []tackworkspace.Workspace) {
 	for _, a := range b.accounts {
 		a.cap, a.weight = tackroom.Room{}, 0
@@ -121,74 +124,77 @@
 	}
 }
 
-// Account returns the account of a workspace. That of the empty name, of jobs that
-// belong to none, is nil: nothing bounds them. What is not granted in the log may
-// have been running without a cap, so until sure nobody knows how much it is.
+// Account returns the account of a workspace. For the empty name, that of jobs without a
+// workspace, it is nil, which imposes no limit. A workspace without a grant in the log
+// may have been running without a cap, so until the leases of earlier leaders have
+// expired the amount is unknown.
 func (b *Book) Account(name tackid.Workspace) *Account {
 	if name == "" {
 		return nil
 	}
 	a := b.accounts[name]
 	if a == nil {
-		a = &Account{book: b, name: name, inherited: tackroom.Room{MilliCores: unknown, MemoryMB: unknown, GPUs: unknown}}
+		a = &Account{book: b, name: name, inherited: tackroom.Room{MilliCores: unlimited, MemoryMB: unlimited, GPUs: unlimited}}
 		b.accounts[name] = a
 	}
 	return a
 }
 
-// Wanted returns the grants that the log is to hold, since the last call.
+// Wanted returns the grants to propose to the log that were requested since the last
+// call.
 func (b *Book) Wanted(now tackclock.Time) []Grant {
 	b.lower(now)
 	var list []Grant
-	for _, a := range b.asking {
-		a.asking = false
-		a.onTheirWay = append(a.onTheirWay, a.asked)
-		a.granted = a.granted.Min(a.asked) // another one may have come meanwhile
-		list = append(list, Grant{Workspace: a.name, Room: a.asked})
+	for _, a := range b.requesting {
+		a.requesting = false
+		a.proposed = append(a.proposed, a.requested)
+		a.granted = a.granted.Min(a.requested) // another grant may have been committed meanwhile
+		list = append(list, Grant{Workspace: a.name, Room: a.requested})
 	}
-	b.asking = nil
+	b.requesting = nil
 	return list
 }
 
-// Granted takes in that the log holds these grants.
+// Granted records that the grants have been committed to the log.
 func (b *Book) Granted(list []Grant) {
 	for _, g := range list {
 		a := b.Account(g.Workspace)
-		if at := slices.Index(a.onTheirWay, g.Room); at >= 0 {
-			a.onTheirWay = a.onTheirWay[at+1:]
+		if at := slices.Index(a.proposed, g.Room); at >= 0 {
+			a.proposed = a.proposed[at+1:]
 		}
 		a.grant(g.Room)
 	}
 }
 
-// grant takes in what the log holds.
+// grant records the committed grant.
 func (a *Account) grant(held tackroom.Room) {
 	a.granted = held
-	for _, room := range a.onTheirWay {
+	for _, room := range a.proposed {
 		a.granted = a.granted.Min(room)
 	}
 }
 
-// lower asks for lower grants where far less runs.
+// lower requests lower grants for the accounts whose grant far exceeds what runs.
 func (b *Book) lower(now tackclock.Time) {
-	if now < b.sure || now < b.lowerAt {
+	if now < b.leasesOver || now < b.lowerAt {
 		return
 	}
-	b.lowerAt = now.Add(lowerEvery)
+	b.lowerAt = now.Add(lowerInterval)
 	for _, name := range b.names() {
 		a := b.accounts[name]
-		next := a.ahead(a.used)
-		if a.asked != a.granted || !a.capped() || next.Plus(a.cap.Over(stepParts).Times(slackParts-1)).Fits(a.granted) {
+		next := a.grantFor(a.used)
+		if a.requested != a.granted || !a.capped() || next.Plus(a.cap.Over(grantStepDivisor).Times(maxSlackSteps-1)).Fits(a.granted) {
 			continue
 		}
-		// It may be in the log as soon as it is asked for.
-		a.asked, a.granted = next, a.granted.Min(next)
-		a.want()
+		// The lower grant may be committed as soon as it is proposed, so it applies from
+		// now on.
+		a.requested, a.granted = next, a.granted.Min(next)
+		a.enqueue()
 	}
 }
 
-// names are those of all accounts, in order, so that the same events have the log hold
-// the same.
+// names returns the names of all accounts in order, so that the same events lead to the
+// same log entries.
 func (b *Book) names() []tackid.Workspace {
 	names := make([]tackid.Workspace, 0, len(b.accounts))
 	for name := range b.accounts {
@@ -198,9 +204,9 @@
 	return names
 }
 
-// Allows reports whether the workspace may start so much more at now. If only the
-// grant is too low, it asks for a higher one. An item that is larger than the cap
-// runs by itself.
+// Allows reports whether the workspace may start need at now. If only the grant is too
+// low for it, Allows requests a higher one. An item that is larger than the cap may run
+// if nothing else does.
 func (a *Account) Allows(now tackclock.Time, need tackroom.Room) bool {
 	if a == nil || !a.capped() {
 		return true
@@ -213,20 +219,20 @@
 	if a.covers(a.granted, total) {
 		return true
 	}
-	a.ask(total)
+	a.request(total)
 	return false
 }
 
-// Expect asks for the grant that lets so much start soon, as far as the cap allows it,
-// so that it need not wait for the log when there is a worker for it.
+// Expect requests, within the cap, the grant that allows need to start soon, so that the
+// start need not wait for the log once there is a worker for it.
 func (a *Account) Expect(now tackclock.Time, need tackroom.Room) {
 	if a != nil && a.capped() {
-		a.ask(a.running(now).Plus(need).Within(a.cap))
+		a.request(a.running(now).Plus(need).Within(a.cap))
 	}
 }
 
-// Keeps reports whether a start that was taken in earlier, and not ordered yet, is still
-// within the cap.
+// Keeps reports whether a start that was counted already, but has not been ordered yet,
+// is still within the cap.
 func (a *Account) Keeps(now tackclock.Time, room tackroom.Room) bool {
 	if a == nil {
 		return true
@@ -235,7 +241,7 @@
 	return a.within(total.Minus(room), total)
 }
 
-// within reports whether what runs may rise to total.
+// within reports whether what runs may grow from runs to total.
 func (a *Account) within(runs, total tackroom.Room) bool {
 	return withinPart(runs.MilliCores, total.MilliCores, a.cap.MilliCores) &&
 		withinPart(runs.MemoryMB, total.MemoryMB, a.cap.MemoryMB) && withinPart(runs.GPUs, total.GPUs, a.cap.GPUs)
@@ -245,12 +251,12 @@
 	return limit == 0 || total <= limit || runs == 0
 }
 
-// Holds reports whether the cap has room for so much at once, whatever runs.
+// Holds reports whether the cap allows need to run at once if nothing else runs.
 func (a *Account) Holds(need tackroom.Room) bool {
 	return a == nil || a.cap.Bounds(need)
 }
 
-// Start takes in that so much is ordered to start, or was by an earlier leader.
+// Start records that room has been ordered to start, or was so by an earlier leader.
 func (a *Account) Start(room tackroom.Room, earlier bool) {
 	if a == nil {
 		return
@@ -262,22 +268,23 @@
 	a.prefetch()
 }
 
-// prefetch asks for a higher grant before starts have to wait for it.
+// prefetch requests a higher grant before starts have to wait for it.
 func (a *Account) prefetch() {
-	if soon := a.used.Plus(a.cap.Over(2 * stepParts)); a.capped() && !a.covers(a.asked, soon.Min(a.ahead(a.used))) {
-		a.asked = a.asked.Max(a.ahead(a.used))
-		a.want()
+	if soon := a.used.Plus(a.cap.Over(2 * grantStepDivisor)); a.capped() && !a.covers(a.requested, soon.Min(a.grantFor(a.used))) {
+		a.requested = a.requested.Max(a.grantFor(a.used))
+		a.enqueue()
 	}
 }
 
-// covers reports whether a grant is enough for so much. Of what has no cap it is.
+// covers reports whether a grant suffices for total. Resources without a cap are always
+// covered.
 func (a *Account) covers(grant, total tackroom.Room) bool {
 	part := func(granted, total, limit int) bool { return limit == 0 || total <= granted }
 	return part(grant.MilliCores, total.MilliCores, a.cap.MilliCores) &&
 		part(grant.MemoryMB, total.MemoryMB, a.cap.MemoryMB) && part(grant.GPUs, total.GPUs, a.cap.GPUs)
 }
 
-// End takes in that so much of what was started runs no more.
+// End records that room, which was started before, no longer runs.
 func (a *Account) End(room tackroom.Room, earlier bool) {
 	if a == nil {
 		return
@@ -288,14 +295,14 @@
 	}
 }
 
-// Used is what is known to run.
+// Used returns what is known to run.
 func (a *Account) Used() tackroom.Room { return a.used }
 
-// Granted is what may run until the log grants more. Of what has no cap it is beyond all
-// that there is.
+// Granted returns what may run until the log grants more. For resources without a cap it
+// exceeds all that exists.
 func (a *Account) Granted() tackroom.Room { return a.granted }
 
-// Cap is what may run; a part that is zero is no bound.
+// Cap returns the cap; a zero field means no limit.
 func (a *Account) Cap() tackroom.Room {
 	if a == nil {
 		return tackroom.Room{}
@@ -303,7 +310,7 @@
 	return a.cap
 }
 
-// String says what runs and what may, for logs.
+// String describes what runs and what may run, for logs.
 func (a *Account) String() string {
 	if a == nil {
 		return "no workspace"
@@ -311,10 +318,11 @@
 	return fmt.Sprintf("%s runs %v of %v, granted %v", a.name, a.used, a.cap, a.granted)
 }
 
-// running is what may be running at now. Until sure, earlier leaders may have started
-// all that was granted, whatever of it is listed by now.
+// running returns what may be running at now. Until the leases of earlier leaders have
+// expired, they may have started everything that was granted, no matter how much of it
+// has been reported.
 func (a *Account) running(now tackclock.Time) tackroom.Room {
-	if now >= a.book.sure {
+	if now >= a.book.leasesOver {
 		return a.used
 	}
 	return a.used.Minus(a.earlier).Plus(a.earlier.Max(a.inherited))
@@ -324,23 +332,23 @@
 	return a.cap != tackroom.Room{}
 }
 
-// ask has the log grant what lets so much run.
-func (a *Account) ask(total tackroom.Room) {
-	if !a.capped() || a.covers(a.asked, total) {
+// request requests a grant that allows total to run.
+func (a *Account) request(total tackroom.Room) {
+	if !a.capped() || a.covers(a.requested, total) {
 		return
 	}
-	a.asked = a.asked.Max(a.ahead(total))
-	a.want()
+	a.requested = a.requested.Max(a.grantFor(total))
+	a.enqueue()
 }
 
-// ahead is the grant for so much: a step more, but no more than the cap if less runs.
-// Of what has no cap all is granted.
-func (a *Account) ahead(total tackroom.Room) tackroom.Room {
+// grantFor returns the grant to request for total: one step more, but no more than the
+// cap unless more runs already. Resources without a cap are granted without limit.
+func (a *Account) grantFor(total tackroom.Room) tackroom.Room {
 	part := func(total, limit int) int {
 		if limit == 0 {
-			return unknown
+			return unlimited
 		}
-		return max(total, min(limit, total+limit/stepParts))
+		return max(total, min(limit, total+limit/grantStepDivisor))
 	}
 	return tackroom.Room{
 		MilliCores: part(total.MilliCores, a.cap.MilliCores), MemoryMB: part(total.MemoryMB, a.cap.MemoryMB),
@@ -348,9 +356,9 @@
 	}
 }
 
-func (a *Account) want() {
-	if !a.asking {
-		a.asking = true
-		a.book.asking = append(a.book.asking, a)
+func (a *Account) enqueue() {
+	if !a.requesting {
+		a.requesting = true
+		a.book.requesting = append(a.book.requesting, a)
 	}
 }
--- a/core/tackquota/book_test.go
+++ b/core/tackquota/book_test.go
@@ -21,8 +21,8 @@
 	return []tackworkspace.Workspace{{Name: mairies, Cap: room}}
 }
 
-// logged has the log hold what the book wants.
-func logged(b *Book, now tackclock.Time, grants Grants) {
+// commitWanted commits the grants that the book wants.
+func commitWanted(b *Book, now tackclock.Time, grants Grants) {
 	list := b.Wanted(now)
 	for _, g := range list {
 		grants[g.Workspace] = g.Room
@@ -30,19 +30,21 @@
 	b.Granted(list)
 }
 
-// begun is a leader's account after the leases of earlier ones.
-func begun(caps tackroom.Room) (*Book, *Account, Grants) {
+// newAccount returns the account of a leader after the leases of earlier leaders have
+// expired.
+func newAccount(caps tackroom.Room) (*Book, *Account, Grants) {
 	b, grants := new(Book), make(Grants)
 	b.Begin(0, capped(caps), grants)
-	logged(b, 0, grants)
+	commitWanted(b, 0, grants)
 	return b, b.Account(mairies), grants
 }
 
-// assertMay asks twice: the first time may be too soon for the log's grant.
+// assertMay calls Allows twice: the first call may have to wait for a grant to be
+// committed.
 func assertMay(t *testing.T, a *Account, now tackclock.Time, need tackroom.Room, want bool) {
 	t.Helper()
 	a.Allows(now, need)
-	logged(a.book, now, make(Grants))
+	commitWanted(a.book, now, make(Grants))
 	assertAllows(t, a, now, need, want)
 }
 
@@ -54,8 +56,8 @@
 }
 
 func TestCap(t *testing.T) {
-	t.Run("holds in each kind of room", func(t *testing.T) {
-		_, a, _ := begun(tackroom.Room{MilliCores: 10_000, MemoryMB: 40_000})
+	t.Run("holds for each kind of resource", func(t *testing.T) {
+		_, a, _ := newAccount(tackroom.Room{MilliCores: 10_000, MemoryMB: 40_000})
 		a.Start(cores(7), false)
 		assertMay(t, a, 1, cores(3), true)
 		assertMay(t, a, 1, cores(4), false)
@@ -65,8 +67,8 @@
 		a.End(cores(7), false)
 		assertMay(t, a, 2, cores(10), true)
 	})
-	t.Run("an item beyond it runs by itself", func(t *testing.T) {
-		_, a, _ := begun(cores(4))
+	t.Run("a larger item runs alone", func(t *testing.T) {
+		_, a, _ := newAccount(cores(4))
 		assertMay(t, a, 1, cores(6), true)
 		a.Start(cores(6), false)
 		assertMay(t, a, 1, cores(1), false)
@@ -75,13 +77,13 @@
 		var none *Account
 		assertNone := (&Book{}).Account("")
 		if assertNone != nil || !none.Allows(0, cores(1000)) || !none.Holds(cores(1000)) {
-			t.Error("a job of no workspace is bounded")
+			t.Error("a job without a workspace is limited")
 		}
 		none.Start(cores(1), false)
 		none.End(cores(1), false)
 	})
 	t.Run("lowered below what runs", func(t *testing.T) {
-		b, a, _ := begun(cores(40))
+		b, a, _ := newAccount(cores(40))
 		a.Start(cores(30), false)
 		b.SetCaps(capped(cores(10)))
 		assertMay(t, a, 1, cores(1), false)
@@ -89,96 +91,96 @@
 		assertMay(t, a, 1, cores(1), true)
 		assertMay(t, a, 1, cores(2), false)
 	})
-	t.Run("none any more", func(t *testing.T) {
-		b, a, _ := begun(cores(4))
+	t.Run("removed", func(t *testing.T) {
+		b, a, _ := newAccount(cores(4))
 		a.Start(cores(4), false)
 		b.SetCaps(nil)
 		assertMay(t, a, 1, cores(100), true)
 	})
 	t.Run("of a gang", func(t *testing.T) {
-		_, a, _ := begun(tackroom.Room{MilliCores: 10_000})
+		_, a, _ := newAccount(tackroom.Room{MilliCores: 10_000})
 		if !a.Holds(cores(10)) || a.Holds(cores(11)) || !a.Holds(tackroom.Room{GPUs: 50}) {
-			t.Error("what the cap holds at once is wrong")
+			t.Error("wrong answer on what the cap allows at once")
 		}
 	})
 }
 
-// Symptom: a workspace has more running than its cap allows. Sequence: a leader starts
-// up to the cap; it is lost, and the next one starts as much again before it has heard
-// what runs. Cause: a new leader counted only what workers had listed.
-func TestNextLeaderStartsBesideTheGrant(t *testing.T) {
-	const sure = 3000
-	b, a, grants := begun(cores(40))
+// A new leader must count the whole grant of its predecessor as running. If it counted
+// only what workers have reported, it would start up to the cap again beside what the
+// lost leader had started, and the workspace would exceed its cap.
+func TestNextLeaderCountsGrantAsRunning(t *testing.T) {
+	const leasesOver = 3000
+	b, a, grants := newAccount(cores(40))
 	a.Start(cores(10), false)
-	logged(b, 1, grants)
+	commitWanted(b, 1, grants)
 	granted := grants[mairies].MilliCores
 	if granted < 10_000 || granted > 25_000 {
 		t.Fatalf("granted %d for 10,000", granted)
 	}
 	next := new(Book)
-	next.Begin(sure, capped(cores(40)), grants)
+	next.Begin(leasesOver, capped(cores(40)), grants)
 	a = next.Account(mairies)
 	beside := tackroom.Room{MilliCores: 40_000 - granted}
 	assertAllows(t, a, 100, beside.Plus(tackroom.Room{MilliCores: 1}), false)
-	t.Run("once the log grants it", func(t *testing.T) {
+	t.Run("once the higher grant is committed", func(t *testing.T) {
 		assertAllows(t, a, 100, beside, false)
-		logged(next, 100, grants)
+		commitWanted(next, 100, grants)
 		assertAllows(t, a, 100, beside, true)
 	})
-	t.Run("whatever of it has been listed", func(t *testing.T) {
+	t.Run("no matter how much of it has been reported", func(t *testing.T) {
 		a.Start(cores(6), true)
 		assertAllows(t, a, 200, beside, true)
 		assertAllows(t, a, 200, beside.Plus(tackroom.Room{MilliCores: 1}), false)
 		a.End(cores(6), true)
 		assertAllows(t, a, 200, beside.Plus(tackroom.Room{MilliCores: 1}), false)
 	})
-	t.Run("and by what runs in the end", func(t *testing.T) {
+	t.Run("then by what actually runs", func(t *testing.T) {
 		a.Start(cores(8), true)
-		a.Allows(sure, cores(32))
-		logged(next, sure, grants)
-		assertAllows(t, a, sure, cores(32), true)
-		assertAllows(t, a, sure, cores(33), false)
+		a.Allows(leasesOver, cores(32))
+		commitWanted(next, leasesOver, grants)
+		assertAllows(t, a, leasesOver, cores(32), true)
+		assertAllows(t, a, leasesOver, cores(33), false)
 	})
 }
 
-// A workspace that the log grants nothing may have run without a cap until now.
-func TestNextLeaderKnowsNothingOfWhatHadNoCap(t *testing.T) {
+// A workspace without a grant in the log may have run without a cap until now.
+func TestNextLeaderWithoutGrant(t *testing.T) {
 	b := new(Book)
 	b.Begin(3000, capped(cores(40)), nil)
 	a := b.Account(mairies)
 	assertAllows(t, a, 2999, cores(1), false)
-	logged(b, 3000, make(Grants))
+	commitWanted(b, 3000, make(Grants))
 	assertAllows(t, a, 3000, cores(1), true)
 }
 
 func TestGrantFollowsWhatRuns(t *testing.T) {
-	b, a, grants := begun(cores(80))
+	b, a, grants := newAccount(cores(80))
 	for range 70 {
 		if !a.Allows(1, cores(1)) {
 			t.Fatalf("start beside %+v waits for the log, which grants %+v", a.Used(), grants[mairies])
 		}
 		a.Start(cores(1), false)
-		logged(b, 1, grants)
+		commitWanted(b, 1, grants)
 	}
 	if got := grants[mairies]; got.MilliCores > 80_000 || got.MemoryMB > 80_000 {
 		t.Errorf("granted %+v, beyond the cap", got)
 	}
 	a.End(cores(60), false)
-	logged(b, 5000, grants)
+	commitWanted(b, 5000, grants)
 	if got := grants[mairies].MilliCores; got > 30_000 {
-		t.Errorf("granted %d while 10,000 run", got)
+		t.Errorf("granted %d while 10,000 are running", got)
 	}
 	assertAllows(t, a, 5000, cores(5), true)
 }
 
-// fleet is workers that run on whoever leads, and a log that loses what is under way
-// when a leader is lost.
+// fleet models workers that keep running across leaders, and a log that may lose
+// uncommitted proposals when a leader is lost.
 type fleet struct {
 	cap      tackroom.Room
 	grants   Grants
-	runs     []tackroom.Room // what really runs
-	heard    []bool          // by the present leader
-	early    []bool          // started by an earlier one
+	runs     []tackroom.Room // what actually runs
+	heard    []bool          // reported to the present leader
+	early    []bool          // started by an earlier leader
 	inFlight [][]Grant
 	book     *Book
 	now      tackclock.Time
@@ -191,7 +193,7 @@
 	f.forget()
 }
 
-// again has the leader begin anew, with its proposals still on their way.
+// again restarts the accounts of the leader while its proposals are not committed yet.
 func (f *fleet) again() {
 	f.book.BeginAgain(f.now.Add(1000), capped(f.cap), f.grants)
 	f.forget()
@@ -214,7 +216,7 @@
 	f.inFlight = f.inFlight[1:]
 }
 
-// end ends a run; one that the leader has not heard of ends for it unheard.
+// end ends a run. The leader is not told of the end of a run that was not reported to it.
 func (f *fleet) end(i int) {
 	if f.heard[i] {
 		f.book.Account(mairies).End(f.runs[i], f.early[i])
@@ -232,9 +234,8 @@
 	return sum
 }
 
-// TestRandomLeaders checks, over random starts, ends, reports, losses of the leader and
-// of what is on its way into the log, that what runs is within the grant that the log
-// holds, and within the cap.
+// TestRandomLeaders checks that what runs stays within the committed grant and within the
+// cap, over random starts, ends, reports, and losses of leaders and of proposals.
 func TestRandomLeaders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &fleet{cap: cores(40), grants: make(Grants)}
@@ -272,15 +273,16 @@
 				f.inFlight = f.inFlight[:rapid.IntRange(0, len(f.inFlight)).Draw(t, "kept")]
 				f.again()
 			}
-			// The leases of what no worker has listed to this leader are over by now.
-			if f.now >= f.book.sure {
+			// The leases of runs that were not reported to this leader have expired by
+			// now.
+			if f.now >= f.book.leasesOver {
 				for i := len(f.runs) - 1; i >= 0; i-- {
 					if !f.heard[i] {
 						f.end(i)
 					}
 				}
 			}
-			f.assertGoesOn(t)
+			f.assertProgress(t)
 			if total := f.total(); !f.grants[mairies].Fits(total) || !f.cap.Fits(total) {
 				t.Fatalf("%+v runs, granted %+v, cap %+v", total, f.grants[mairies], f.cap)
 			}
@@ -288,9 +290,9 @@
 	})
 }
 
-// assertGoesOn fails the test if nothing runs, and nothing ever may.
-func (f *fleet) assertGoesOn(t *rapid.T) {
-	if len(f.runs) > 0 || f.now < f.book.sure || len(f.inFlight) > 0 {
+// assertProgress fails the test if nothing runs and nothing can ever start.
+func (f *fleet) assertProgress(t *rapid.T) {
+	if len(f.runs) > 0 || f.now < f.book.leasesOver || len(f.inFlight) > 0 {
 		return
 	}
 	a := f.book.Account(mairies)
@@ -300,11 +302,11 @@
 	f.inFlight = append(f.inFlight, f.book.Wanted(f.now))
 	f.commit()
 	if !a.Allows(f.now, cores(1)) {
-		t.Fatalf("nothing may start, and nothing runs: %v", a)
+		t.Fatalf("nothing runs and nothing can start: %v", a)
 	}
 }
 
-// hear has the leader hear of some runs of earlier ones.
+// hear reports some of the runs of earlier leaders to the present one.
 func (f *fleet) hear(t *rapid.T) {
 	for i := range f.runs {
 		if !f.heard[i] && rapid.Bool().Draw(t, "heard") {
@@ -314,7 +316,7 @@
 	}
 }
 
-// BenchmarkStart is a start and an end in a book of 45 workspaces.
+// BenchmarkStart measures a start and an end in a book of 45 workspaces.
 func BenchmarkStart(b *testing.B) {
 	var list []tackworkspace.Workspace
 	for i := range 45 {
--- a/core/tackquota/share.go
+++ b/core/tackquota/share.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	// shareSlack is how many times its share a workspace may run before others go first.
-	// What callers send comes in bursts, and an item more or less is no unfairness.
+	// shareSlack is the multiple of its share that a workspace may run before others go
+	// first. Work arrives in bursts, and an item more or less is not unfair.
 	shareSlack = 2
-	// mostOver bounds how finely workspaces beyond their shares are told apart.
-	mostOver = 4
+	// maxOver limits the number of levels by which workspaces beyond their shares are
+	// ranked.
+	maxOver = 4
 )
 
-// SetRoom takes in the room of all workers together.
+// SetRoom sets the total resources of all workers.
 func (b *Book) SetRoom(all tackroom.Room) {
 	b.all = all
 }
 
-// Share is the part of all workers that the workspace is due when all are busy, by its
-// weight; nothing if it has none.
+// Share returns the fraction of all workers that the workspace is due, by its weight,
+// when all are busy; zero if it has no weight.
 func (a *Account) Share() float64 {
 	if a == nil || a.weight <= 0 {
 		return 0
@@ -28,12 +29,13 @@
 	return a.weight / a.book.weights
 }
 
-// Over tells how far the workspace is beyond its share, by the kind of room of which it
-// has most: 0 if it is not, and one more each time that it has twice as much.
+// Over returns how far the workspace is beyond its share, judged by the resource of which
+// it uses the largest fraction: 0 if it is within twice its share, then 1, and one more
+// for each doubling.
 //
-// Load pattern: one workspace sends ten times what it usually does, beside others that
-// send what they always do. By their deadlines alone its jobs would be nine of ten that
-// start, and the others late.
+// Load pattern: one workspace submits ten times its usual load while the others submit
+// what they always do. By deadlines alone, its jobs would be nine out of ten that start,
+// and those of the others would be late.
 func (a *Account) Over() int {
 	if a == nil || a.weight <= 0 {
 		return 0
@@ -43,7 +45,7 @@
 	if times <= shareSlack {
 		return 0
 	}
-	return min(mostOver, 1+int(math.Log2(times/shareSlack)))
+	return min(maxOver, 1+int(math.Log2(times/shareSlack)))
 }
 
 func part(n, of int) float64 {
