--- a/core/tackqueue/queue_test.go
+++ b/core/tackqueue/queue_test.go
@@ -15,16 +15,16 @@
 
 func (e *entry) QueueKey() Key { return e.key }
 
-func every(int) bool { return true }
+func anyShelf(int) bool { return true }
 
 func assertOrder(t *testing.T, got []*entry, want []*entry) {
 	t.Helper()
 	if !slices.Equal(got, want) {
-		t.Errorf("%d entries, want %d, or in another order", len(got), len(want))
+		t.Errorf("got %d entries, want %d, or the order differs", len(got), len(want))
 	}
 }
 
-// random returns entries of all shelves and many sizes, by rank.
+// random returns entries of all shelves and many sizes, in order of rank.
 func random(n int) []*entry {
 	r := rand.New(rand.NewPCG(1, 2))
 	var list []*entry
@@ -50,7 +50,7 @@
 	list := random(500)
 	q := filled(list)
 	t.Run("of all", func(t *testing.T) { assertOrder(t, slices.Collect(q.All()), list) })
-	t.Run("of what fits", func(t *testing.T) {
+	t.Run("of fitting entries", func(t *testing.T) {
 		var want []*entry
 		for _, e := range list {
 			if Size(e.key.MilliCores) <= Size(5000) && e.key.Shelf < 3 {
@@ -59,11 +59,11 @@
 		}
 		assertOrder(t, slices.Collect(q.Fitting(5000, func(shelf int) bool { return shelf < 3 })), want)
 	})
-	t.Run("after some were taken out", func(t *testing.T) {
+	t.Run("after removals", func(t *testing.T) {
 		kept := slices.Clone(list)
 		for _, e := range list[100:200] {
 			q.Remove(e)
-			q.Remove(e) // once is enough
+			q.Remove(e) // has no effect
 		}
 		q.RemoveFunc(func(e *entry) bool { return e.key.Shelf == 1 })
 		kept = slices.DeleteFunc(slices.Delete(kept, 100, 200), func(e *entry) bool { return e.key.Shelf == 1 })
@@ -74,12 +74,12 @@
 	})
 }
 
-// Guards against entries that are left out though they would fit.
+// The size class must not fall as the size grows, or entries that fit would be left out.
 func TestSizes(t *testing.T) {
 	for _, small := range []int{0, 1, 2, 3, 5, 999, 1000, 16_000, math.MaxInt32} {
 		for _, more := range []int{0, 1, 7, 1000} {
 			if Size(small) > Size(small+more) || Size(small) >= Sizes {
-				t.Errorf("%d is of class %d, %d of class %d", small, Size(small), small+more, Size(small+more))
+				t.Errorf("Size(%d) = %d, Size(%d) = %d, want both in order and below Sizes", small, Size(small), small+more, Size(small+more))
 			}
 		}
 	}
@@ -92,29 +92,29 @@
 		has        func(int) bool
 		want       bool
 	}{
-		{4000, every, true}, {100, every, false}, {-1, every, false},
+		{4000, anyShelf, true}, {100, anyShelf, false}, {-1, anyShelf, false},
 		{4000, func(shelf int) bool { return shelf != 2 }, false},
 	} {
 		if got := q.Fits(test.milliCores, test.has); got != test.want {
-			t.Errorf("something fits %d: %v, want %v", test.milliCores, got, test.want)
+			t.Errorf("Fits(%d) = %v, want %v", test.milliCores, got, test.want)
 		}
 	}
 	var empty Queue[*entry]
-	if empty.Fits(1000, every) || empty.Len() != 0 {
-		t.Error("something fits of an empty queue")
+	if empty.Fits(1000, anyShelf) || empty.Len() != 0 {
+		t.Error("an empty queue has a fitting entry")
 	}
 }
 
-// Guards against looks for what fits that pass what does not.
+// Fitting must not visit entries that are too large.
 func TestLookedBound(t *testing.T) {
 	q := &Queue[*entry]{}
 	for range 10_000 {
 		q.Insert(&entry{key: Key{MilliCores: 8000}})
 	}
-	for range q.Fitting(2000, every) {
+	for range q.Fitting(2000, anyShelf) {
 		t.Fatal("an entry of 8 cores fits 2")
 	}
 	if q.Looked != 0 {
-		t.Errorf("%d entries were passed", q.Looked)
+		t.Errorf("%d entries were visited", q.Looked)
 	}
 }
