--- a/core/tackcatalog/catalog.go
+++ b/core/tackcatalog/catalog.go
@@ -1,6 +1,6 @@
-// Package tackcatalog holds the operators' configuration of queues and
-// services: what is valid, which version is in force, and which queue a
-// request's host and path belong to.
+// Package tackcatalog holds the operators' configuration of queues and services: how it
+// is validated, which version is in force, and which queue serves the host and path of a
+// request.
 package tackcatalog
 
 import (
@@ -14,63 +14,63 @@
 )
 
 type (
-	// Version orders catalogs; the highest one is in force.
+	// Version orders catalogs; the catalog with the highest version is in force.
 	Version uint64
 
-	// Catalog is one complete configuration. Source is the operator's own
-	// text, kept so that a read returns exactly what was sent.
+	// Catalog is a complete configuration. Source is the text that the operator sent,
+	// kept so that a read returns it unchanged.
 	Catalog struct {
 		Version      Version   `cbor:"1,keyasint"`
 		Queues       []Queue   `cbor:"2,keyasint,omitempty"`
 		Services     []Service `cbor:"3,keyasint,omitempty"`
 		MaxBodyBytes int       `cbor:"4,keyasint,omitempty"`
 		Source       []byte    `cbor:"5,keyasint,omitempty"`
-		// Keyed says that callers must show a key of a workspace, on queues that are
-		// not public. Without it all queues are open to everybody.
+		// Keyed says that callers must present a key of a workspace on queues that are
+		// not public. Otherwise all queues are open to everyone.
 		Keyed      bool                      `cbor:"6,keyasint,omitempty"`
 		Workspaces []tackworkspace.Workspace `cbor:"7,keyasint,omitempty"`
 	}
 
-	// QueueKey names a queue by what callers address: host and path prefix.
-	// The operators' name for it may change from version to version.
+	// QueueKey identifies a queue by the host and path prefix that callers address. The
+	// name that operators give to the queue may change from version to version.
 	QueueKey struct {
 		Host   string `cbor:"1,keyasint,omitempty"`
 		Prefix string `cbor:"2,keyasint,omitempty"`
 	}
 
-	// Queue says who runs the jobs that are handed in under a host and
-	// prefix, and what they are owed.
+	// Queue configures which service runs the jobs submitted under a host and prefix, and
+	// the service level that they get.
 	Queue struct {
 		QueueKey
 		Name    string         `cbor:"3,keyasint,omitempty"`
 		Service tackid.Service `cbor:"4,keyasint"`
-		// Timeout bounds one call of a caller. It must not be zero.
+		// Timeout limits one call of a caller. It must not be zero.
 		Timeout tackclock.Duration `cbor:"5,keyasint,omitempty"`
-		// Objective is the time that a job may take beyond Stretch times its
+		// Objective is the time that a job may take in addition to Stretch times its
 		// longest chain of work.
 		Objective tackclock.Duration `cbor:"6,keyasint,omitempty"`
 		Stretch   float64            `cbor:"7,keyasint,omitempty"`
-		// Priority 0 goes before higher figures.
+		// Priority 0 is served first, higher values later.
 		Priority int `cbor:"8,keyasint,omitempty"`
-		// Attempts is how many runs of one item may fail before its job has.
+		// Attempts is the number of failed runs of one item at which its job fails.
 		Attempts int `cbor:"9,keyasint,omitempty"`
-		// Advised says that only some workers may run a step, and that the
-		// placement advisor knows which.
+		// Advised says that only some workers may run a step, and that the placement
+		// advisor is asked which.
 		Advised bool `cbor:"10,keyasint,omitempty"`
-		// Public queues ask for no key. Their jobs belong to no workspace.
+		// Public says that the queue requires no key. Its jobs belong to no workspace.
 		Public bool `cbor:"11,keyasint,omitempty"`
 	}
 
 	// Service is a pool of workers.
 	Service struct {
 		Name tackid.Service `cbor:"1,keyasint"`
-		// Guards says that its workers refuse what exceeds their capacity.
+		// Guards says that the workers refuse work that exceeds their capacity.
 		Guards bool `cbor:"2,keyasint,omitempty"`
-		// Standby marks the pool whose VMs are off and cost nothing.
+		// Standby marks the pool whose VMs are switched off and cost nothing.
 		Standby bool `cbor:"3,keyasint,omitempty"`
 	}
 
-	// InvalidError reports all that is wrong with a catalog.
+	// InvalidError reports all problems found in a catalog.
 	InvalidError struct {
 		Problems []tackworkspace.Problem
 	}
@@ -123,13 +123,13 @@
 	return nil
 }
 
-// Same reports whether both were sent with the same text.
+// Same reports whether both catalogs have the same version and source text.
 func (c *Catalog) Same(d *Catalog) bool {
 	return c.Version == d.Version && bytes.Equal(c.Source, d.Source)
 }
 
-// Match returns the queue with the longest prefix that path begins with, and
-// what follows the prefix; nil if there is none.
+// Match returns the queue of the host with the longest prefix of path, and the rest of
+// the path; nil if there is none.
 func (c *Catalog) Match(host, path string) (*Queue, string) {
 	var best *Queue
 	for i := range c.Queues {
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// Service returns the service of that name, or nil.
+// Service returns the service with the name, or nil.
 func (c *Catalog) Service(name tackid.Service) *Service {
 	for i := range c.Services {
 		if c.Services[i].Name == name {
--- a/core/tackcatalog/catalog_test.go
+++ b/core/tackcatalog/catalog_test.go
@@ -26,9 +26,9 @@
 
 func TestValidate(t *testing.T) {
 	if err := valid().Validate(); err != nil {
-		t.Fatalf("a sound catalog: %v", err)
+		t.Fatalf("valid catalog: %v", err)
 	}
-	for field, spoil := range map[string]func(*Catalog){
+	for field, corrupt := range map[string]func(*Catalog){
 		"version":               func(c *Catalog) { c.Version = 0 },
 		"services[1].name":      func(c *Catalog) { c.Services = append(c.Services[:1], Service{Name: "names-api"}, c.Services[1]) },
 		"routes[1].service":     func(c *Catalog) { c.Queues[1].Service = "nobody" },
@@ -44,7 +44,7 @@
 	} {
 		t.Run(field, func(t *testing.T) {
 			c := valid()
-			spoil(c)
+			corrupt(c)
 			assertProblems(t, c, field)
 		})
 	}
@@ -57,7 +57,7 @@
 		c := valid()
 		c.Workspaces[0].Keys = append(c.Workspaces[0].Keys, c.Workspaces[0].Keys[0])
 		if err := c.Validate(); err != nil {
-			t.Errorf("a sound catalog: %v", err)
+			t.Errorf("valid catalog: %v", err)
 		}
 	})
 }
