--- a/core/tackpool/free.go
+++ b/core/tackpool/free.go
@@ -9,9 +9,9 @@
 	"auburntack/core/tackid"
 )
 
-// freeVMs returns the VMs that can go: those of other pools that have been
-// idle longest first, since they cost something where they are, then those of
-// the standby pool, if any are needed.
+// freeVMs returns the VMs that can move. Idle VMs of other pools come first, idle longest
+// first, since they cost something where they are, then the VMs of the standby pool, if
+// any are needed.
 func (p *Planner) freeVMs(pools []Pool, spare map[tackid.Service]int, needed bool) []freeVM {
 	var free []freeVM
 	for i := range pools {
@@ -35,11 +35,12 @@
 	return free
 }
 
-// spare is how many thousandths of a core the pool has beyond what it is to do.
+// spare returns the thousandths of a core that the pool has beyond what its work
+// requires.
 //
-// Load pattern: a turn is over and what is left of it waits for earlier steps or
-// for a few slow items, beside many empty VMs. Were those held until nothing is
-// left, the next queue's turn would be refused beside them.
+// Load pattern: a burst is over, and what is left of it waits for earlier steps or for a
+// few slow items while many VMs are idle. If those were held until nothing is left, the
+// burst of the next queue would be refused although idle VMs exist.
 func (p *Planner) spare(pool *Pool) int {
 	if pool.Standby || len(pool.Demands) == 0 {
 		return math.MaxInt
@@ -48,7 +49,7 @@
 	return d.cores(pool.VMs) + d.cores(pool.Coming) - p.wanted(d)
 }
 
-func (p *Planner) spares(pools []Pool) map[tackid.Service]int {
+func (p *Planner) spareByPool(pools []Pool) map[tackid.Service]int {
 	spare := make(map[tackid.Service]int, len(pools))
 	for i := range pools {
 		spare[pools[i].Service] = p.spare(&pools[i])
@@ -56,25 +57,26 @@
 	return spare
 }
 
-// idle returns the pool's idle VMs, idle longest first, and which of them it keeps:
-// a part of each kind, since what only one kind can run would find no worker.
+// idle returns the idle VMs of the pool, idle longest first, and marks those that the
+// pool keeps: a part of each kind, since work that only one kind can run would find no
+// worker otherwise.
 func (p *Planner) idle(pool *Pool) []freeVM {
 	kinds := make(map[string]int)
 	for i := range pool.VMs {
 		kinds[pool.VMs[i].kind()]++
 	}
 	for kind, n := range kinds {
-		kinds[kind] = p.mayGive(pool, n)
+		kinds[kind] = p.releasable(pool, n)
 	}
 	var list []freeVM
-	for _, vm := range pool.idlest() {
+	for _, vm := range pool.longestIdle() {
 		kinds[vm.kind()]--
 		list = append(list, freeVM{VM: vm, from: pool.Service, standby: pool.Standby, kept: kinds[vm.kind()] < 0})
 	}
 	return list
 }
 
-// kind is the label that comes before the rack's.
+// kind returns the label for the kind of the VM, which comes before that of the rack.
 func (vm *VM) kind() string {
 	if len(vm.Labels) < 2 {
 		return ""
@@ -82,8 +84,8 @@
 	return vm.Labels[0]
 }
 
-// mayGive is how many of n VMs the pool can do without.
-func (p *Planner) mayGive(pool *Pool, n int) int {
+// releasable returns how many of n VMs the pool can give away.
+func (p *Planner) releasable(pool *Pool, n int) int {
 	if pool.Standby {
 		return n
 	}
@@ -91,8 +93,8 @@
 	return max(0, n-max(keep, 1))
 }
 
-// idlest returns the VMs that could go, idle longest first.
-func (p *Pool) idlest() []VM {
+// longestIdle returns the VMs that could move, idle longest first.
+func (p *Pool) longestIdle() []VM {
 	var list []VM
 	for _, vm := range p.VMs {
 		if !vm.Fixed && (vm.Idle > 0 || p.Standby) {
@@ -105,8 +107,9 @@
 	return list
 }
 
-// park sends VMs to the standby pool: those that have been idle for long, and those
-// beyond the reserve. The latter leave half of the moves to what is needed meanwhile.
+// park moves VMs to the standby pool: those that have been idle for long, and those
+// beyond the reserve. The latter use at most half of the moves, to leave the others to
+// needs that arise meanwhile.
 func (p *Planner) park(pools []Pool, free []freeVM, spare map[tackid.Service]int, limit int) []Move {
 	at := slices.IndexFunc(pools, func(p Pool) bool { return p.Standby })
 	if at < 0 {
@@ -133,8 +136,8 @@
 	return moves
 }
 
-// idleFor is for how long the VM has been idle while there was work for others, or at all
-// if there never was any.
+// idleFor returns how long the VM has been idle since work was first wanted, or how long
+// it has been idle at all if there has been no work yet.
 func (p *Planner) idleFor(vm *freeVM) tackclock.Duration {
 	if p.WantedFor == 0 {
 		return vm.Idle
@@ -142,7 +145,7 @@
 	return min(vm.Idle, p.WantedFor)
 }
 
-// isSurplus reports whether a pool that has so many thousandths of a core to spare has
+// isSurplus reports whether a pool with the given spare thousandths of a core still has
 // its reserve without the VM.
 func (p *Planner) isSurplus(vm *freeVM, spare int) bool {
 	return p.Reserve > 0 && vm.Idle >= surplusAfter && spare-vm.Room.MilliCores >= p.Reserve
--- a/core/tackpool/plan.go
+++ b/core/tackpool/plan.go
@@ -1,13 +1,12 @@
-// Package tackpool decides which worker VMs change their pool: towards the
-// pools whose accepted work would take too long, and away to the standby pool
-// when nothing needs them.
+// Package tackpool decides which worker VMs change pools: towards pools whose accepted
+// work would take too long, and to the standby pool when no pool needs them.
 //
-// Load pattern: queues ask several times their mean in turns of a few seconds,
-// more than their own pool holds, while the pools of the others stand idle. Each
-// pool wants cores for what it has accepted, by its deadlines, for what arrives, and
-// a few for what is late. What it has beyond that is for others: idle VMs move at
-// once, busy ones are emptied first. A move costs a second and a half of the VM and
-// a fixed price.
+// Load pattern: queues have bursts of a few seconds, one after the other, of several
+// times their mean load. A burst is more than its own pool can take while the pools of
+// other queues are idle. Each pool wants cores for the work it has accepted, by its
+// deadlines, for arriving work, and a few for late work. What it has beyond that is
+// available to others: idle VMs move at once, busy ones are emptied first. A move costs a
+// second and a half of VM time and a fixed price.
 package tackpool
 
 import (
@@ -21,113 +20,115 @@
 )
 
 const (
-	// defaultBehindAfter is about what a move takes.
+	// defaultBehindAfter is about the duration of a move.
 	defaultBehindAfter = 800 * tackclock.Millisecond
-	// defaultFinishWithin leaves time for a move and a job's own run: callers are
-	// owed a job within some five seconds.
+	// defaultFinishWithin leaves time for a move and for the run of the job itself: jobs
+	// are due within some five seconds.
 	defaultFinishWithin = 2500 * tackclock.Millisecond
-	// defaultLateWithin is four times that: a late answer is worth a fraction of
-	// one in time, and the next queue's turn begins seconds later.
+	// defaultLateWithin is four times that: a late answer is worth a fraction of one in
+	// time, and the burst of the next queue begins seconds later.
 	defaultLateWithin = 10 * tackclock.Second
-	// defaultEmptyWithin is about what an item and a move take. A VM that is busy
-	// for longer comes when the jobs that need it are half way to their deadlines.
+	// defaultEmptyWithin is about the duration of an item and a move. A VM that is busy
+	// for longer would arrive when the jobs that need it are half way to their deadlines.
 	defaultEmptyWithin = 2 * tackclock.Second
-	// defaultParkAfter is the break-even time: a rest and a return are two moves of
-	// a second and a half, and for the second one callers wait, to whom a VM's work is
-	// taken to be worth some twenty times its keep. With 2.5 s in its place the net gain under
-	// faults, with a turn of each queue every 20 s, is 0.618 for 0.638 (49 VMs, 30
-	// paired runs, standard error of the difference 0.005).
+	// defaultParkAfter is the break-even time: parking a VM and recalling it takes two
+	// moves of a second and a half each, and callers wait for the second one, to whom the
+	// work of a VM is assumed to be worth some twenty times its cost. With 2.5 s instead,
+	// the net gain under faults, with a burst of each queue every 20 s, is 0.618 instead
+	// of 0.638 (49 VMs, 30 paired runs, standard error of the difference 0.005).
 	defaultParkAfter = 30 * tackclock.Second
-	// defaultArrivingPercent and defaultKeepPercent: with 150 and 20 in their
-	// place the net gain under faults was the same within its error.
+	// defaultArrivingPercent and defaultKeepPercent: with 150 and 20 instead, the net
+	// gain under faults was the same within its error.
 	defaultArrivingPercent = 100
 	defaultKeepPercent     = 33
 )
 
 type (
-	// Planner decides on moves. Zero fields take their defaults.
+	// Planner decides on moves. Zero fields take their default values.
 	Planner struct {
-		// BehindAfter is the backlog, as time that the pool needs for it, from
-		// which on a pool is given VMs.
+		// BehindAfter is the backlog, as the time that the pool needs for it, from which
+		// on the pool is given VMs.
 		BehindAfter tackclock.Duration
-		// FinishWithin is the time within which a pool should do what goes by no
-		// deadline: what was refused just now, and what requires a label.
+		// FinishWithin is the time within which a pool should do work without deadlines:
+		// what was refused just now, and what requires a label.
 		FinishWithin tackclock.Duration
-		// LateWithin is that time for jobs that cannot be in time any more.
+		// LateWithin is the same for jobs that can no longer meet their deadlines.
 		LateWithin tackclock.Duration
-		// ArrivingPercent is the part of the work that arrives for which VMs are
-		// sent beside those that the backlog needs.
+		// ArrivingPercent is the percentage of the arriving work for which VMs are sent,
+		// in addition to those that the backlog needs.
 		ArrivingPercent int
-		// EmptyWithin is after which time a busy VM that gets nothing new must be
-		// through for it to be emptied for another pool.
+		// EmptyWithin is the time within which a busy VM that gets no new work must be
+		// done for it to be emptied for another pool.
 		EmptyWithin tackclock.Duration
-		// ParkAfter is how long a VM is idle before it goes to the standby pool. See
-		// Rest for how it follows the load.
+		// ParkAfter is how long a VM must be idle before it moves to the standby pool.
+		// See Rest for how it is adapted to the load.
 		ParkAfter tackclock.Duration
-		// KeepPercent is the part of a pool's VMs that stays however idle they
-		// are, so that the first jobs of a turn start at once.
+		// KeepPercent is the percentage of the VMs of a pool that stay no matter how long
+		// they are idle, so that the first jobs of a burst start at once.
 		KeepPercent int
-		// Reserve is how many thousandths of a core each pool has at hand beside what it
-		// is to do. VMs beyond it rest at once. Zero says that it is not known. See the
-		// type Reserve.
+		// Reserve is the capacity in thousandths of a core that each pool keeps ready
+		// beyond what its work requires. VMs beyond it are parked without waiting for
+		// ParkAfter. Zero means that it is not known. See the type Reserve.
 		Reserve int
-		// WantedFor is for how long there has been work; zero if there was none yet. That
-		// a VM was idle before says nothing about how soon it is needed.
+		// WantedFor is the time since work was first wanted; zero if there was none yet.
+		// Idle time before that does not indicate how soon a VM is needed.
 		WantedFor tackclock.Duration
 	}
 
-	// VM is a worker's VM in a pool, or on its way to one.
+	// VM is the VM of a worker, in a pool or on its way to one.
 	VM struct {
 		Name tackid.VM
 		Room tackroom.Room
-		// Labels are its kind and its rack. They stay with the VM when it moves.
+		// Labels are the kind and the rack of the VM. They stay with the VM when it
+		// moves.
 		Labels []string
-		// Idle is how long nothing has run there; zero while something does.
+		// Idle is how long nothing has run on the VM; zero while something runs.
 		Idle tackclock.Duration
-		// Busy is after which time what runs there should have ended, if all of it
-		// ends; zero if nothing runs, or some of it lasts.
+		// Busy is the time after which everything that runs on the VM should have ended;
+		// zero if nothing runs, or if something runs that does not end.
 		Busy tackclock.Duration
-		// Emptying VMs get nothing new.
+		// Emptying says that the VM gets no new work.
 		Emptying bool
-		// Fixed VMs stay: they run what must not be moved, or are on their way
-		// down already.
+		// Fixed VMs cannot move: they run something that must not be moved, or are
+		// already being taken down.
 		Fixed bool
 	}
 
-	// Pool is one service's VMs and what they are owed to do.
+	// Pool is the VMs of a service and the work that they have to do.
 	Pool struct {
 		Service tackid.Service
-		// Standby marks the pool whose VMs are off and cost nothing.
+		// Standby marks the pool whose VMs are switched off and cost nothing.
 		Standby bool
 		VMs     []VM
-		// Coming are VMs that are on their way here.
+		// Coming are the VMs on their way to the pool.
 		Coming []VM
-		// Demands are what the pool is to do: all of it, then what only some VMs
-		// can do.
+		// Demands are the work of the pool: first all of it, then the parts that only
+		// some VMs can do.
 		Demands []Demand
 	}
 
 	// Demand is work for VMs of one kind.
 	Demand struct {
-		// Label is what a VM must carry to do it; any VM does if it is empty.
+		// Label is the label that a VM must have to do the work; any VM can if it is
+		// empty.
 		Label string
-		// Item is the room of its largest item.
+		// Item is the resources that the largest item requires.
 		Item tackroom.Room
-		// Backlog is the accepted work that is not done, and what was refused
+		// Backlog is the accepted work that is not done, and the work that was refused
 		// just now, in milliseconds of thousandths of a core.
 		Backlog int64
-		// Pressing is the thousandths of a core that do in good time what of the
-		// backlog goes by deadlines. The rest is Soon, to be done within one time.
+		// Pressing is the capacity in thousandths of a core that finishes the part of the
+		// backlog with deadlines in good time. Soon is the rest of it, which is to be
+		// done within FinishWithin.
 		Pressing int
 		Soon     int64
-		// Late is such work of jobs that cannot be in time any more.
+		// Late is the work of jobs that can no longer meet their deadlines.
 		Late int64
-		// Arriving is the work handed in lately, as the thousandths of a core
-		// that it keeps busy.
+		// Arriving is the work submitted recently, as the thousandths of a core that it
+		// keeps busy.
 		Arriving int
-		// Unplaced are thousandths of a core of items that find no worker on
-		// which they could ever start, or must always run. VMs come for them at
-		// once.
+		// Unplaced is the thousandths of a core of items that must always run, or that no
+		// present worker could ever start. VMs are sent for them at once.
 		Unplaced int
 	}
 
@@ -138,16 +139,16 @@
 		To   tackid.Service
 	}
 
-	// need is how much of a demand a pool lacks, in thousandths of a core.
+	// need is the shortfall of a pool for one demand, in thousandths of a core.
 	need struct {
 		*Demand
-		service tackid.Service
-		lacks   int
-		urgent  bool
+		service   tackid.Service
+		shortfall int
+		urgent    bool
 	}
 
-	// Plan is what to do now. Emptied are busy VMs that are to get nothing new, so
-	// that they can go soon.
+	// Plan is the result of a planning round. Emptied are the busy VMs that should get no
+	// new work, so that they can move soon.
 	Plan struct {
 		Moves   []Move
 		Emptied []tackid.VM
@@ -157,15 +158,15 @@
 		VM
 		from    tackid.Service
 		standby bool
-		// needed says that its own pool needs it; it goes for urgent needs alone.
+		// needed says that its own pool needs the VM; it moves for urgent needs only.
 		needed bool
-		// kept VMs are those that a pool keeps of each kind. They go for urgent needs
-		// of a label alone.
+		// kept says that the VM is one of those that a pool keeps of each kind. It moves
+		// for urgent needs that require a label only.
 		kept bool
 	}
 )
 
-// WithDefaults returns p with each zero field at its default.
+// WithDefaults returns p with each zero field set to its default.
 func (p Planner) WithDefaults() Planner {
 	p.BehindAfter = cmp.Or(p.BehindAfter, defaultBehindAfter)
 	p.FinishWithin = cmp.Or(p.FinishWithin, defaultFinishWithin)
@@ -177,17 +178,17 @@
 	return p
 }
 
-// Plan returns what to do now, with at most limit moves.
+// Plan returns the plan for this round, with at most limit moves.
 func (p Planner) Plan(pools []Pool, limit int) Plan {
 	p = p.WithDefaults()
 	needs := p.needsOf(pools)
-	spare := p.spares(pools)
+	spare := p.spareByPool(pools)
 	free := p.freeVMs(pools, spare, len(needs) > 0)
 	var moves []Move
 	for i := range needs {
-		for needs[i].lacks > 0 && len(moves) < limit {
+		for needs[i].shortfall > 0 && len(moves) < limit {
 			at := slices.IndexFunc(free, func(vm freeVM) bool {
-				return needs[i].takes(&vm)
+				return needs[i].accepts(&vm)
 			})
 			if at < 0 {
 				break
@@ -196,17 +197,17 @@
 			free = slices.Delete(free, at, at+1)
 			moves = append(moves, Move{VM: vm.Name, From: vm.from, To: needs[i].service})
 			spare[vm.from] -= vm.Room.MilliCores
-			supply(needs[i:], needs[i].service, &vm.VM)
+			deductVM(needs[i:], needs[i].service, &vm.VM)
 		}
 	}
 	return Plan{
-		Emptied: p.empty(pools, needs, maps.Clone(spare)),
+		Emptied: p.vmsToEmpty(pools, needs, maps.Clone(spare)),
 		Moves:   append(moves, p.park(pools, free, spare, limit-len(moves))...),
 	}
 }
 
-// takes reports whether the VM may be sent for what is lacked.
-func (n *need) takes(vm *freeVM) bool {
+// accepts reports whether the VM may be sent for this need.
+func (n *need) accepts(vm *freeVM) bool {
 	switch {
 	case vm.from == n.service || !n.servedBy(&vm.VM):
 		return false
@@ -217,21 +218,22 @@
 	}
 }
 
-// supply takes a VM that is sent to a service off all that it lacks.
-func supply(needs []need, service tackid.Service, vm *VM) {
+// deductVM subtracts a VM that is sent to a service from all needs of the service that it
+// serves.
+func deductVM(needs []need, service tackid.Service, vm *VM) {
 	for i := range needs {
 		if needs[i].service == service && needs[i].servedBy(vm) {
-			needs[i].lacks -= vm.Room.MilliCores
+			needs[i].shortfall -= vm.Room.MilliCores
 		}
 	}
 }
 
-// servedBy reports whether the VM can do what is wanted.
+// servedBy reports whether the VM can do the work.
 func (d *Demand) servedBy(vm *VM) bool {
 	return vm.Room.Fits(d.Item) && (d.Label == "" || slices.Contains(vm.Labels, d.Label))
 }
 
-// cores are the thousandths of a core of those VMs that can do what is wanted.
+// cores returns the thousandths of a core of the VMs that can do the work.
 func (d *Demand) cores(vms []VM) int {
 	sum := 0
 	for i := range vms {
@@ -242,14 +244,14 @@
 	return sum
 }
 
-// behind reports whether so many thousandths of a core need too long.
-func (p *Planner) behind(d *Demand, cores int) bool {
+// isBehind reports whether the given thousandths of a core need too long for the work.
+func (p *Planner) isBehind(d *Demand, cores int) bool {
 	work := d.Backlog + d.Late*int64(p.FinishWithin)/int64(p.LateWithin)
 	return work > 0 && work/int64(max(cores, 1)) >= int64(p.BehindAfter)
 }
 
-// needsOf returns what pools lack: first what must run at once, then what only
-// some VMs can do, and of like ones the largest.
+// needsOf returns the needs of the pools: urgent ones first, then those that require a
+// label, and the largest shortfall first among equals.
 func (p *Planner) needsOf(pools []Pool) []need {
 	var needs []need
 	for i := range pools {
@@ -258,13 +260,13 @@
 			continue
 		}
 		for k := range pool.Demands {
-			if n := p.need(pool, &pool.Demands[k]); n.lacks > 0 {
+			if n := p.need(pool, &pool.Demands[k]); n.shortfall > 0 {
 				needs = append(needs, n)
 			}
 		}
 	}
 	slices.SortStableFunc(needs, func(a, b need) int {
-		return cmp.Or(-compareBool(a.urgent, b.urgent), -compareBool(a.Label != "", b.Label != ""), cmp.Compare(b.lacks, a.lacks))
+		return cmp.Or(-compareBool(a.urgent, b.urgent), -compareBool(a.Label != "", b.Label != ""), cmp.Compare(b.shortfall, a.shortfall))
 	})
 	return needs
 }
@@ -273,11 +275,11 @@
 	coming := d.cores(pool.Coming)
 	n := need{Demand: d, service: pool.Service, urgent: d.Unplaced > coming}
 	if n.urgent {
-		n.lacks = d.Unplaced - coming
+		n.shortfall = d.Unplaced - coming
 	}
 	cores := d.cores(pool.VMs) + coming
-	if p.behind(d, cores) || d.Arriving > cores {
-		n.lacks = max(n.lacks, p.wanted(d)-cores)
+	if p.isBehind(d, cores) || d.Arriving > cores {
+		n.shortfall = max(n.shortfall, p.wanted(d)-cores)
 	}
 	return n
 }
@@ -293,8 +295,8 @@
 	return 1
 }
 
-// wanted is how many thousandths of a core do the backlog in time, beside what
-// arrives.
+// wanted returns the thousandths of a core that finish the backlog in time, in addition
+// to arriving work.
 func (p *Planner) wanted(d *Demand) int {
 	return d.Pressing + int(d.Soon/int64(p.FinishWithin)+d.Late/int64(p.LateWithin)) + d.Arriving*p.ArrivingPercent/100
 }
--- a/core/tackpool/reserve.go
+++ b/core/tackpool/reserve.go
@@ -6,55 +6,57 @@
 )
 
 const (
-	// recallTakes is how long a VM takes from the order to leave the standby pool to its
-	// first item: a move, its first report, and a round of the planner.
-	recallTakes = 2500 * tackclock.Millisecond
-	// reserveKnownAfter is how long work must have been wanted for its rise to say
-	// anything.
+	// recallDuration is the time from the order that moves a VM out of the standby pool
+	// to its first item: a move, its first report, and a round of the planner.
+	recallDuration = 2500 * tackclock.Millisecond
+	// reserveKnownAfter is how long work must have been wanted before its rise is
+	// meaningful.
 	reserveKnownAfter = 3 * tackclock.Second
-	// surplusAfter is how long a VM beyond the reserve is idle before it rests: longer
-	// than VMs are between two items.
+	// surplusAfter is how long a VM beyond the reserve must be idle before it is parked.
+	// It is longer than the usual gap between two items.
 	surplusAfter = 2500 * tackclock.Millisecond
-	// risesKept is for how long a rise counts, at least.
-	risesKept = 10 * tackclock.Minute
+	// riseWindow is the minimum time for which a rise counts.
+	riseWindow = 10 * tackclock.Minute
 )
 
 type (
-	// Reserve judges how much of its idle VMs a pool must have at hand: as much as the
-	// work of any pool rose within the time that a VM takes to come back from rest.
-	// Callers do not notice that others rest. Its zero value knows nothing yet.
+	// Reserve determines how much idle capacity a pool must keep ready: as much as the
+	// wanted work of any pool has risen within the time that a VM takes to return from
+	// the standby pool. With that reserve, callers do not notice that other VMs are
+	// parked. Its zero value has observed nothing.
 	//
-	// Load pattern: turns of a few seconds that take a small part of a large pool. A VM
-	// that is idle for less than the break-even time costs its keep, although no turn
-	// ever asked for it.
+	// Load pattern: bursts of a few seconds that take a small part of a large pool. A VM
+	// that is kept idle until the break-even time costs money for that long, although no
+	// burst ever required it.
 	Reserve struct {
-		pools map[tackid.Service]*wantedLately
-		// from is when work was first wanted.
-		from tackclock.Time
-		// newest is the highest rise since turnedAt, older that of the span before.
-		newest, older int
-		turnedAt      tackclock.Time
+		pools map[tackid.Service]*demandWindow
+		// firstWork is when work was first wanted.
+		firstWork tackclock.Time
+		// currentMax is the highest rise since windowStart, previousMax that of the
+		// window before.
+		currentMax, previousMax int
+		windowStart             tackclock.Time
 	}
 
-	// wantedLately is what a pool wanted in the last recallTakes.
-	wantedLately struct {
-		samples []wantedSample
+	// demandWindow is what a pool wanted in the last recallDuration.
+	demandWindow struct {
+		samples []demandSample
 	}
 
-	wantedSample struct {
+	demandSample struct {
 		at     tackclock.Time
 		wanted int // thousandths of a core
 	}
 )
 
-// Observe takes in what the pools want now.
+// Observe records what the pools want now.
 func (r *Reserve) Observe(now tackclock.Time, p Planner, pools []Pool) {
 	p = p.WithDefaults()
 	if r.pools == nil {
-		r.pools = make(map[tackid.Service]*wantedLately)
+		r.pools = make(map[tackid.Service]*demandWindow)
 	}
-	if now.Sub(r.turnedAt) >= risesKept {
-		r.turnedAt, r.older, r.newest = now, r.newest, 0
+	if now.Sub(r.windowStart) >= riseWindow {
+		r.windowStart, r.previousMax, r.currentMax = now, r.currentMax, 0
 	}
 	for i := range pools {
 		if pool := &pools[i]; !pool.Standby && len(pool.Demands) > 0 {
@@ -64,46 +66,46 @@
 }
 
 func (r *Reserve) observe(now tackclock.Time, service tackid.Service, wanted int) {
-	if wanted > 0 && r.from == 0 {
-		r.from = now
+	if wanted > 0 && r.firstWork == 0 {
+		r.firstWork = now
 	}
 	pool := r.pools[service]
 	if pool == nil {
-		// What is wanted when a leader first looks may have risen just now.
-		pool = &wantedLately{samples: []wantedSample{{at: now}}}
+		// Work that a new leader finds on its first look may have risen just before.
+		pool = &demandWindow{samples: []demandSample{{at: now}}}
 		r.pools[service] = pool
 	}
-	r.newest = max(r.newest, wanted-pool.least(now))
-	pool.samples = append(pool.samples, wantedSample{at: now, wanted: wanted})
+	r.currentMax = max(r.currentMax, wanted-pool.minimum(now))
+	pool.samples = append(pool.samples, demandSample{at: now, wanted: wanted})
 }
 
-// least is the least that was wanted in the last recallTakes.
-func (l *wantedLately) least(now tackclock.Time) int {
+// minimum returns the minimum that was wanted in the last recallDuration.
+func (l *demandWindow) minimum(now tackclock.Time) int {
 	old := 0
-	for old < len(l.samples)-1 && now.Sub(l.samples[old].at) > recallTakes {
+	for old < len(l.samples)-1 && now.Sub(l.samples[old].at) > recallDuration {
 		old++
 	}
 	l.samples = append(l.samples[:0], l.samples[old:]...)
-	least := l.samples[0].wanted
+	minimum := l.samples[0].wanted
 	for _, s := range l.samples {
-		least = min(least, s.wanted)
+		minimum = min(minimum, s.wanted)
 	}
-	return least
+	return minimum
 }
 
-// WantedFor is for how long there has been work; zero if there was none yet.
+// WantedFor returns the time since work was first wanted; zero if there was none yet.
 func (r *Reserve) WantedFor(now tackclock.Time) tackclock.Duration {
-	if r.from == 0 {
+	if r.firstWork == 0 {
 		return 0
 	}
-	return now.Sub(r.from) + 1
+	return now.Sub(r.firstWork) + 1
 }
 
-// MilliCores is how many thousandths of a core each pool must have beside what it is to
-// do; zero while that is not known.
+// MilliCores returns the reserve in thousandths of a core that each pool must have beyond
+// what its work requires; zero while it is not known.
 func (r *Reserve) MilliCores(now tackclock.Time) int {
-	if r.from == 0 || now.Sub(r.from) < reserveKnownAfter {
+	if r.firstWork == 0 || now.Sub(r.firstWork) < reserveKnownAfter {
 		return 0
 	}
-	return max(r.newest, r.older)
+	return max(r.currentMax, r.previousMax)
 }
--- a/core/tackpool/reserve_test.go
+++ b/core/tackpool/reserve_test.go
@@ -13,7 +13,7 @@
 	vmCores    = 16_000
 )
 
-// fleet is pools of idle VMs whose work the test sets, and a standby pool.
+// fleet is pools of idle VMs whose work is set by the test, and a standby pool.
 type fleet struct {
 	now     tackclock.Time
 	pools   []Pool
@@ -36,8 +36,8 @@
 	return f
 }
 
-// run has time pass in rounds in which pool 0 wants so many thousandths of a core, and
-// VMs go where the planner sends them at once.
+// run simulates planner rounds over the time d, in which pool 0 wants the given
+// thousandths of a core. Moves take effect at once.
 func (f *fleet) run(d tackclock.Duration, wanted func(tackclock.Duration) int) {
 	began := f.now
 	for f.now.Sub(began) < d {
@@ -51,12 +51,12 @@
 		f.reserve.Observe(f.now, Planner{}, f.pools)
 		plan := Planner{Reserve: f.reserve.MilliCores(f.now), WantedFor: f.reserve.WantedFor(f.now)}.Plan(f.pools, 200)
 		for _, m := range plan.Moves {
-			f.carryOut(m)
+			f.apply(m)
 		}
 	}
 }
 
-func (f *fleet) carryOut(m Move) {
+func (f *fleet) apply(m Move) {
 	f.moves = append(f.moves, m)
 	for i := range f.pools {
 		for k, vm := range f.pools[i].VMs {
@@ -70,7 +70,7 @@
 	}
 }
 
-func (f *fleet) atRest() int {
+func (f *fleet) parked() int {
 	return len(f.pools[len(f.pools)-1].VMs)
 }
 
@@ -78,72 +78,73 @@
 	return func(tackclock.Duration) int { return milliCores }
 }
 
-// rising is a turn's work, which rises for two seconds.
+// rising returns the work of a burst, which rises for two seconds.
 func rising(milliCores int) func(tackclock.Duration) int {
 	return func(d tackclock.Duration) int {
 		return milliCores * int(min(d, 2*tackclock.Second)) / int(2*tackclock.Second)
 	}
 }
 
-func assertAtRest(t *testing.T, f *fleet, low, high int) {
+func assertParked(t *testing.T, f *fleet, low, high int) {
 	t.Helper()
-	if got := f.atRest(); got < low || got > high {
-		t.Errorf("%d VMs rest, want %d to %d", got, low, high)
+	if got := f.parked(); got < low || got > high {
+		t.Errorf("%d VMs are parked, want %d to %d", got, low, high)
 	}
 }
 
-// Guards against VMs that are kept for the break-even time though no turn ever asked for
-// them: a fleet of a thousand VMs whose turns take fifty.
-func TestVMsBeyondTheReserveRest(t *testing.T) {
+// VMs that no burst has ever required must be parked before the break-even time: here, a
+// fleet of a thousand VMs whose bursts take fifty.
+func TestVMsBeyondReserveAreParked(t *testing.T) {
 	f := newFleet(500, 500)
 	f.run(12*tackclock.Second, rising(50*vmCores))
-	// Pool 0 keeps its work and the reserve, pool 1 the reserve alone.
-	assertAtRest(t, f, 1000-150-2, 1000-150+2)
+	// Pool 0 keeps the VMs for its work and for the reserve, pool 1 those for the
+	// reserve.
+	assertParked(t, f, 1000-150-2, 1000-150+2)
 }
 
-// Guards against turns that begin without the VMs they need: work that takes all of a
-// pool leaves nothing beyond the reserve.
-func TestTurnsOfAWholePoolLeaveNothingToRest(t *testing.T) {
+// When a burst takes all of a pool, no VM is beyond the reserve, and the next burst must
+// find all of them.
+func TestNothingIsParkedWhenBurstsTakeWholePool(t *testing.T) {
 	f := newFleet(50, 50)
 	f.run(12*tackclock.Second, rising(50*vmCores))
-	assertAtRest(t, f, 0, 0)
+	assertParked(t, f, 0, 0)
 }
 
-// Guards against VMs that rest on the word of a moment: before work was seen for a while,
-// and where none was seen at all.
-func TestNothingRestsBeforeTheReserveIsKnown(t *testing.T) {
-	t.Run("no work was seen", func(t *testing.T) {
+// VMs must not be parked before work has been observed for a while, or if none has been
+// observed at all.
+func TestNothingIsParkedBeforeReserveIsKnown(t *testing.T) {
+	t.Run("no work observed", func(t *testing.T) {
 		f := newFleet(500)
 		f.run(20*tackclock.Second, constant(0))
-		assertAtRest(t, f, 0, 0)
+		assertParked(t, f, 0, 0)
 	})
-	t.Run("work was seen for a moment", func(t *testing.T) {
+	t.Run("work observed briefly", func(t *testing.T) {
 		f := newFleet(500)
 		f.run(reserveKnownAfter-roundEvery, constant(vmCores))
-		assertAtRest(t, f, 0, 0)
+		assertParked(t, f, 0, 0)
 	})
 }
 
-// Guards against VMs that go to rest just when the first turns come, since they were idle
-// before there was any work; and against a fleet without work that never rests.
-func TestIdleTimeCountsFromTheFirstWork(t *testing.T) {
+// Idle time before the first work must not count, or VMs are parked just when the first
+// bursts come. In a fleet without any work it must count, or its VMs are never parked.
+func TestIdleTimeCountsFromFirstWork(t *testing.T) {
 	t.Run("with work", func(t *testing.T) {
 		f := newFleet(50, 50)
 		f.run(defaultParkAfter-3*tackclock.Second, constant(0))
 		f.run(defaultParkAfter/2, constant(50*vmCores))
-		assertAtRest(t, f, 0, 0)
+		assertParked(t, f, 0, 0)
 		f.run(defaultParkAfter, constant(50*vmCores))
-		assertAtRest(t, f, 20, 50)
+		assertParked(t, f, 20, 50)
 	})
 	t.Run("without", func(t *testing.T) {
 		f := newFleet(50, 50)
 		f.run(2*defaultParkAfter, constant(0))
-		assertAtRest(t, f, 60, 100)
+		assertParked(t, f, 60, 100)
 	})
 }
 
-// Guards against a leader that takes the work that it finds for work that never rises.
-func TestWorkThatALeaderFindsCountsAsRisen(t *testing.T) {
+// Work that a new leader finds must not be taken for work that never rises.
+func TestInitialWorkCountsAsRise(t *testing.T) {
 	f := newFleet(500)
 	f.run(5*tackclock.Second, constant(100*vmCores))
 	if got := f.reserve.MilliCores(f.now); got != 100*vmCores {
@@ -151,24 +152,23 @@
 	}
 }
 
-// Guards against a reserve that stays as high as the highest turn ever seen.
+// The reserve must not stay at the level of the highest burst ever observed.
 func TestRisesAreForgotten(t *testing.T) {
 	f := newFleet(20)
 	f.run(5*tackclock.Second, rising(10*vmCores))
-	f.run(3*risesKept, constant(10*vmCores))
+	f.run(3*riseWindow, constant(10*vmCores))
 	if got := f.reserve.MilliCores(f.now); got != 0 {
-		t.Errorf("reserve of %d, want none after so long", got)
+		t.Errorf("reserve of %d, want 0 after the riseWindow", got)
 	}
 }
 
-// Guards against rest that takes all the moves that the platform allows while a queue
-// needs VMs.
-func TestRestLeavesMovesToWhatIsNeeded(t *testing.T) {
+// Parking must not use up the moves that the platform allows while a queue needs VMs.
+func TestParkingLeavesMovesForNeeds(t *testing.T) {
 	f := newFleet(1000)
 	f.run(reserveKnownAfter, constant(vmCores))
 	f.moves = nil
 	f.run(roundEvery, constant(vmCores))
 	if got := len(f.moves); got == 0 || got > 100 {
-		t.Errorf("%d moves to rest in a round that may make 200", got)
+		t.Errorf("%d VMs parked in a round with a limit of 200 moves, want 1 to 100", got)
 	}
 }
--- a/core/tackpool/rest.go
+++ b/core/tackpool/rest.go
@@ -8,45 +8,47 @@
 )
 
 const (
-	// gapsKept is how many idle times are remembered. A pool of 50 VMs has as many in
-	// some turns, so that a change of the load counts within minutes.
-	gapsKept = 512
-	// gapsMean is how many must be known before they are gone by.
-	gapsMean = 64
-	// leastRest is the shortest idle time after which a VM rests. A move there and one
-	// back take longer.
-	leastRest = 2500 * tackclock.Millisecond
-	// judgeEvery spaces out the judgement of the idle times.
-	judgeEvery = tackclock.Second
+	// maxGaps is the number of idle times that are remembered. A pool of 50 VMs has as
+	// many in a few bursts, so a change of the load takes effect within minutes.
+	maxGaps = 512
+	// minGaps is the number of idle times that must be known before they are used.
+	minGaps = 64
+	// minParkAfter is the shortest idle time after which a VM is parked. Parking it and
+	// recalling it takes longer.
+	minParkAfter = 2500 * tackclock.Millisecond
+	// judgeInterval is the interval between evaluations of the idle times.
+	judgeInterval = tackclock.Second
 )
 
 type (
-	// Rest judges after which idle time VMs go to the standby pool. It goes by how long
-	// VMs were idle before they were needed again. Its zero value knows nothing yet.
+	// Rest determines the idle time after which VMs move to the standby pool, from how
+	// long VMs were idle before they were needed again. Its zero value has observed
+	// nothing.
 	//
-	// Load pattern: turns that follow each other within seconds, or by the hour, or
-	// never. A VM that waits costs its keep; one that rests and is needed costs two
-	// moves, and what callers lose while it is on its way. With the break-even time
-	// alone, all VMs of an office that is quiet all night wait for as long as that; with
-	// a short time, each turn begins without the VMs that it needs.
+	// Load pattern: bursts that follow each other within seconds, or by the hour, or
+	// never. A VM that is kept idle costs money for that time; one that is parked and
+	// then needed costs two moves, and what callers lose while it is on its way. With the
+	// break-even time alone, all VMs of a service without load at night are kept idle for
+	// that long; with a short time, each burst begins without the VMs that it needs.
 	Rest struct {
-		idle    map[tackid.VM]idleVM
-		round   uint64               // counts calls of Observe
-		gaps    []tackclock.Duration // the newest idle times, as a ring
-		next    int                  // where the next one goes
-		judgeAt tackclock.Time
-		after   tackclock.Duration
+		idle      map[tackid.VM]idleVM
+		round     uint64               // number of calls of Observe
+		gaps      []tackclock.Duration // ring buffer of the newest idle times
+		next      int                  // index in gaps of the next one
+		nextJudge tackclock.Time
+		after     tackclock.Duration
 	}
 
-	// idleVM is a VM that has been idle, or at rest, since a time. It was there in a round.
+	// idleVM is a VM that has been idle or parked since the given time. It was last
+	// observed in the given round.
 	idleVM struct {
 		since tackclock.Time
 		round uint64
 	}
 )
 
-// Observe takes in how VMs stand. A VM's idle time ends when it runs something, or is
-// sent to another pool than the standby pool.
+// Observe records the state of the VMs. The idle time of a VM ends when it runs
+// something, or is sent to a pool other than the standby pool.
 func (r *Rest) Observe(now tackclock.Time, pools []Pool) {
 	if r.idle == nil {
 		r.idle = make(map[tackid.VM]idleVM)
@@ -58,7 +60,7 @@
 		}
 		for k := range pools[i].Coming {
 			if name := pools[i].Coming[k].Name; !pools[i].Standby {
-				r.needed(now, name)
+				r.endIdle(now, name)
 			} else if x, known := r.idle[name]; known {
 				x.round = r.round
 				r.idle[name] = x
@@ -67,14 +69,14 @@
 	}
 	for name, x := range r.idle {
 		if x.round != r.round {
-			delete(r.idle, name) // it is gone, or cut off
+			delete(r.idle, name) // the VM is gone or unreachable
 		}
 	}
 }
 
 func (r *Rest) observeVM(now tackclock.Time, vm *VM, standby bool) {
 	if vm.Idle == 0 && !standby {
-		r.needed(now, vm.Name)
+		r.endIdle(now, vm.Name)
 		return
 	}
 	x, known := r.idle[vm.Name]
@@ -88,40 +90,41 @@
 	r.idle[vm.Name] = x
 }
 
-// needed ends a VM's idle time.
-func (r *Rest) needed(now tackclock.Time, name tackid.VM) {
+// endIdle ends the idle time of a VM.
+func (r *Rest) endIdle(now tackclock.Time, name tackid.VM) {
 	x, known := r.idle[name]
 	if !known {
 		return
 	}
 	delete(r.idle, name)
 	gap := now.Sub(x.since)
-	if len(r.gaps) < gapsKept {
+	if len(r.gaps) < maxGaps {
 		r.gaps = append(r.gaps, gap)
 		return
 	}
 	r.gaps[r.next] = gap
-	r.next = (r.next + 1) % gapsKept
+	r.next = (r.next + 1) % maxGaps
 }
 
-// Known is how many idle times are remembered.
+// Known returns the number of remembered idle times.
 func (r *Rest) Known() int {
 	return len(r.gaps)
 }
 
-// After is the idle time after which a VM should rest. breakEven is the idle time that
-// costs as much as a rest and a return; it is what After is while little is known, and
-// at most.
+// After returns the idle time after which a VM should be parked. breakEven is the idle
+// time that costs as much as parking and recalling a VM; After returns it while too few
+// idle times are known, and never returns more.
 func (r *Rest) After(now tackclock.Time, breakEven tackclock.Duration) tackclock.Duration {
-	if now < r.judgeAt && r.after > 0 {
+	if now < r.nextJudge && r.after > 0 {
 		return min(r.after, breakEven)
 	}
-	r.judgeAt = now.Add(judgeEvery)
+	r.nextJudge = now.Add(judgeInterval)
 	r.after = cheapest(r.known(now, breakEven), breakEven)
 	return r.after
 }
 
-// known are the remembered idle times, and those that go on and are long already.
+// known returns the remembered idle times, and the current ones that are longer than
+// breakEven already.
 func (r *Rest) known(now tackclock.Time, breakEven tackclock.Duration) []tackclock.Duration {
 	gaps := slices.Clone(r.gaps)
 	for _, x := range r.idle {
@@ -132,10 +135,11 @@
 	return gaps
 }
 
-// cheapest is the idle time before rest that would have cost least over the gaps: a VM
-// that was needed sooner costs its gap, another the wait and the break-even time.
+// cheapest returns the time before parking that would have cost least over the gaps: a VM
+// that was needed sooner costs its gap, any other one the time before parking and the
+// break-even time.
 func cheapest(gaps []tackclock.Duration, breakEven tackclock.Duration) tackclock.Duration {
-	if len(gaps) < gapsMean {
+	if len(gaps) < minGaps {
 		return breakEven
 	}
 	slices.Sort(gaps)
@@ -146,19 +150,19 @@
 			break
 		}
 		waited += gap
-		after := max(gap, leastRest)
-		if i+1 < len(gaps) && max(gaps[i+1], leastRest) == after {
-			continue // the next one is no longer
+		after := max(gap, minParkAfter)
+		if i+1 < len(gaps) && max(gaps[i+1], minParkAfter) == after {
+			continue // the next gap has the same time before parking
 		}
 		rest := tackclock.Duration(len(gaps) - 1 - i)
 		if c := waited + rest*(after+breakEven); c < bestCost {
 			best, bestCost = after, c
 		}
 	}
-	return min(breakEven, max(best, leastRest))
+	return min(breakEven, max(best, minParkAfter))
 }
 
-// cost is what the gaps cost with rest after a time.
+// cost returns the cost of the gaps if VMs are parked after the given time.
 func cost(gaps []tackclock.Duration, after, breakEven tackclock.Duration) tackclock.Duration {
 	var sum tackclock.Duration
 	for _, gap := range gaps {
--- a/core/tackpool/rest_test.go
+++ b/core/tackpool/rest_test.go
@@ -11,13 +11,13 @@
 
 const breakEven = 30 * tackclock.Second
 
-// fleetGaps is how long each of some VMs is idle, gap after gap, by a pattern of load.
-type fleetGaps func(r *rand.Rand) tackclock.Duration
+// gapPattern returns the length of the next idle time of a VM under some load.
+type gapPattern func(r *rand.Rand) tackclock.Duration
 
-// replay has VMs be idle by the pattern for a while, between items of half a second,
-// and returns what their idle time costs with the rest that is judged, and with a fixed
-// one.
-func replay(gaps fleetGaps, fixed ...tackclock.Duration) (judged tackclock.Duration, others []tackclock.Duration) {
+// replay simulates VMs with idle times of the pattern between items of half a second. It
+// returns what the idle time costs with the time before parking that Rest determines, and
+// with fixed ones.
+func replay(gaps gapPattern, fixed ...tackclock.Duration) (judged tackclock.Duration, others []tackclock.Duration) {
 	const (
 		vms    = 20
 		rounds = 120
@@ -43,7 +43,7 @@
 			}
 			pool.VMs[n].Idle = 0
 			r.idle[pool.VMs[n].Name] = idleVM{since: began}
-			r.needed(began.Add(gap), pool.VMs[n].Name)
+			r.endIdle(began.Add(gap), pool.VMs[n].Name)
 			now = max(now, began.Add(gap))
 		}
 		r.Observe(now, []Pool{pool})
@@ -52,15 +52,15 @@
 	return judged, others
 }
 
-// Symptom: VMs wait for hours beside queues that have their turn once an hour, or are
-// missed at the start of each turn of queues that have theirs every few seconds. Cause:
-// one time before rest for all loads.
-func TestRestFollowsTheTurns(t *testing.T) {
-	around := func(d tackclock.Duration) fleetGaps {
+// No fixed time before parking suits all loads: VMs are kept idle for hours for queues
+// with a burst once an hour, or are missing at the start of each burst of queues with one
+// every few seconds.
+func TestRestFollowsLoadPattern(t *testing.T) {
+	around := func(d tackclock.Duration) gapPattern {
 		return func(r *rand.Rand) tackclock.Duration { return d*9/10 + tackclock.Duration(r.Int64N(int64(d)/5)) }
 	}
 	short := func(r *rand.Rand) tackclock.Duration { return tackclock.Duration(100 + r.Int64N(1400)) }
-	turns := func(d tackclock.Duration) fleetGaps {
+	bursts := func(d tackclock.Duration) gapPattern {
 		return func(r *rand.Rand) tackclock.Duration {
 			if r.IntN(4) > 0 {
 				return short(r)
@@ -70,21 +70,21 @@
 	}
 	for _, test := range []struct {
 		name string
-		gaps fleetGaps
-		// overBest is the cost over that of the best fixed time, in percent, at most:
-		// what is paid before the pattern is known.
+		gaps gapPattern
+		// overBest is the maximum excess over the cost of the best fixed time, in
+		// percent. The excess is the cost before the pattern is known.
 		overBest int
 	}{
-		{"turns every 5 s", turns(5 * tackclock.Second), 0},
-		{"turns every 60 s", turns(tackclock.Minute), 10},
-		{"turns every 30 min", turns(30 * tackclock.Minute), 10},
+		{"bursts every 5 s", bursts(5 * tackclock.Second), 0},
+		{"bursts every 60 s", bursts(tackclock.Minute), 10},
+		{"bursts every 30 min", bursts(30 * tackclock.Minute), 10},
 		{"steady work", short, 0},
 		{"random", func(r *rand.Rand) tackclock.Duration {
 			return tackclock.Duration(r.ExpFloat64() * float64(40*tackclock.Second))
 		}, 10},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			judged, fixed := replay(test.gaps, leastRest, 10*tackclock.Second, breakEven, tackclock.Hour)
+			judged, fixed := replay(test.gaps, minParkAfter, 10*tackclock.Second, breakEven, tackclock.Hour)
 			best := min(fixed[0], fixed[1], fixed[2], fixed[3])
 			if judged > best+best*tackclock.Duration(test.overBest)/100 {
 				t.Errorf("cost %v, fixed times %v, the best of them %v", judged, fixed, best)
@@ -94,19 +94,19 @@
 	}
 }
 
-func TestRestIsNeverLaterThanBreakEven(t *testing.T) {
-	gaps := make([]tackclock.Duration, gapsMean)
+func TestRestNeverExceedsBreakEven(t *testing.T) {
+	gaps := make([]tackclock.Duration, minGaps)
 	for _, breakEven := range []tackclock.Duration{100, tackclock.Second, tackclock.Minute} {
 		if got := cheapest(gaps, breakEven); got > breakEven {
-			t.Errorf("rest after %v, break-even after %v", got, breakEven)
+			t.Errorf("parked after %v, want at most the break-even time %v", got, breakEven)
 		}
 	}
 }
 
-func TestRestKnowsNothingAtFirst(t *testing.T) {
+func TestRestStartsAtBreakEven(t *testing.T) {
 	var r Rest
 	if got := r.After(1000, breakEven); got != breakEven {
-		t.Errorf("rest after %v, want the break-even time", got)
+		t.Errorf("parked after %v, want the break-even time", got)
 	}
 	r.Observe(1000, []Pool{{VMs: idle("a")}, {Standby: true, VMs: idle("b")}})
 	r.Observe(5000, []Pool{{VMs: busy("a")}, {Coming: idle("b")}})
@@ -116,6 +116,6 @@
 	r.Observe(6000, []Pool{{VMs: idle("a")}})
 	r.Observe(7000, nil)
 	if len(r.idle) != 0 {
-		t.Errorf("VMs that are gone are idle since %v", r.idle)
+		t.Errorf("VMs that are gone are still recorded as idle: %v", r.idle)
 	}
 }
--- a/core/tackpool/standing.go
+++ b/core/tackpool/standing.go
@@ -2,18 +2,19 @@
 
 import "auburntack/core/tackid"
 
-// Standing is what a pool has and what it is to do, for the log: it shows why VMs
-// were moved, or were not. Cores are in thousandths.
+// Standing summarizes what a pool has and what its work requires. It is logged to show
+// why VMs were moved or not. Cores are in thousandths.
 type Standing struct {
 	Service tackid.Service
 	VMs     int
-	// Idle VMs could go if the pool did not need them, Fixed ones could not.
+	// Idle is the number of VMs that could move if the pool did not need them, Fixed the
+	// number of those that cannot.
 	Idle, Fixed int
-	// Cores are those that the pool has, Coming those on their way, Wanted those
-	// that its work takes.
+	// Cores are in the pool, Coming are on their way to it, and Wanted are required by
+	// its work.
 	Cores, Coming, Wanted int
-	// BacklogMS is how long its cores take for its backlog, LateMS for what
-	// cannot be in time.
+	// BacklogMS is the time that its cores take for its backlog, LateMS that for work
+	// that can no longer be done in time.
 	BacklogMS, LateMS int64
 	Arriving          int
 }
@@ -23,7 +24,7 @@
 	return s.Wanted > s.Cores+s.Coming
 }
 
-// Standings returns how the pools stand that have something to do.
+// Standings returns the standings of the pools that have demands.
 func (p Planner) Standings(pools []Pool) []Standing {
 	p = p.WithDefaults()
 	var list []Standing
--- a/core/tackpool/standing_test.go
+++ b/core/tackpool/standing_test.go
@@ -22,6 +22,6 @@
 		}
 	}
 	if got[0].Lacks() || !got[1].Lacks() {
-		t.Error("the second pool alone lacks VMs")
+		t.Error("want only the second pool to lack VMs")
 	}
 }
