--- a/core/tackcrash/record.go
+++ b/core/tackcrash/record.go
@@ -1,12 +1,12 @@
-// Package tackcrash weighs what crashes of workers say about one item that ran there:
-// whether it may start beside others, and when it is given up.
+// Package tackcrash evaluates the crashes of workers under an item: whether the item may
+// start beside others, and when it is given up.
 //
 // A worker that crashes takes all of its runs with it, and nothing tells which of them
-// was at fault, if any: the VM may have failed, or its rack have lost power. To give up
-// what was lost a few times would give up the neighbours of an item that crashes
-// workers as well, since they were lost as often as long as they travelled with it. So
-// an item that may be at fault runs by itself until it has outlived the time at which
-// its workers crashed, and what counts against it most are crashes while it did.
+// was at fault, if any: the VM may have failed, or its rack may have lost power. Giving
+// up every item that was lost a few times would also give up the neighbours of an item
+// that crashes workers, since they were lost as often while they ran beside it. So an
+// item that may be at fault runs alone until it has survived the time at which its
+// workers crashed, and crashes while it ran alone count most against it.
 package tackcrash
 
 import (
@@ -17,77 +17,79 @@
 )
 
 const (
-	// aloneMeans is on how many VMs a worker must have crashed while it ran nothing
-	// but the item. One crash by chance within the fraction of a second of a trial
-	// happens to sound items, on days on which VMs come and go; two on different VMs
-	// do not.
-	aloneMeans = 2
-	// mostCrashes bounds the crashes of all kinds, and mostEarly those before the worker
-	// had listed the item. Where no worker can be kept free for an item, it is never
-	// alone, and would go on for good. While every VM crashes six times a minute, 5 of
-	// 180,000 sound items are lost so often (200 storms of the dispatcher's tests).
-	mostCrashes = 5
-	mostEarly   = 4
-	// mostWithAlone is the bound for an item that was by itself at least once. Where but
-	// one VM can be kept free for trials, the VM may be at fault as well.
-	mostWithAlone = 4
-	// SettledAfter is for how long a worker must have listed a run for its crash to
-	// say nothing about it, and for earlier crashes to be forgotten. Items that crash
+	// aloneLimit is the number of VMs on which a worker must have crashed while it ran
+	// nothing but the item. One coincidental crash within the fraction of a second of a
+	// trial does happen to sound items, on days on which VMs come and go; two on
+	// different VMs do not.
+	aloneLimit = 2
+	// maxCrashes limits the crashes of all kinds, and maxEarly those before the worker
+	// had reported the item. Where no worker can be kept free for an item, it never runs
+	// alone and would be retried forever. While every VM crashes six times a minute, 5 of
+	// 180,000 sound items are lost that often (200 storms of the dispatcher's tests).
+	maxCrashes = 5
+	maxEarly   = 4
+	// maxWithAlone is the limit for an item that was alone at least once. Where only one
+	// VM can be kept free for trials, that VM may be at fault as well.
+	maxWithAlone = 4
+	// SettledAfter is how long a worker must have reported a run for its crash not to
+	// count against the item, and for earlier crashes to be forgotten. Items that crash
 	// workers do so when they start; one that ran for seconds was there by chance.
 	SettledAfter = 5 * tackclock.Second
-	// shortTrial is how long an item that was lost before its worker listed it has to
-	// be listed: two heartbeats of a worker with room. It ends what would hold a VM
-	// for the whole run of each sound item that was ordered just before a crash.
+	// shortTrial is the trial period of an item that was lost before its worker reported
+	// it: two heartbeats of a worker with free capacity. Without it, each sound item that
+	// was ordered just before a crash would hold a VM for its whole run.
 	shortTrial = 300 * tackclock.Millisecond
-	// doubtsBorne is on how many workers at once it may be open whether they crashed under
-	// the item. Were their VMs away for longer than a lease, it would go through a pool
-	// before the first of them is back.
-	doubtsBorne = 2
-	// listedMeans is how many crashes mean a trial if the worker had listed the item
-	// each time, so that it had outlived its start.
-	listedMeans = 2
+	// maxDoubts is the number of workers at once of which it may be unresolved whether
+	// they crashed under the item. If their VMs were away for longer than a lease, the
+	// item would otherwise go through a whole pool before the first of them is back.
+	maxDoubts = 2
+	// listedLimit is the number of crashes that require a trial if the worker had
+	// reported the item each time, so that the item had survived its start.
+	listedLimit = 2
 )
 
 type (
-	// Crash is a worker's crash under a run of an item.
+	// Crash is the crash of a worker during a run of an item.
 	Crash struct {
 		// Run is the number of the run.
 		Run uint64 `cbor:"1,keyasint"`
-		// VM is where the worker was.
+		// VM is the VM of the worker.
 		VM tackid.VM `cbor:"2,keyasint,omitempty"`
-		// Early says that the worker had not listed the run yet.
+		// Early says that the worker had not reported the run yet.
 		Early bool `cbor:"3,keyasint,omitempty"`
-		// Alone says that the worker ran nothing else, beside a member of a gang nothing
-		// but other members, and that the run had not outlived its start or its trial.
+		// Alone says that the worker ran nothing else, or beside a member of a gang
+		// nothing but other members, and that the run had not survived its start or its
+		// trial.
 		Alone bool `cbor:"4,keyasint,omitempty"`
 	}
 
-	// Doubt is a run of which it is open whether its worker crashed: one under which the
-	// worker fell silent, or a trial that begins. What is heard next from the VM tells:
-	// the same life, or another one. Doubts are kept in the log. A leader that is lost
-	// before the VM is back would else take the crash with it, and the next one would
-	// start the item as if nothing had happened.
+	// Doubt is a run of which it is unresolved whether its worker crashed: the worker
+	// stopped reporting during the run, or the run is a trial that begins. The next
+	// report from the VM resolves it: it comes either from the same worker process or
+	// from a new one. Doubts are stored in the log. Otherwise a leader that is lost
+	// before the VM is back would take the knowledge of the crash with it, and the next
+	// leader would start the item as if nothing had happened.
 	Doubt struct {
 		Crash `cbor:"1,keyasint"`
-		// Life names the worker's life.
+		// Life identifies the worker process.
 		Life string `cbor:"2,keyasint"`
 	}
 
-	// Record is the crashes under an item so far. Its zero value is that of an item
-	// under which no worker crashed. Its methods change no record but return another.
+	// Record holds the crashes under an item so far. Its zero value is that of an item
+	// without any. Its methods do not modify a record but return a new one.
 	Record struct {
 		Crashes []Crash `cbor:"1,keyasint,omitempty"`
 		Doubts  []Doubt `cbor:"2,keyasint,omitempty"`
 	}
 )
 
-// Empty reports whether the record says nothing.
+// Empty reports whether the record holds neither crashes nor doubts.
 func (r Record) Empty() bool {
 	return len(r.Crashes)+len(r.Doubts) == 0
 }
 
-// With returns the record with a crash added, in place of a doubt about the same run. A
-// run counts once.
+// With returns the record with a crash added, which replaces a doubt about the same run.
+// A run counts once.
 func (r Record) With(c Crash) Record {
 	r = r.WithoutDoubt(c.Run)
 	if r.has(c.Run) {
@@ -106,7 +108,7 @@
 	return r
 }
 
-// WithoutDoubt returns the record without a doubt about the run.
+// WithoutDoubt returns the record without the doubt about the run.
 func (r Record) WithoutDoubt(run uint64) Record {
 	r.Doubts = slices.DeleteFunc(slices.Clone(r.Doubts), func(d Doubt) bool { return d.Run == run })
 	return r
@@ -117,9 +119,9 @@
 }
 
 // Waits reports whether so many workers are silent under the item that it must not be
-// started again before something is heard of them.
+// started again before one of them is heard from.
 func (r Record) Waits() bool {
-	return len(r.Doubts) >= doubtsBorne
+	return len(r.Doubts) >= maxDoubts
 }
 
 // Guilty reports whether the item is to be given up.
@@ -135,12 +137,13 @@
 		}
 	}
 	n := len(r.Crashes)
-	return n >= mostCrashes || early >= mostEarly || n >= mostWithAlone && len(alone) > 0 || len(alone) >= aloneMeans
+	return n >= maxCrashes || early >= maxEarly || n >= maxWithAlone && len(alone) > 0 || len(alone) >= aloneLimit
 }
 
-// Trial is for how long a worker must have listed the item before anything else may
-// start there; zero if the item may start beside others. An item that was lost once
-// after its worker had listed it may: it is most likely a neighbour.
+// Trial returns how long a worker must have reported the item before anything else may
+// start there; zero if the item may start beside others. That includes an item that was
+// lost once after its worker had reported it: it is most likely a neighbour of the one at
+// fault.
 func (r Record) Trial() tackclock.Duration {
 	early := 0
 	for _, c := range r.Crashes {
@@ -154,7 +157,7 @@
 		}
 	}
 	switch listed := len(r.Crashes) + len(r.Doubts) - early; {
-	case listed >= listedMeans, listed > 0 && early > 0:
+	case listed >= listedLimit, listed > 0 && early > 0:
 		return SettledAfter
 	case early > 0:
 		return shortTrial
@@ -162,8 +165,8 @@
 	return 0
 }
 
-// On reports whether a worker on the VM crashed under the item. A crash on another one
-// says more about the item than a further one there.
+// On reports whether a worker on the VM crashed under the item. A crash on a different VM
+// tells more about the item than another one on the same VM.
 func (r Record) On(vm tackid.VM) bool {
 	return slices.ContainsFunc(r.Crashes, func(c Crash) bool { return c.VM == vm })
 }
--- a/core/tackcrash/record_test.go
+++ b/core/tackcrash/record_test.go
@@ -24,7 +24,7 @@
 func assertJudged(t *testing.T, r Record, guilty bool, trial tackclock.Duration) {
 	t.Helper()
 	if r.Guilty() != guilty {
-		t.Errorf("guilty is %v after %+v, want %v", r.Guilty(), r.Crashes, guilty)
+		t.Errorf("Guilty() = %v after %+v, want %v", r.Guilty(), r.Crashes, guilty)
 	}
 	if got := r.Trial(); !guilty && got != trial {
 		t.Errorf("trial of %d ms after %+v, want %d", got, r.Crashes, trial)
@@ -32,26 +32,26 @@
 }
 
 func TestRecord(t *testing.T) {
-	t.Run("no crash says nothing", func(t *testing.T) { assertJudged(t, Record{}, false, 0) })
-	t.Run("lost once while it ran, it goes on beside others", func(t *testing.T) {
+	t.Run("without a crash, no trial", func(t *testing.T) { assertJudged(t, Record{}, false, 0) })
+	t.Run("lost once after its start, it may run beside others", func(t *testing.T) {
 		assertJudged(t, recordOf(on(1, false, false)), false, 0)
 	})
-	t.Run("lost twice while it ran, it is tried", func(t *testing.T) {
+	t.Run("lost twice after its start, it is tried", func(t *testing.T) {
 		assertJudged(t, recordOf(on(1, false, false), on(2, false, false)), false, SettledAfter)
 	})
 	t.Run("lost at its start, it is tried", func(t *testing.T) {
 		assertJudged(t, recordOf(on(1, true, false)), false, shortTrial)
 	})
-	t.Run("lost once by itself, it is tried again", func(t *testing.T) {
+	t.Run("lost once while alone, it is tried again", func(t *testing.T) {
 		assertJudged(t, recordOf(on(1, true, false), on(2, true, true)), false, shortTrial)
 	})
-	t.Run("lost by itself on two VMs, it is given up", func(t *testing.T) {
+	t.Run("lost while alone on two VMs, it is given up", func(t *testing.T) {
 		assertJudged(t, recordOf(on(1, true, false), on(2, true, true), on(3, true, true)), true, 0)
 	})
-	t.Run("a VM that crashes again and again is its own fault", func(t *testing.T) {
+	t.Run("repeated crashes on one VM do not count against the item", func(t *testing.T) {
 		assertJudged(t, recordOf(on(1, true, true), on(1, true, true), on(1, true, true)), false, shortTrial)
 	})
-	t.Run("what can never be alone is given up as well", func(t *testing.T) {
+	t.Run("an item that is never alone is given up as well", func(t *testing.T) {
 		assertJudged(t, recordOf(on(1, true, false), on(2, true, false), on(1, true, false)), false, shortTrial)
 		assertJudged(t, recordOf(on(1, true, false), on(2, true, false), on(1, true, false), on(2, true, false)), true, 0)
 		four := []Crash{on(1, false, false), on(2, false, false), on(1, false, false), on(2, false, false)}
@@ -70,13 +70,13 @@
 	doubt := func(run uint64) Doubt { return Doubt{Crash: Crash{Run: run, VM: "m-1", Early: true}, Life: "i-1"} }
 	one := Record{}.WithDoubt(doubt(1))
 	two := one.WithDoubt(doubt(2))
-	t.Run("mean a trial and no verdict", func(t *testing.T) {
+	t.Run("require a trial and never give up the item", func(t *testing.T) {
 		assertJudged(t, one, false, shortTrial)
 		assertJudged(t, two.WithDoubt(doubt(3)).WithDoubt(doubt(4)), false, shortTrial)
 	})
-	t.Run("of two workers at once hold the item back", func(t *testing.T) {
+	t.Run("about two workers at once hold the item back", func(t *testing.T) {
 		if one.Waits() || !two.Waits() {
-			t.Errorf("waits %v after one and %v after two, want false and true", one.Waits(), two.Waits())
+			t.Errorf("Waits() = %v after one doubt and %v after two, want false and true", one.Waits(), two.Waits())
 		}
 	})
 	t.Run("are replaced by the crash of the run", func(t *testing.T) {
@@ -85,7 +85,7 @@
 			t.Errorf("record %+v, want one crash and the other doubt", r)
 		}
 		if again := r.WithDoubt(doubt(1)); len(again.Doubts) != 1 {
-			t.Errorf("record %+v doubts a crash that it holds", again)
+			t.Errorf("record %+v has a doubt about a crash that it holds", again)
 		}
 	})
 	t.Run("can be dismissed", func(t *testing.T) {
