--- a/core/tacksilence/watch.go
+++ b/core/tacksilence/watch.go
@@ -1,5 +1,5 @@
-// Package tacksilence keeps what is open about workers that fell silent: whether they
-// crashed under what they ran, until something is heard from their VMs.
+// Package tacksilence tracks workers that stopped reporting: for each run on them,
+// whether the worker crashed during it is unresolved until the VM is heard from again.
 package tacksilence
 
 import (
@@ -10,26 +10,27 @@
 	"auburntack/core/tackjob"
 )
 
-// togetherWithin is how far apart workers of a rack that loses power are heard last: two
-// heartbeats of a busy one.
+// togetherWithin is the maximum difference between the last reports of workers of a rack
+// that loses power: two heartbeats of a busy worker.
 const togetherWithin = tackclock.Second
 
 type (
-	// Watch is the silences of a leadership. Its zero value holds none.
+	// Watch holds the silent workers during a leadership. Its zero value is empty.
 	Watch struct {
 		doubts map[tackid.VM][]doubt
 		fell   []silence
 	}
 
-	// doubt is a run of a worker that is silent, or has been followed by another.
+	// doubt is a run of a worker that is silent, or that has been replaced by another on
+	// its VM.
 	doubt struct {
 		tackjob.Doubt
-		heard tackclock.Time // the worker, last
-		at    tackclock.Time // since when it is in doubt
+		heard tackclock.Time // last report of the worker
+		since tackclock.Time // when the doubt arose
 	}
 
-	// silence is a worker that fell silent. Tried says that it ran an item which may be
-	// the reason.
+	// silence is a worker that stopped reporting. tried says that it ran an item that may
+	// be the cause.
 	silence struct {
 		vm    tackid.VM
 		heard tackclock.Time
@@ -37,22 +38,23 @@
 	}
 )
 
-// Fell takes in that a worker is silent that was heard last at the given time. Tried says
-// that it ran an item which may be the reason.
+// Fell records that a worker, last heard from at the given time, stopped reporting. tried
+// says that it ran an item that may be the cause.
 func (w *Watch) Fell(vm tackid.VM, heard tackclock.Time, tried bool) {
 	w.fell = append(w.fell, silence{vm: vm, heard: heard, tried: tried})
 }
 
-// Doubt takes in a run whose worker may have crashed, since now.
+// Doubt records a run whose worker may have crashed, since now.
 func (w *Watch) Doubt(now tackclock.Time, x tackjob.Doubt, heard tackclock.Time) {
 	if w.doubts == nil {
 		w.doubts = make(map[tackid.VM][]doubt)
 	}
-	w.doubts[x.VM] = append(w.doubts[x.VM], doubt{Doubt: x, heard: heard, at: now})
+	w.doubts[x.VM] = append(w.doubts[x.VM], doubt{Doubt: x, heard: heard, since: now})
 }
 
-// Heard settles the doubts about a VM, now that a life reports from there. Those of this
-// life, and of lives whose end is excused, are dismissed; all others crashed.
+// Heard resolves the doubts about a VM after a report from a worker process there. Doubts
+// about the same process, and about processes whose end is excused, are dismissed; the
+// other processes have crashed.
 func (w *Watch) Heard(vm tackid.VM, life string, excused func(life string) bool) (dismissed []tackjob.Doubt, crashed []tackjob.Crash) {
 	for _, x := range w.doubts[vm] {
 		if x.Life == life || excused(x.Life) {
@@ -66,8 +68,8 @@
 	return dismissed, crashed
 }
 
-// together reports whether another worker fell silent at the same time that ran nothing
-// which may be the reason. Then both most likely lost their power, or their network.
+// together reports whether another worker that ran no suspect item fell silent at the
+// same time. Then both most likely lost power or their network.
 func (w *Watch) together(x *doubt) bool {
 	return slices.ContainsFunc(w.fell, func(s silence) bool {
 		apart := max(s.heard.Sub(x.heard), x.heard.Sub(s.heard))
@@ -75,16 +77,16 @@
 	})
 }
 
-// Expire forgets what is older than the given time, and returns the doubts among it:
-// nothing will be heard of them any more.
+// Expire removes what is older than the given time, and returns the doubts among it,
+// which will no longer be resolved by a report.
 func (w *Watch) Expire(before tackclock.Time) []tackjob.Doubt {
 	var old []tackjob.Doubt
 	for vm, doubts := range w.doubts {
 		left := slices.DeleteFunc(doubts, func(x doubt) bool {
-			if x.at < before {
+			if x.since < before {
 				old = append(old, x.Doubt)
 			}
-			return x.at < before
+			return x.since < before
 		})
 		if w.doubts[vm] = left; len(left) == 0 {
 			delete(w.doubts, vm)
