--- a/core/tackupkeep/wave.go
+++ b/core/tackupkeep/wave.go
@@ -1,6 +1,6 @@
-// Package tackupkeep holds waves of upkeep over workers' VMs and decides which
-// VM may go next: never more at once than the wave allows, and only when what
-// runs there can be missed.
+// Package tackupkeep holds the maintenance waves over the VMs of workers. The dispatcher
+// decides by them which VM may go down next: never more at a time than the wave allows,
+// and only when what runs there can be interrupted.
 package tackupkeep
 
 import (
@@ -12,30 +12,31 @@
 )
 
 type (
-	// Number names a wave; the operator chooses it.
+	// Number identifies a wave; the operator chooses it.
 	Number int64
 
-	// Wave is an accepted request for upkeep. Due is a log time.
+	// Wave is an accepted request for maintenance. Accepted and Due are log times.
 	Wave struct {
 		Number Number             `cbor:"1,keyasint"`
 		VMs    []tackid.VM        `cbor:"2,keyasint"`
 		Within tackclock.Duration `cbor:"3,keyasint,omitempty"`
-		// AtOnce is how many VMs may be down for the wave at a time.
+		// AtOnce is the number of VMs that the wave may have down at a time.
 		AtOnce   int            `cbor:"4,keyasint,omitempty"`
 		Accepted tackclock.Time `cbor:"5,keyasint,omitempty"`
 		// Term is that of the leader that accepted the wave.
 		Term tackreplica.Term `cbor:"7,keyasint,omitempty"`
-		// Begun are VMs whose upkeep the platform has begun or that are gone.
+		// Begun are the VMs that are gone or whose maintenance the platform has begun.
 		Begun []tackid.VM `cbor:"6,keyasint,omitempty"`
 	}
 
-	// Table is all waves that are known. Its zero value is empty.
+	// Table holds all known waves. Its zero value is empty.
 	Table struct {
 		waves []*Wave
 	}
 )
 
-// Add adds a wave unless its number is known.
+// Add adds the wave, unless a wave with its number is known, and returns the wave that is
+// stored under the number.
 func (t *Table) Add(w *Wave) *Wave {
 	if known := t.Get(w.Number); known != nil {
 		return known
@@ -44,7 +45,7 @@
 	return w
 }
 
-// Get returns the wave, or nil.
+// Get returns the wave with the number, or nil.
 func (t *Table) Get(n Number) *Wave {
 	for _, w := range t.waves {
 		if w.Number == n {
@@ -54,34 +55,34 @@
 	return nil
 }
 
-// All returns the waves in the order in which they came.
+// All returns the waves in the order in which they were added.
 func (t *Table) All() []*Wave {
 	return t.waves
 }
 
-// Restore replaces the waves by those of a snapshot.
+// Restore replaces all waves by those of a snapshot.
 func (t *Table) Restore(waves []*Wave) {
 	t.waves = waves
 }
 
-// Begin notes that the upkeep of vm has begun.
+// Begin records that the maintenance of vm has begun.
 func (w *Wave) Begin(vm tackid.VM) {
 	if !slices.Contains(w.Begun, vm) {
 		w.Begun = append(w.Begun, vm)
 	}
 }
 
-// Due is the log time by which all upkeep should have begun.
+// Due returns the log time by which all maintenance should have begun.
 func (w *Wave) Due() tackclock.Time {
 	return w.Accepted.Add(w.Within)
 }
 
-// Complete reports whether every VM's upkeep has begun.
+// Complete reports whether the maintenance of every VM has begun.
 func (w *Wave) Complete() bool {
 	return len(w.Left()) == 0
 }
 
-// Left returns the VMs whose upkeep has not begun.
+// Left returns the VMs whose maintenance has not begun.
 func (w *Wave) Left() []tackid.VM {
 	var left []tackid.VM
 	for _, vm := range w.VMs {
