--- a/core/tacklimit/drain.go
+++ b/core/tacklimit/drain.go
@@ -6,137 +6,146 @@
 )
 
 const (
-	// shortWork is how long work may hold a slot of the urgent reserve: an
-	// urgent request waits for it and still starts within 2.3 s.
-	shortWork = 2 * tackclock.Second
-	// generation is how many releases a span looks back, at least.
-	generation = 64
-	// fresh is how old the last release may be for its time of service to say
-	// something about the next.
-	fresh = tackclock.Second
-	// settled is how long a class must have waited before its own rate of
-	// starts is believed.
-	settled = tackclock.Second / 2
-	// window is how long starts count in the rate of a class, at least.
-	window = 4 * tackclock.Second
-	// meanShare is the part of the newest release in the mean.
-	meanShare = 1.0 / 16
+	// shortServiceTime is how long a request may hold a slot of the urgent
+	// reserve: an urgent request that waits for that slot still starts within
+	// 2.3 s.
+	shortServiceTime = 2 * tackclock.Second
+	// generationSize is the number of releases in one generation of a
+	// recentMax, and so the least number that its maximum covers.
+	generationSize = 64
+	// maxSampleAge is how old the last release may be for the recent service
+	// times to predict the next one.
+	maxSampleAge = tackclock.Second
+	// minRateAge is how long requests of a class must have been waiting
+	// before the measured start rate of the class is used.
+	minRateAge = tackclock.Second / 2
+	// rateWindow is the shortest time for which a start counts in the rate of
+	// its class.
+	rateWindow = 4 * tackclock.Second
+	// meanWeight is the weight of the newest sample in the moving average of
+	// service times.
+	meanWeight = 1.0 / 16
 )
 
 type (
-	// drain measures how fast slots come free.
-	drain struct {
-		// mean is the time of service in milliseconds, zero before the first
-		// release.
+	// serviceStats measures service times and start rates, which tell how
+	// fast slots are freed.
+	serviceStats struct {
+		// mean is the moving average of service times in milliseconds, zero
+		// before the first release.
 		mean float64
-		all  span
-		// urgent and lower are the spans of urgent and of all other requests.
-		urgent, lower span
-		rates         [classes]rate
+		all  recentMax
+		// urgent and lower cover the urgent and all other requests.
+		urgent, lower recentMax
+		rates         [numClasses]startRate
 	}
 
-	// span is the largest time of service of the last releases, kept in two
-	// generations so that old ones fade.
-	span struct {
-		now, old tackclock.Duration
-		count    int
-		full     bool
-		last     tackclock.Time
+	// recentMax is the largest service time among the last releases. It is
+	// kept in two generations, so that old samples expire.
+	recentMax struct {
+		current, previous tackclock.Duration
+		count             int
+		full              bool
+		last              tackclock.Time
 	}
 
-	// rate counts the starts of a class since it began to wait.
-	rate struct {
+	// startRate counts the starts of a class since requests of it began to
+	// wait.
+	startRate struct {
 		since  tackclock.Time
 		starts float64
 	}
 )
 
-// start counts a start of the class.
-func (d *drain) start(now tackclock.Time, class tackid.Class) {
-	r := &d.rates[class]
+// recordStart counts a start of the class.
+func (s *serviceStats) recordStart(now tackclock.Time, class tackid.Class) {
+	r := &s.rates[class]
 	if r.since == 0 {
 		return
 	}
 	r.starts++
-	if elapsed := now.Sub(r.since); elapsed > 2*window {
+	if elapsed := now.Sub(r.since); elapsed > 2*rateWindow {
 		r.since = now.Add(-elapsed / 2)
 		r.starts /= 2
 	}
 }
 
-// backlog notes that the class begins to wait.
-func (d *drain) backlog(now tackclock.Time, class tackid.Class) {
-	d.rates[class] = rate{since: now}
+// beginBacklog records that the first request of the class is queued.
+func (s *serviceStats) beginBacklog(now tackclock.Time, class tackid.Class) {
+	s.rates[class] = startRate{since: now}
 }
 
-// idle notes that none of the class waits any more.
-func (d *drain) idle(class tackid.Class) {
-	d.rates[class] = rate{}
+// endBacklog records that no request of the class is queued any more.
+func (s *serviceStats) endBacklog(class tackid.Class) {
+	s.rates[class] = startRate{}
 }
 
-// released learns the time of service of a request.
-func (d *drain) released(now tackclock.Time, e *entry) {
+// recordRelease records the service time of a request that ended.
+func (s *serviceStats) recordRelease(now tackclock.Time, e *entry) {
 	took := max(now.Sub(e.started), 0)
-	if d.mean == 0 {
-		d.mean = float64(took)
+	if s.mean == 0 {
+		s.mean = float64(took)
 	}
-	d.mean += meanShare * (float64(took) - d.mean)
-	d.all.add(now, took)
-	d.spanOf(e.Class).add(now, took)
+	s.mean += meanWeight * (float64(took) - s.mean)
+	s.all.add(now, took)
+	s.recentMaxOf(e.Class).add(now, took)
 }
 
-// typical is the time of service to expect, zero if nothing is known.
-func (d *drain) typical() tackclock.Duration {
-	return tackclock.Duration(d.mean)
+// meanServiceTime returns the expected service time, or zero before the first
+// release.
+func (s *serviceStats) meanServiceTime() tackclock.Duration {
+	return tackclock.Duration(s.mean)
 }
 
-// longest is the largest recent time of service, zero if too little is known.
-func (d *drain) longest() tackclock.Duration {
-	if !d.all.full {
+// maxServiceTime returns the largest recent service time, or zero if there are
+// too few samples.
+func (s *serviceStats) maxServiceTime() tackclock.Duration {
+	if !s.all.full {
 		return 0
 	}
-	return max(d.all.now, d.all.old)
+	return max(s.all.current, s.all.previous)
 }
 
-// short reports whether the request will give its slot back soon: its deadline
-// says so, or all recent work of its kind did.
-func (d *drain) short(now tackclock.Time, r Request) bool {
-	if r.Deadline != 0 && r.Deadline.Sub(now) <= shortWork {
+// isShort reports whether the request is expected to release its slot soon:
+// either its deadline is near, or all recent requests of its kind were short.
+func (s *serviceStats) isShort(now tackclock.Time, r Request) bool {
+	if r.Deadline != 0 && r.Deadline.Sub(now) <= shortServiceTime {
 		return true
 	}
-	s := d.spanOf(r.Class)
-	if !s.full || now.Sub(s.last) > fresh {
+	m := s.recentMaxOf(r.Class)
+	if !m.full || now.Sub(m.last) > maxSampleAge {
 		return false
 	}
-	return max(s.now, s.old) <= shortWork/2
+	return max(m.current, m.previous) <= shortServiceTime/2
 }
 
-func (d *drain) spanOf(class tackid.Class) *span {
+func (s *serviceStats) recentMaxOf(class tackid.Class) *recentMax {
 	if class == tackid.ClassUrgent {
-		return &d.urgent
+		return &s.urgent
 	}
-	return &d.lower
+	return &s.lower
 }
 
-// timeFor is how long the given number of starts of the class will take. The
-// class's own rate counts if it has been waiting for a while, since higher
-// classes may leave it only a part; else the mean time of service does.
-func (d *drain) timeFor(now tackclock.Time, starts int, class tackid.Class, capacity int) tackclock.Duration {
-	interval := d.mean / float64(max(capacity, 1))
-	r := &d.rates[class]
-	if elapsed := now.Sub(r.since); r.since != 0 && elapsed >= settled {
+// timeForStarts estimates how long the given number of starts of the class will
+// take. It uses the start rate of the class once that has been measured for a
+// while, since higher classes may leave the class only a part of the slots, and
+// the mean service time otherwise.
+func (s *serviceStats) timeForStarts(now tackclock.Time, starts int, class tackid.Class, capacity int) tackclock.Duration {
+	interval := s.mean / float64(max(capacity, 1))
+	r := &s.rates[class]
+	if elapsed := now.Sub(r.since); r.since != 0 && elapsed >= minRateAge {
 		interval = float64(elapsed) / max(r.starts, 1)
 	}
 	return tackclock.Duration(interval * float64(starts))
 }
 
-func (s *span) add(now tackclock.Time, took tackclock.Duration) {
-	s.last = now
-	s.now = max(s.now, took)
-	s.count++
-	if s.count < generation {
+func (m *recentMax) add(now tackclock.Time, took tackclock.Duration) {
+	m.last = now
+	m.current = max(m.current, took)
+	m.count++
+	if m.count < generationSize {
 		return
 	}
-	s.old, s.now, s.count = s.now, took, 0
-	s.full = true
+	m.previous, m.current, m.count = m.current, took, 0
+	m.full = true
 }
--- a/core/tacklimit/fair.go
+++ b/core/tacklimit/fair.go
@@ -1,63 +1,64 @@
 package tacklimit
 
 type (
-	// fairQueue orders the lanes of one class so that the team with the
-	// fewest slots goes first, and teams with equally many take turns. Every
-	// step takes constant time, however many teams wait.
+	// fairQueue orders the subqueues of one class by the number of slots that
+	// each holds, fewest first, and round-robin among those that hold equally
+	// many. The cost of an operation doesn't depend on the number of teams
+	// that wait.
 	fairQueue struct {
-		// buckets holds at index n the lanes that hold n slots.
+		// buckets holds at index n the subqueues that hold n slots.
 		buckets []bucket
-		lanes   int
+		length  int
 	}
 
-	// bucket is a queue of lanes.
+	// bucket is a linked list of subqueues.
 	bucket struct {
-		head, tail *lane
+		head, tail *subqueue
 	}
 )
 
-// first returns the lane that is next, or nil.
-func (f *fairQueue) first() *lane {
-	if f.lanes == 0 {
+// first returns the subqueue to serve next, or nil.
+func (f *fairQueue) first() *subqueue {
+	if f.length == 0 {
 		return nil
 	}
 	for i := range f.buckets {
-		if l := f.buckets[i].head; l != nil {
-			return l
+		if q := f.buckets[i].head; q != nil {
+			return q
 		}
 	}
 	return nil
 }
 
-func (f *fairQueue) add(l *lane) {
-	for len(f.buckets) <= l.running {
+func (f *fairQueue) add(q *subqueue) {
+	for len(f.buckets) <= q.running {
 		f.buckets = append(f.buckets, bucket{})
 	}
-	b := &f.buckets[l.running]
-	l.prev = b.tail
+	b := &f.buckets[q.running]
+	q.prev = b.tail
 	if b.tail == nil {
-		b.head = l
+		b.head = q
 	} else {
-		b.tail.next = l
+		b.tail.next = q
 	}
-	b.tail = l
-	l.listed = true
-	f.lanes++
+	b.tail = q
+	q.listed = true
+	f.length++
 }
 
-func (f *fairQueue) remove(l *lane) {
-	b := &f.buckets[l.running]
-	if l.prev == nil {
-		b.head = l.next
+func (f *fairQueue) remove(q *subqueue) {
+	b := &f.buckets[q.running]
+	if q.prev == nil {
+		b.head = q.next
 	} else {
-		l.prev.next = l.next
+		q.prev.next = q.next
 	}
-	if l.next == nil {
-		b.tail = l.prev
+	if q.next == nil {
+		b.tail = q.prev
 	} else {
-		l.next.prev = l.prev
+		q.next.prev = q.prev
 	}
-	l.prev, l.next = nil, nil
-	l.listed = false
-	f.lanes--
+	q.prev, q.next = nil, nil
+	q.listed = false
+	f.length--
 }
--- a/core/tacklimit/gate.go
+++ b/core/tacklimit/gate.go
@@ -1,11 +1,12 @@
-// Package tacklimit decides which requests of a service may start, which wait
-// and which are refused at once.
+// Package tacklimit implements admission control: it decides which requests of
+// a service start, which wait and which are refused at once.
 //
-// A Gate serves one service on one peer. It starts no more requests than
-// there are slots, keeps the rest in a bounded queue with a deadline each,
-// starts urgent requests first, holds every team to its quota and shares what
-// is left evenly among the teams that wait. What cannot start before its
-// deadline is refused when it arrives, with the time after which to come back.
+// A Gate serves one service on one peer. It runs no more requests at once than
+// it has slots and keeps the rest in a bounded queue. Urgent requests start
+// first, no team exceeds its quota, and the remaining slots are shared evenly
+// among the teams that wait. A request that is not expected to start in time
+// for its deadline is refused when it arrives, with the time to wait before a
+// retry.
 package tacklimit
 
 import (
@@ -25,28 +26,29 @@
 )
 
 const (
-	// defaultQueue is the longest queue of a Gate with a zero Settings.
-	defaultQueue = 4096
-	// sureDivisor is the part of the queue that every team may always fill.
-	sureDivisor = 256
-	// lowerDivisor is the part of the slots that the lower classes may hold
-	// while a higher class could fill them all.
-	lowerDivisor = 16
-	// lowerInterval is how often a lower class gets a start while a higher
-	// one could fill all slots.
-	lowerInterval = tackclock.Second
-	classes       = 3
+	// defaultQueueLimit is the queue limit of a Gate with zero Settings.
+	defaultQueueLimit = 4096
+	// minRoomDivisor gives the part of the queue limit that every team may
+	// always have waiting.
+	minRoomDivisor = 256
+	// lowerClassDivisor gives the part of the slots that the lower classes
+	// may hold while a higher class could fill them all.
+	lowerClassDivisor = 16
+	// lowerClassInterval is how often a request of a lower class starts while
+	// a higher class could fill all slots.
+	lowerClassInterval = tackclock.Second
+	numClasses         = 3
 )
 
-// ranks lists the classes from the first served to the last.
-var ranks = [classes]tackid.Class{tackid.ClassUrgent, tackid.ClassNormal, tackid.ClassBatch}
+// classOrder lists the classes by priority, highest first.
+var classOrder = [numClasses]tackid.Class{tackid.ClassUrgent, tackid.ClassNormal, tackid.ClassBatch}
 
 type (
-	// Decision is what a Gate says of a request that is offered.
+	// Decision is the decision of a Gate on an offered request.
 	Decision uint8
 
-	// Request is a request that asks to start. The ID is unique among those
-	// that wait or run. A zero Deadline means that the caller waits for ever.
+	// Request is a request that asks to start. The ID is unique among the
+	// requests that wait or run. A zero Deadline means no deadline.
 	Request struct {
 		ID       uint64
 		Team     tackid.Team
@@ -62,35 +64,37 @@
 
 	// Settings are the tunables of a Gate. A zero field takes its default.
 	Settings struct {
-		// Queue is the number of requests that may wait, beyond a few that
-		// every team may always have waiting.
+		// Queue is the number of requests that may wait. Every team may have
+		// a few waiting in any case, even beyond that.
 		Queue int
 	}
 
 	// Gate admits the requests of one service. Its zero value has no slots
-	// and queues everything until SetCapacity. It is not safe for concurrent
-	// use. The slices that its methods return are valid until the next call.
+	// and queues all requests until SetCapacity is called. It is not safe for
+	// concurrent use. The slices that its methods return are valid until the
+	// next call.
 	Gate struct {
 		Settings Settings
-		// Quotas is shared with the Gates of other services, so that a team
-		// is bounded over all of them. A Gate without has its own.
+		// Quotas may be shared with the Gates of other services, so that the
+		// quota of a team applies to all of them together. If it is nil, the
+		// Gate uses quotas of its own.
 		Quotas *Quotas
 
 		capacity int
 
-		entries table
-		teams   map[tackid.Team]*team
-		parked  []*team
-		fair    [classes]fairQueue
-		running [classes]int
-		waiting [classes]int
-		lastRun [classes]tackclock.Time
-		wheel   wheel
-		drain   drain
-		urgent  peak
-		stale   []uint64
-		started []uint64
-		expired []uint64
+		entries    table
+		teams      map[tackid.Team]*team
+		parked     []*team
+		fairQueues [numClasses]fairQueue
+		running    [numClasses]int
+		waiting    [numClasses]int
+		lastStarts [numClasses]tackclock.Time
+		wheel      wheel
+		stats      serviceStats
+		urgentPeak peak
+		stale      []uint64
+		started    []uint64
+		expired    []uint64
 	}
 
 	// entry is a request that waits or runs.
@@ -98,23 +102,24 @@
 		Request
 		team    *team
 		running bool
-		// stale says that it left the queue too late to start, which the next
-		// Tick reports.
+		// stale reports whether the request was next in the queue when it was
+		// already too late to start it. The next Tick reports it as expired.
 		stale   bool
 		started tackclock.Time
-		// giveUp is when a request that still waits cannot be answered in
-		// time any more; zero if there is no deadline.
-		giveUp tackclock.Time
-		// prev and next link the entries of a lane, later and earlier those
-		// of a bucket of the wheel, chain those of a cell of the table.
-		prev, next     *entry
-		earlier, later *entry
-		chain          *entry
+		// expiry is when a request that still waits can no longer be answered
+		// in time; zero if there is no deadline.
+		expiry tackclock.Time
+		// prev and next link the entries of a subqueue, wheelPrev and
+		// wheelNext those of a bucket of the wheel, chain those of a cell of
+		// the table.
+		prev, next           *entry
+		wheelPrev, wheelNext *entry
+		chain                *entry
 	}
 )
 
-// Offer asks whether a request may start now. A queued request starts or
-// expires by a later Release or Tick.
+// Offer asks whether a request may start now. A queued request is started by a
+// later Release or Tick, or expired by a Tick.
 func (g *Gate) Offer(now tackclock.Time, r Request) Verdict {
 	if r.Deadline != 0 && !now.Before(r.Deadline) {
 		return g.refuse(now, r, CodeDeadlinePassed, 0)
@@ -123,7 +128,7 @@
 		return g.refuse(now, r, CodeDuplicate, 0)
 	}
 	t := g.teamOf(r.Team)
-	if g.startsAtOnce(now, t, r) && g.quotas().take(t.name) {
+	if g.startsAtOnce(now, t, r) && g.quotas().acquire(t.name) {
 		e := g.newEntry(r, t)
 		g.start(now, e)
 		return Verdict{Decision: Admitted}
@@ -145,16 +150,16 @@
 		return g.started
 	}
 	g.running[e.Class]--
-	g.drain.released(now, e)
-	g.quotas().give(e.team.name)
+	g.stats.recordRelease(now, e)
+	g.quotas().release(e.team.name)
 	e.team.released(g, e.Class)
 	g.remove(e)
 	g.startWaiting(now)
 	return g.started
 }
 
-// Cancel takes a request that waits out of the queue and reports whether it
-// did; after that it is never started. A request that runs must be released.
+// Cancel removes a waiting request from the queue and reports whether it did; a
+// cancelled request is never started. A request that runs must be released.
 func (g *Gate) Cancel(_ tackclock.Time, id uint64) bool {
 	e := g.entries.get(id)
 	if e == nil || e.running {
@@ -167,9 +172,9 @@
 	return true
 }
 
-// Tick starts what may start and gives up what cannot be answered in time any
-// more. It is called every few tens of milliseconds, and after SetCapacity and
-// SetQuotas.
+// Tick starts the requests that may start and expires those that can no longer
+// be answered in time. It must be called every few tens of milliseconds, and
+// after SetCapacity and SetQuotas.
 func (g *Gate) Tick(now tackclock.Time) (started, expired []uint64) {
 	g.started = g.started[:0]
 	g.expired = g.expired[:0]
@@ -184,23 +189,23 @@
 	return g.started, g.expired
 }
 
-// SetCapacity sets the number of slots. Requests that run keep theirs when the
-// number falls.
+// SetCapacity sets the number of slots. Running requests keep their slots when
+// the number decreases.
 func (g *Gate) SetCapacity(n int) {
 	g.capacity = max(n, 0)
 }
 
 // SetQuotas sets the number of slots that each team may hold at once, over all
-// Gates that share the Quotas. A team that is missing or has zero is bounded by
-// its fair share alone. A peer that shares quotas with others sets Quotas
-// to its parts instead.
+// Gates that share the Quotas. A team that is missing or has zero is limited
+// only by its fair share. A peer that divides quotas with other peers calls
+// Quotas.Set with its parts instead.
 func (g *Gate) SetQuotas(quotas map[tackid.Team]int) {
 	bounds := maps.Clone(quotas)
 	maps.DeleteFunc(bounds, func(_ tackid.Team, slots int) bool { return slots == 0 })
 	g.quotas().Set(bounds)
 }
 
-// quotas returns the Quotas in use.
+// quotas returns the Quotas in use, and allocates them if there are none.
 func (g *Gate) quotas() *Quotas {
 	if g.Quotas == nil {
 		g.Quotas = new(Quotas)
@@ -224,8 +229,8 @@
 		return 0
 	}
 	n := 0
-	for i := range t.lanes {
-		n += t.lanes[i].length
+	for i := range t.subqueues {
+		n += t.subqueues[i].length
 	}
 	return n
 }
@@ -239,14 +244,14 @@
 	return n
 }
 
-// startsAtOnce reports whether a request that arrives now goes before all that
-// wait: a slot is free for it, none that waits in a higher class may take that,
-// and its team is ahead in the fair order of its own class.
+// startsAtOnce reports whether a request that arrives now may start ahead of all
+// waiting requests: a slot is free for it, no waiting request of a higher class
+// may take that slot, and its team comes first in the fair order of its class.
 func (g *Gate) startsAtOnce(now tackclock.Time, t *team, r Request) bool {
-	if t.parked || !g.slotFor(now, t, r) {
+	if t.parked || !g.hasSlotFor(now, t, r) {
 		return false
 	}
-	for _, class := range ranks {
+	for _, class := range classOrder {
 		if class == r.Class {
 			break
 		}
@@ -254,28 +259,28 @@
 			return false
 		}
 	}
-	next := g.fair[r.Class].first()
+	next := g.fairQueues[r.Class].first()
 	if next == nil {
 		return true
 	}
-	own := &t.lanes[r.Class]
+	own := &t.subqueues[r.Class]
 	return own.length == 0 && (own.running < next.running || g.first(now, r.Class) == nil)
 }
 
-// startWaiting fills the free slots from the queue.
+// startWaiting starts waiting requests on the free slots.
 func (g *Gate) startWaiting(now tackclock.Time) {
 	for g.Running() < g.capacity {
 		e := g.choose(now)
 		if e == nil {
 			return
 		}
-		if e.giveUp != 0 && !now.Before(e.giveUp) {
+		if e.expiry != 0 && !now.Before(e.expiry) {
 			g.unqueue(e)
 			e.stale = true
 			g.stale = append(g.stale, e.ID)
 			continue
 		}
-		if !g.quotas().take(e.team.name) {
+		if !g.quotas().acquire(e.team.name) {
 			g.park(e.team)
 			continue
 		}
@@ -285,8 +290,8 @@
 	}
 }
 
-// expireStale reports the requests whose time was found to have run out when
-// they were next, unless they were cancelled since.
+// expireStale expires the requests that startWaiting found too late to start,
+// unless they were cancelled since.
 func (g *Gate) expireStale() {
 	for _, id := range g.stale {
 		if e := g.entries.get(id); e != nil && e.stale {
@@ -297,15 +302,15 @@
 	g.stale = g.stale[:0]
 }
 
-// choose returns the request that starts next, or nil. The highest class that
-// waits goes first, unless a lower one is due.
+// choose returns the request to start next, or nil. It prefers the highest class
+// with waiting requests, unless a lower one is due.
 func (g *Gate) choose(now tackclock.Time) *entry {
-	for i := len(ranks) - 1; i > 0; i-- {
-		if e := g.firstDue(now, ranks[i]); e != nil {
+	for i := len(classOrder) - 1; i > 0; i-- {
+		if e := g.firstDue(now, classOrder[i]); e != nil {
 			return e
 		}
 	}
-	for _, class := range ranks {
+	for _, class := range classOrder {
 		if e := g.first(now, class); e != nil {
 			return e
 		}
@@ -316,69 +321,69 @@
 // first returns the request of a class that is next in its fair order, or nil
 // if none may take a slot.
 func (g *Gate) first(now tackclock.Time, class tackid.Class) *entry {
-	l := g.fair[class].first()
-	if l == nil || !g.slotFor(now, l.team, l.head.Request) {
+	q := g.fairQueues[class].first()
+	if q == nil || !g.hasSlotFor(now, q.team, q.head.Request) {
 		return nil
 	}
-	return l.head
+	return q.head
 }
 
 // firstDue returns the request of a lower class that must start ahead of a
-// higher class, or nil. A higher class that fills all slots would otherwise
-// starve it for ever. The class is kept to a small part of the slots, since
-// requests that run long would take over all of them one start at a time. While
-// all lower classes hold less than that part, they do not heed the reserves,
-// which a flood of urgent work keeps free for itself.
+// higher class, or nil. It prevents starvation by a higher class that could fill
+// all slots. The class is limited to a small part of the slots, since long
+// requests would otherwise take over all slots one start at a time. While the
+// lower classes together hold less than that part, the reserves don't apply to
+// them, because a flood of urgent requests would keep the reserves to itself.
 func (g *Gate) firstDue(now tackclock.Time, class tackid.Class) *entry {
-	part := max(1, g.capacity/lowerDivisor)
-	if g.running[class] >= part || now.Sub(g.lastRun[class]) < lowerInterval {
+	part := max(1, g.capacity/lowerClassDivisor)
+	if g.running[class] >= part || now.Sub(g.lastStarts[class]) < lowerClassInterval {
 		return nil
 	}
-	if l := g.fair[class].first(); l != nil && g.lower() < part {
-		return l.head
+	if q := g.fairQueues[class].first(); q != nil && g.lowerRunning() < part {
+		return q.head
 	}
 	return g.first(now, class)
 }
 
-// lower returns the number of slots that the lower classes hold.
-func (g *Gate) lower() int {
+// lowerRunning returns the number of slots that the lower classes hold.
+func (g *Gate) lowerRunning() int {
 	return g.running[tackid.ClassNormal] + g.running[tackid.ClassBatch]
 }
 
-// start gives the entry a slot.
+// start assigns a slot to the entry.
 func (g *Gate) start(now tackclock.Time, e *entry) {
 	e.running = true
 	e.started = now
 	g.running[e.Class]++
-	g.lastRun[e.Class] = now
-	g.drain.start(now, e.Class)
+	g.lastStarts[e.Class] = now
+	g.stats.recordStart(now, e.Class)
 	if e.Class == tackid.ClassUrgent {
-		g.urgent.add(now, g.running[e.Class])
+		g.urgentPeak.add(now, g.running[e.Class])
 	}
 	e.team.started(g, e.Class)
 }
 
-// enqueue puts the entry at the end of its team's lane.
+// enqueue appends the entry to its team's subqueue.
 func (g *Gate) enqueue(now tackclock.Time, e *entry) {
 	if g.waiting[e.Class] == 0 {
-		g.drain.backlog(now, e.Class)
+		g.stats.beginBacklog(now, e.Class)
 	}
 	g.waiting[e.Class]++
 	e.team.push(g, e)
 	if e.Deadline != 0 {
-		e.giveUp = max(lastStart(now, e.Deadline, 2*g.drain.typical()), now+1)
+		e.expiry = max(latestStart(now, e.Deadline, 2*g.stats.meanServiceTime()), now+1)
 		g.wheel.add(now, e)
 	}
 }
 
-// unqueue takes the entry out of its lane.
+// unqueue removes the entry from its subqueue.
 func (g *Gate) unqueue(e *entry) {
 	g.waiting[e.Class]--
 	if g.waiting[e.Class] == 0 {
-		g.drain.idle(e.Class)
+		g.stats.endBacklog(e.Class)
 	}
 	e.team.drop(g, e)
-	if e.giveUp != 0 {
+	if e.expiry != 0 {
 		g.wheel.remove(e)
 	}
 }
@@ -389,7 +394,7 @@
 	return e
 }
 
-// remove forgets an entry that neither waits nor runs.
+// remove deletes an entry that neither waits nor runs.
 func (g *Gate) remove(e *entry) {
 	t := e.team
 	g.entries.remove(e)
--- a/core/tacklimit/gate_bench_test.go
+++ b/core/tacklimit/gate_bench_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// BenchmarkCancel cancels n requests that wait, oldest first; the time is for
-// one cancellation, and constant if the whole grows no faster than n.
+// BenchmarkCancel cancels n waiting requests, oldest first, and reports the time
+// for each, which must not depend on n.
 func BenchmarkCancel(b *testing.B) {
 	for _, n := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprintf("waiting=%d", n), func(b *testing.B) {
@@ -45,11 +45,10 @@
 	}
 }
 
-// Symptom: a burst of cancellations stalls every other request.
-// Sequence: 2,000 and then 20,000 callers leave the queue at once.
-// Cause: each cancellation searched the queue. The steps are counted by what
-// the cancellations allocate and leave behind, since a time would depend on the
-// machine: BenchmarkCancel shows it.
+// A burst of 2,000 or 20,000 cancellations must not stall other requests, as it
+// did when each cancellation searched the queue. The test checks what the
+// cancellations allocate and leave behind, since timings depend on the machine;
+// BenchmarkCancel reports those.
 func TestCancelLeavesNothingBehind(t *testing.T) {
 	for _, n := range []int{2000, 20000} {
 		g := queueOf(n)
@@ -78,7 +77,7 @@
 	}
 }
 
-// warmGate returns a Gate of 64 slots that has seen work of 45 teams.
+// warmGate returns a Gate with 64 slots that has served requests of 45 teams.
 func warmGate() *tacklimit.Gate {
 	g := new(tacklimit.Gate)
 	g.SetCapacity(64)
@@ -106,15 +105,15 @@
 	g.Release(4, 1<<40)
 }
 
-// fillSlots has every slot taken by long requests.
+// fillSlots takes every slot with a long request.
 func fillSlots(g *tacklimit.Gate) {
 	for i := range 64 {
 		g.Offer(5, tacklimit.Request{ID: 1<<41 + uint64(i), Team: teams[0], Deadline: 1 << 40})
 	}
 }
 
-// queueStartRelease queues a request, lets one end so that it starts, and puts
-// that one back.
+// queueStartRelease queues a request, releases another so that the first one
+// starts, and restores the initial state.
 func queueStartRelease(g *tacklimit.Gate) {
 	g.Offer(6, tacklimit.Request{ID: 1 << 40, Team: teams[3], Deadline: 1 << 40})
 	g.Release(6, 1<<41)
@@ -122,7 +121,7 @@
 	g.Offer(6, tacklimit.Request{ID: 1 << 41, Team: teams[0], Deadline: 1 << 40})
 }
 
-// queueOf returns a Gate on which n requests of 45 teams wait.
+// queueOf returns a Gate with n waiting requests of 45 teams.
 func queueOf(n int) *tacklimit.Gate {
 	g := &tacklimit.Gate{Settings: tacklimit.Settings{Queue: 100 * n}}
 	for id := range n {
--- a/core/tacklimit/goodput_test.go
+++ b/core/tacklimit/goodput_test.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	goodputSlots   = 64
-	goodputService = 50.0 // mean, in ms
-	goodputWarm    = 5 * tackclock.Second
-	goodputSpan    = 30 * tackclock.Second
+	goodputSlots    = 64
+	goodputService  = 50.0 // mean, in ms
+	goodputWarmup   = 5 * tackclock.Second
+	goodputDuration = 30 * tackclock.Second
 )
 
 type (
-	// admission is what stands between callers and slots.
+	// admission is an admission policy.
 	admission interface {
 		offer(now tackclock.Time, r tacklimit.Request) (started, refused bool)
 		release(now tackclock.Time, id uint64) []uint64
@@ -30,33 +30,33 @@
 
 	gateAdmission struct{ gate tacklimit.Gate }
 
-	// fifoAdmission is the plain baseline: a queue without a bound, first
-	// come first served, that does not know of deadlines.
+	// fifoAdmission is the baseline: an unbounded first-in, first-out queue
+	// that ignores deadlines.
 	fifoAdmission struct {
 		running int
 		queue   []uint64
 	}
 
-	// goodput is what a run counted after its warm-up.
+	// goodput holds the results of a run after its warm-up.
 	goodput struct {
-		// part is the slot time that went into requests answered in time, of
-		// all slot time.
+		// part is the fraction of slot time spent on requests that were
+		// answered in time.
 		part   float64
 		urgent tackclock.Duration // the longest wait for a start
-		// expired counts requests given up in the queue, late those that were
-		// answered after their deadline.
+		// expired counts requests that expired in the queue, late those that
+		// were answered after their deadline.
 		offered, refused, expired, late int
 	}
 
 	goodputModel struct {
-		way    admission
-		random *rand.Rand
-		now    tackclock.Time
-		known  map[uint64]offer
-		ends   map[tackclock.Time][]uint64
-		next   uint64
-		count  goodput
-		useful tackclock.Duration
+		policy   admission
+		random   *rand.Rand
+		now      tackclock.Time
+		requests map[uint64]timedRequest
+		ends     map[tackclock.Time][]uint64
+		next     uint64
+		count    goodput
+		useful   tackclock.Duration
 	}
 )
 
@@ -94,15 +94,15 @@
 
 func (a *fifoAdmission) tick(tackclock.Time) (started, expired []uint64) { return nil, nil }
 
-// runGoodput sends a multiple of what 64 slots can do: a tenth urgent, a fifth
-// batch, from 45 teams, with exponential times of service and callers that wait
-// for two seconds.
-func runGoodput(way admission, multiple float64, seed uint64) goodput {
-	m := &goodputModel{way: way, random: rand.New(rand.NewPCG(seed, 5)), now: tackclock.Time(tackclock.Hour),
-		known: make(map[uint64]offer), ends: make(map[tackclock.Time][]uint64)}
+// runGoodput simulates a load that is a multiple of the capacity of 64 slots: a
+// tenth of the requests urgent, a fifth batch, from 45 teams, with exponential
+// service times and a deadline of two seconds.
+func runGoodput(policy admission, multiple float64, seed uint64) goodput {
+	m := &goodputModel{policy: policy, random: rand.New(rand.NewPCG(seed, 5)), now: tackclock.Time(tackclock.Hour),
+		requests: make(map[uint64]timedRequest), ends: make(map[tackclock.Time][]uint64)}
 	mean := multiple * goodputSlots / goodputService
-	warm := m.now.Add(goodputWarm)
-	for end := warm.Add(goodputSpan); m.now < end; m.now++ {
+	warm := m.now.Add(goodputWarmup)
+	for end := warm.Add(goodputDuration); m.now < end; m.now++ {
 		if m.now == warm {
 			m.count, m.useful = goodput{}, 0
 		}
@@ -111,12 +111,12 @@
 			m.arrive()
 		}
 		if m.now%10 == 0 {
-			started, expired := m.way.tick(m.now)
+			started, expired := m.policy.tick(m.now)
 			m.start(started)
 			m.count.expired += len(expired)
 		}
 	}
-	m.count.part = float64(m.useful) / float64(goodputSpan) / goodputSlots
+	m.count.part = float64(m.useful) / float64(goodputDuration) / goodputSlots
 	return m.count
 }
 
@@ -124,14 +124,14 @@
 	ids := m.ends[m.now]
 	delete(m.ends, m.now)
 	for _, id := range ids {
-		o := m.known[id]
+		o := m.requests[id]
 		if m.now <= o.Deadline {
-			m.useful += o.takes
+			m.useful += o.serviceTime
 		} else {
 			m.count.late++
 		}
-		delete(m.known, id)
-		m.start(m.way.release(m.now, id))
+		delete(m.requests, id)
+		m.start(m.policy.release(m.now, id))
 	}
 }
 
@@ -145,10 +145,10 @@
 		class = tackid.ClassBatch
 	}
 	r := tacklimit.Request{ID: m.next, Team: teamOf(m.random.IntN(45)), Class: class, Deadline: m.now.Add(2 * tackclock.Second)}
-	takes := 1 + tackclock.Duration(m.random.ExpFloat64()*(goodputService-1))
-	m.known[r.ID] = offer{Request: r, takes: takes, offered: m.now}
+	serviceTime := 1 + tackclock.Duration(m.random.ExpFloat64()*(goodputService-1))
+	m.requests[r.ID] = timedRequest{Request: r, serviceTime: serviceTime, offered: m.now}
 	m.count.offered++
-	started, refused := m.way.offer(m.now, r)
+	started, refused := m.policy.offer(m.now, r)
 	if started {
 		m.start([]uint64{r.ID})
 	}
@@ -159,8 +159,8 @@
 
 func (m *goodputModel) start(ids []uint64) {
 	for _, id := range ids {
-		o := m.known[id]
-		at := m.now.Add(o.takes)
+		o := m.requests[id]
+		at := m.now.Add(o.serviceTime)
 		m.ends[at] = append(m.ends[at], id)
 		if o.Class == tackid.ClassUrgent {
 			m.count.urgent = max(m.count.urgent, m.now.Sub(o.offered))
@@ -176,14 +176,13 @@
 
 func newFIFOAdmission() admission { return new(fifoAdmission) }
 
-// Symptom: past saturation the service answers fewer and fewer requests in
-// time, and in the end none.
-// Sequence: callers send more than the slots can do, and leave after two seconds.
-// Cause: slots were spent on requests that had waited too long to be of use.
+// Past saturation, with callers that leave after two seconds, the service must
+// still answer requests in time. The goodput fell towards zero when slots were
+// spent on requests that had waited too long to be answered in time.
 func TestGoodputPastSaturation(t *testing.T) {
 	for _, multiple := range []float64{1.2, 2, 5} {
 		t.Run(fmt.Sprint(multiple, " times the capacity"), func(t *testing.T) {
-			convey.Convey("Most slot time is of use, and urgent work starts in time", t, func() {
+			convey.Convey("Most slot time goes to requests answered in time, and urgent ones start in time", t, func() {
 				for seed := range uint64(3) {
 					g := runGoodput(newGateAdmission(), multiple, seed)
 					convey.So(g.part, convey.ShouldBeGreaterThan, 0.95)
@@ -195,16 +194,16 @@
 }
 
 func BenchmarkGoodput(b *testing.B) {
-	ways := []struct {
+	policies := []struct {
 		name string
 		make func() admission
 	}{{"gate", newGateAdmission}, {"fifo", newFIFOAdmission}}
 	for _, multiple := range []float64{0.5, 1, 2, 5} {
-		for _, way := range ways {
-			b.Run(fmt.Sprintf("load=%v/%s", multiple, way.name), func(b *testing.B) {
+		for _, policy := range policies {
+			b.Run(fmt.Sprintf("load=%v/%s", multiple, policy.name), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					g := runGoodput(way.make(), multiple, 1)
+					g := runGoodput(policy.make(), multiple, 1)
 					b.ReportMetric(100*g.part, "goodput_%")
 					b.ReportMetric(float64(g.urgent), "urgent_wait_ms")
 					b.ReportMetric(100*float64(g.refused)/float64(g.offered), "refused_%")
--- a/core/tacklimit/machine_test.go
+++ b/core/tacklimit/machine_test.go
@@ -19,16 +19,16 @@
 type (
 	state uint8
 
-	// known is what the model knows of one request.
-	known struct {
+	// modelRequest is a request with its state in the model.
+	modelRequest struct {
 		tacklimit.Request
 		gate    int
 		state   state
 		offered tackclock.Time
 	}
 
-	// gateMachine runs two Gates with common quotas against a plain record of
-	// every request.
+	// gateMachine compares two Gates with common quotas to a model that keeps
+	// the state of every request.
 	gateMachine struct {
 		quotas   tacklimit.Quotas
 		gates    [2]*tacklimit.Gate
@@ -36,13 +36,13 @@
 		bounds   map[tackid.Team]int
 		now      tackclock.Time
 		ticked   tackclock.Time
-		requests map[uint64]*known
+		requests map[uint64]*modelRequest
 		next     uint64
 	}
 )
 
 func newGateMachine() *gateMachine {
-	m := &gateMachine{now: tackclock.Time(tackclock.Hour), requests: make(map[uint64]*known)}
+	m := &gateMachine{now: tackclock.Time(tackclock.Hour), requests: make(map[uint64]*modelRequest)}
 	for i := range m.gates {
 		m.gates[i] = &tacklimit.Gate{Quotas: &m.quotas, Settings: tacklimit.Settings{Queue: 12}}
 		m.capacity[i] = 2
@@ -59,38 +59,38 @@
 		Team:  rapid.SampledFrom([]tackid.Team{"a", "b", "c"}).Draw(t, "team"),
 		Class: tackid.Class(rapid.IntRange(0, 2).Draw(t, "class")),
 	}
-	if rapid.Bool().Draw(t, "hurries") {
-		r.Deadline = m.now.Add(tackclock.Duration(rapid.IntRange(0, 1500).Draw(t, "within")))
+	if rapid.Bool().Draw(t, "has deadline") {
+		r.Deadline = m.now.Add(tackclock.Duration(rapid.IntRange(0, 1500).Draw(t, "deadline")))
 	}
 	verdict := m.gates[i].Offer(m.now, r)
-	m.requests[r.ID] = &known{Request: r, gate: i, state: isQueued, offered: m.now}
+	m.requests[r.ID] = &modelRequest{Request: r, gate: i, state: isQueued, offered: m.now}
 	switch verdict.Decision {
 	case tacklimit.Admitted:
-		m.begun(t, i, []uint64{r.ID})
+		m.started(t, i, []uint64{r.ID})
 	case tacklimit.Refused:
 		m.requests[r.ID].state = hasEnded
 		if verdict.Refusal.RetryAfter <= 0 {
-			t.Fatalf("refused with no time to come back: %v", verdict.Err())
+			t.Fatalf("refused without RetryAfter: %v", verdict.Err())
 		}
 	}
 	if again := m.gates[i].Offer(m.now, r); verdict.Decision != tacklimit.Refused && again.Decision != tacklimit.Refused {
-		t.Fatalf("offered twice, decided %v and %v", verdict, again)
+		t.Fatalf("request offered twice; decisions %v and %v", verdict, again)
 	}
 }
 
 func (m *gateMachine) Release(t *rapid.T) {
 	m.now = m.now.Add(tackclock.Duration(rapid.IntRange(0, 1500).Draw(t, "later")))
-	if id, ok := m.some(t, isRunning); ok {
+	if id, ok := m.draw(t, isRunning); ok {
 		m.requests[id].state = hasEnded
 		i := m.requests[id].gate
-		m.begun(t, i, m.gates[i].Release(m.now, id))
+		m.started(t, i, m.gates[i].Release(m.now, id))
 		m.checkNoSlotWasted(t, i)
 	}
 }
 
 func (m *gateMachine) Cancel(t *rapid.T) {
 	for _, state := range []state{isQueued, isRunning} {
-		id, ok := m.some(t, state)
+		id, ok := m.draw(t, state)
 		if !ok {
 			continue
 		}
@@ -109,7 +109,7 @@
 	m.tick(t)
 }
 
-// tick ticks both gates.
+// tick calls Tick on both gates.
 func (m *gateMachine) tick(t *rapid.T) {
 	for i, g := range m.gates {
 		started, expired := g.Tick(m.now)
@@ -119,10 +119,10 @@
 			}
 			m.requests[id].state = hasEnded
 		}
-		m.begun(t, i, started)
+		m.started(t, i, started)
 	}
 	m.ticked = m.now
-	m.checkNothingForgotten(t)
+	m.checkWaiting(t)
 	m.checkQuotaUsed(t)
 }
 
@@ -134,7 +134,7 @@
 
 func (m *gateMachine) SetQuotas(t *rapid.T) {
 	m.bounds = map[tackid.Team]int{"a": rapid.IntRange(0, 3).Draw(t, "quota")}
-	if m.bounds["a"] == 0 && rapid.Bool().Draw(t, "lifted") {
+	if m.bounds["a"] == 0 && rapid.Bool().Draw(t, "no bounds") {
 		m.gates[m.gate(t)].SetQuotas(m.bounds)
 		m.bounds = nil
 	} else {
@@ -143,7 +143,7 @@
 	m.tick(t)
 }
 
-// Check holds that both sides count alike.
+// Check compares the counts of the gates and the model.
 func (m *gateMachine) Check(t *rapid.T) {
 	for i, g := range m.gates {
 		if got, want := g.Running(), m.count(i, isRunning); got != want {
@@ -155,12 +155,13 @@
 	}
 }
 
-// begun holds what must be true of every start.
-func (m *gateMachine) begun(t *rapid.T, gate int, ids []uint64) {
+// started marks the requests as running and checks that they were allowed to
+// start.
+func (m *gateMachine) started(t *rapid.T, gate int, ids []uint64) {
 	for _, id := range ids {
 		r := m.requests[id]
 		if r == nil || r.state != isQueued || r.gate != gate {
-			t.Fatalf("gate %d started request %d, which does not wait there: %+v", gate, id, r)
+			t.Fatalf("gate %d started request %d, which isn't queued there: %+v", gate, id, r)
 		}
 		if r.Deadline != 0 && m.now >= r.Deadline {
 			t.Fatalf("started request %d at %d, after its deadline %d", id, m.now, r.Deadline)
@@ -181,20 +182,21 @@
 		team := m.requests[id].Team
 		bound, ok := m.bounds[team]
 		if held := m.held(team); ok && held > bound {
-			t.Fatalf("started for team %s, which holds %d of %d", team, held, bound)
+			t.Fatalf("started a request of team %s, which holds %d slots of a quota of %d", team, held, bound)
 		}
 	}
 }
 
-// mayBeGivenUp reports whether the request has waited for half of its patience,
-// which is when the Gate may find that it can't be answered in time any more.
-func (r *known) mayBeGivenUp(now tackclock.Time) bool {
+// mayExpire reports whether half of the time between the request's arrival and
+// its deadline has passed, after which the Gate may find that it can no longer
+// be answered in time.
+func (r *modelRequest) mayExpire(now tackclock.Time) bool {
 	return r.Deadline != 0 && now.Sub(r.offered) >= r.Deadline.Sub(r.offered)/2
 }
 
-// checkNothingForgotten holds after a Tick that nobody waits past the deadline
-// and that no slot is free for one that waits.
-func (m *gateMachine) checkNothingForgotten(t *rapid.T) {
+// checkWaiting checks after a Tick that no request waits past its deadline and
+// that no slot is free for a waiting request.
+func (m *gateMachine) checkWaiting(t *rapid.T) {
 	for id, r := range m.requests {
 		if r.state == isQueued && r.Deadline != 0 && m.now >= r.Deadline {
 			t.Fatalf("request %d still waits at %d, after its deadline %d", id, m.now, r.Deadline)
@@ -204,27 +206,27 @@
 	m.checkNoSlotWasted(t, 1)
 }
 
-// checkNoSlotWasted holds that no slot of the gate is free for a request that
-// waits there. A team with a bound is left out, since it may have been freed at
-// the other gate, and until the next Tick tells so is one that may have been
-// given up.
+// checkNoSlotWasted checks that no slot of the gate is free for a request that
+// waits there. It skips teams with a bound, since a slot of their quota may have
+// been released at the other gate, and requests that may have expired but that
+// no Tick has reported yet.
 func (m *gateMachine) checkNoSlotWasted(t *rapid.T, gate int) {
 	for id, r := range m.requests {
 		_, bounded := m.bounds[r.Team]
 		if r.state != isQueued || r.gate != gate || bounded {
 			continue
 		}
-		if m.now > m.ticked && r.mayBeGivenUp(m.now) {
+		if m.now > m.ticked && r.mayExpire(m.now) {
 			continue
 		}
 		if m.count(gate, isRunning)+m.reserve(r) < m.capacity[gate] {
-			t.Fatalf("request %d of class %v waits though a slot is free", id, r.Class)
+			t.Fatalf("request %d of class %v waits, but a slot is free", id, r.Class)
 		}
 	}
 }
 
-// checkQuotaUsed holds after a Tick that a team below its quota does not wait
-// for a free slot, wherever its own slots came free.
+// checkQuotaUsed checks after a Tick that no request of a team below its quota
+// waits while a slot is free, whichever gate released the team's slots.
 func (m *gateMachine) checkQuotaUsed(t *rapid.T) {
 	for id, r := range m.requests {
 		bound, bounded := m.bounds[r.Team]
@@ -232,15 +234,15 @@
 			continue
 		}
 		if m.count(r.gate, isRunning)+m.reserve(r) < m.capacity[r.gate] {
-			t.Fatalf("request %d of team %s waits below its quota", id, r.Team)
+			t.Fatalf("request %d of team %s waits, but the team is below its quota", id, r.Team)
 		}
 	}
 }
 
-// reserve is how many free slots the request must leave: with four slots or
-// more one for the first urgent request of a team, and for the lower classes one
-// for urgent requests in general.
-func (m *gateMachine) reserve(r *known) int {
+// reserve returns how many free slots the request must leave: with four slots or
+// more, one for the first urgent request of a team, and for the lower classes
+// one for urgent requests in general.
+func (m *gateMachine) reserve(r *modelRequest) int {
 	n := 0
 	if m.capacity[r.gate] >= 4 {
 		n++
@@ -275,8 +277,8 @@
 	return rapid.IntRange(0, 1).Draw(t, "gate")
 }
 
-// some draws a request in the state.
-func (m *gateMachine) some(t *rapid.T, s state) (uint64, bool) {
+// draw draws a request in the state.
+func (m *gateMachine) draw(t *rapid.T, s state) (uint64, bool) {
 	var ids []uint64
 	for id := uint64(1); id <= m.next; id++ {
 		if r := m.requests[id]; r != nil && r.state == s {
--- a/core/tacklimit/quotas.go
+++ b/core/tacklimit/quotas.go
@@ -6,17 +6,18 @@
 	"auburntack/core/tackid"
 )
 
-// Quotas bounds the slots that each team holds at once over all Gates that
-// share it. A team without a bound may hold any number. The zero value has no
-// bounds. It is safe for concurrent use.
+// Quotas limits the number of slots that each team holds at once over all Gates
+// that share it. A team without a bound may hold any number. The zero value has
+// no bounds. It is safe for concurrent use.
 type Quotas struct {
 	mu     sync.Mutex
 	bounds map[tackid.Team]int
 	held   map[tackid.Team]int
 }
 
-// Set replaces all bounds. A team that holds more than its new bound keeps
-// what it has and gets no more. A bound of zero lets nothing start.
+// Set replaces all bounds. A team that holds more than its new bound keeps its
+// slots but gets no more until it is below the bound. With a bound of zero no
+// request of the team starts.
 func (q *Quotas) Set(bounds map[tackid.Team]int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -38,8 +39,9 @@
 	return ok
 }
 
-// take counts one more slot for the team, unless it holds its whole quota.
-func (q *Quotas) take(team tackid.Team) bool {
+// acquire counts one more slot for the team and reports whether its bound
+// allows it.
+func (q *Quotas) acquire(team tackid.Team) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if bound, ok := q.bounds[team]; ok && q.held[team] >= bound {
@@ -52,8 +54,8 @@
 	return true
 }
 
-// give counts one slot less.
-func (q *Quotas) give(team tackid.Team) {
+// release counts one slot less for the team.
+func (q *Quotas) release(team tackid.Team) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.held[team]--
--- a/core/tacklimit/refusal.go
+++ b/core/tacklimit/refusal.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	// CodeNone is the code of no refusal.
+	// CodeNone means that the request is not refused.
 	CodeNone Code = ""
-	// CodeQueueFull refuses a request whose team has filled its part of the
-	// queue.
+	// CodeQueueFull refuses a request whose team already has as many
+	// requests waiting as it may.
 	CodeQueueFull Code = "queue_full"
 	// CodeTooLate refuses a request that could not start before its deadline.
 	CodeTooLate Code = "too_late"
-	// CodeDeadlinePassed refuses a request whose deadline has gone by.
+	// CodeDeadlinePassed refuses a request whose deadline has passed.
 	CodeDeadlinePassed Code = "deadline_passed"
-	// CodeDuplicate refuses a request whose ID waits or runs already.
+	// CodeDuplicate refuses a request with the ID of another that waits or
+	// runs.
 	CodeDuplicate Code = "duplicate"
 )
 
 const (
-	// minRetryAfter and maxRetryAfter bound what a refusal tells the caller.
+	// minRetryAfter and maxRetryAfter bound RefusedError.RetryAfter.
 	minRetryAfter = tackclock.Second
 	maxRetryAfter = tackclock.Minute
-	// spread is the part of the time by which refusals differ, so that those
-	// refused together do not come back together.
-	spread = 4
+	// retryJitterDivisor gives the part of the retry time that is added as
+	// jitter, so that callers refused together don't retry together.
+	retryJitterDivisor = 4
 )
 
 type (
@@ -37,7 +38,8 @@
 	// RefusedError says that a request was not run and will not be.
 	RefusedError struct {
 		Code Code
-		// RetryAfter is when to come back, by the present drain rate.
+		// RetryAfter is how long to wait before a retry, estimated from the
+		// current rate of starts.
 		RetryAfter tackclock.Duration
 	}
 )
@@ -47,7 +49,7 @@
 	return fmt.Sprintf("tacklimit: refused, %s, retry after %v", e.Code, e.RetryAfter)
 }
 
-// Err returns the refusal as an error, or nil.
+// Err returns the refusal as an error, or nil if the request was not refused.
 func (v Verdict) Err() error {
 	if v.Decision != Refused {
 		return nil
@@ -56,8 +58,8 @@
 	return &refusal
 }
 
-// RetryAfter returns when a request of the team and class that was given up
-// in the queue should come back.
+// RetryAfter returns how long the caller of a request that expired in the queue
+// should wait before a retry.
 func (g *Gate) RetryAfter(now tackclock.Time, r Request) tackclock.Duration {
 	return retryAfter(r.ID, g.expectedWait(now, g.teams[r.Team], r.Class))
 }
@@ -69,36 +71,37 @@
 	return Verdict{Decision: Refused, Refusal: RefusedError{Code: code, RetryAfter: retryAfter(r.ID, wait)}}
 }
 
-// admitToQueue returns why the request may not wait, or CodeNone, and the wait
-// that is expected.
+// admitToQueue returns the reason why the request may not be queued, or
+// CodeNone, and its expected wait.
 func (g *Gate) admitToQueue(now tackclock.Time, t *team, r Request) (Code, tackclock.Duration) {
 	wait := g.expectedWait(now, t, r.Class)
-	if t.lanes[r.Class].length >= g.room(r.Class) {
+	if t.subqueues[r.Class].length >= g.room(r.Class) {
 		return CodeQueueFull, wait
 	}
-	if r.Deadline != 0 && now.Add(wait).After(lastStart(now, r.Deadline, g.drain.longest())) {
+	if r.Deadline != 0 && now.Add(wait).After(latestStart(now, r.Deadline, g.stats.maxServiceTime())) {
 		return CodeTooLate, wait
 	}
 	return CodeNone, wait
 }
 
-// lastStart is the latest start for a request that takes as long as given to be
-// answered in time, though a caller is given half of its patience in any case. A
-// request that starts just before its deadline takes a slot, is answered too
-// late, and past saturation all of them would be.
-func lastStart(now, deadline tackclock.Time, takes tackclock.Duration) tackclock.Time {
-	return deadline.Add(-min(takes, deadline.Sub(now)/2))
+// latestStart returns the latest start at which a request with the given service
+// time is answered before its deadline, but no less than half of the time left
+// until the deadline from now. A request that starts just before its deadline
+// takes a slot and is answered too late, and past saturation that would happen
+// to all requests.
+func latestStart(now, deadline tackclock.Time, serviceTime tackclock.Duration) tackclock.Time {
+	return deadline.Add(-min(serviceTime, deadline.Sub(now)/2))
 }
 
-// room is how many requests of a class one team may have waiting: a multiple
-// of the free part of the queue, and a few in any case. One team that floods
-// stops at a part of the queue and two at less each, and there is always room
-// for the next; with a plain bound one team fills the queue and every other one
-// is refused.
+// room returns how many requests of a class one team may have waiting: a
+// multiple of the free places in the queue, and a few in any case. One team that
+// floods the queue is stopped at a part of it, two teams at a smaller part each,
+// so that there is always room for another team. With a fixed bound on the queue
+// one team could fill it and every other one would be refused.
 func (g *Gate) room(class tackid.Class) int {
 	limit := g.Settings.Queue
 	if limit == 0 {
-		limit = defaultQueue
+		limit = defaultQueueLimit
 	}
 	room := limit - g.Waiting()
 	switch class {
@@ -107,35 +110,36 @@
 	case tackid.ClassBatch:
 		room /= 2
 	}
-	return max(room, limit/sureDivisor, 1)
+	return max(room, limit/minRoomDivisor, 1)
 }
 
-// expectedWait is how long a request of the team and class that came now would
-// wait, by the present drain rate: behind the higher classes, and behind its
-// own class in fair order, of which its team gets one turn in as many as there
-// are teams waiting. A team at its quota waits for slots of its own.
+// expectedWait estimates from the current rate of starts how long a request of
+// the team and class that arrives now would wait: behind the higher classes, and
+// behind its own class in fair order, in which its team gets one turn in as many
+// as there are teams waiting. A team at its quota also waits until slots of its
+// own are released.
 func (g *Gate) expectedWait(now tackclock.Time, t *team, class tackid.Class) tackclock.Duration {
 	own := 0
 	if t != nil {
-		own = t.lanes[class].length
+		own = t.subqueues[class].length
 	}
-	ahead := min((own+1)*max(1, g.fair[class].lanes), g.waiting[class]+1)
-	for _, higher := range ranks {
+	ahead := min((own+1)*max(1, g.fairQueues[class].length), g.waiting[class]+1)
+	for _, higher := range classOrder {
 		if higher == class {
 			break
 		}
 		ahead += g.waiting[higher]
 	}
-	wait := g.drain.timeFor(now, ahead, class, g.capacity)
+	wait := g.stats.timeForStarts(now, ahead, class, g.capacity)
 	if t != nil && t.parked {
-		wait = max(wait, g.drain.typical()*tackclock.Duration(own+1)/tackclock.Duration(max(t.running, 1)))
+		wait = max(wait, g.stats.meanServiceTime()*tackclock.Duration(own+1)/tackclock.Duration(max(t.running, 1)))
 	}
 	return wait
 }
 
-// retryAfter bounds the time and spreads it by the request's ID.
+// retryAfter bounds the wait and adds jitter that depends on the request's ID.
 func retryAfter(id uint64, wait tackclock.Duration) tackclock.Duration {
 	wait = min(max(wait, minRetryAfter), maxRetryAfter)
-	part := max(wait/spread, 1)
-	return wait + tackclock.Duration(id*0x9e3779b97f4a7c15>>33)%part
+	jitter := max(wait/retryJitterDivisor, 1)
+	return wait + tackclock.Duration(id*0x9e3779b97f4a7c15>>33)%jitter
 }
--- a/core/tacklimit/reserve.go
+++ b/core/tacklimit/reserve.go
@@ -6,76 +6,77 @@
 )
 
 const (
-	// leastReserve is the part of the slots of which each reserve is at
-	// least one.
-	leastReserve = 64
-	// mostReserve is the part of the slots that the reserve for urgent
-	// requests never exceeds.
-	mostReserve = 8
-	// peakSpan is how long a peak counts, at least.
-	peakSpan = tackclock.Minute
+	// minReserveDivisor gives the part of the slots that each reserve has at
+	// least; no reserve has less than one slot.
+	minReserveDivisor = 64
+	// maxReserveDivisor gives the part of the slots that the reserve for
+	// urgent requests never exceeds.
+	maxReserveDivisor = 8
+	// peakWindow is the shortest time for which a value counts in a peak.
+	peakWindow = tackclock.Minute
 )
 
-// peak is the largest number of a recent time, kept in two spans so that old
-// ones fade.
+// peak is the largest recent value. It is kept in two windows, so that old
+// values expire.
 type peak struct {
-	since    tackclock.Time
-	now, old int
+	since             tackclock.Time
+	current, previous int
 }
 
-// slotFor reports whether a slot is free that the request may take.
+// hasSlotFor reports whether a slot is free that the request may take.
 //
-// Slots that come free soon are used by anyone. Work that may hold its slot for
-// long must leave some: without that, a flood of slow requests takes every slot
-// at once, and an urgent request that comes next waits until the first of them
-// ends, however long that is. One reserve is for urgent requests, one that
-// urgent requests must leave too is for those of a team that runs none, so that
-// one team's flood of urgent requests does not hold up another team's.
-func (g *Gate) slotFor(now tackclock.Time, t *team, r Request) bool {
+// Short requests may use any slot. Requests that may hold their slot for long
+// must leave some slots in reserve: otherwise a flood of slow requests takes
+// every slot at once, and the next urgent request waits until the first of them
+// ends, however long that takes. One reserve is for urgent requests. A second
+// one, which urgent requests must leave too, is for urgent requests of teams
+// that run none, so that a flood of urgent requests from one team doesn't delay
+// those of another.
+func (g *Gate) hasSlotFor(now tackclock.Time, t *team, r Request) bool {
 	free := g.capacity - g.Running()
 	if free <= 0 {
 		return false
 	}
-	if g.drain.short(now, r) {
+	if g.stats.isShort(now, r) {
 		return true
 	}
-	first := g.firstReserve()
+	first := g.firstUrgentReserve()
 	if r.Class == tackid.ClassUrgent {
-		return free > first || t.lanes[r.Class].running == 0
+		return free > first || t.subqueues[r.Class].running == 0
 	}
-	return free > first && g.lower() < g.capacity-first-g.urgentReserve(now)
+	return free > first && g.lowerRunning() < g.capacity-first-g.urgentReserve(now)
 }
 
-// firstReserve is the number of slots kept for urgent requests of teams that
-// run none.
-func (g *Gate) firstReserve() int {
+// firstUrgentReserve returns the number of slots reserved for urgent requests of
+// teams that run none.
+func (g *Gate) firstUrgentReserve() int {
 	if g.capacity < 4 {
 		return 0
 	}
-	return max(1, g.capacity/leastReserve)
+	return max(1, g.capacity/minReserveDivisor)
 }
 
-// urgentReserve is the number of slots kept for urgent requests: as many as
-// ran at once lately, within bounds.
+// urgentReserve returns the number of slots reserved for urgent requests: the
+// largest number that recently ran at once, within bounds.
 func (g *Gate) urgentReserve(now tackclock.Time) int {
 	if g.capacity < 2 {
 		return 0
 	}
-	least := max(1, g.capacity/leastReserve)
-	most := max(1, g.capacity/mostReserve)
-	return min(max(g.urgent.largest(now), least), most)
+	least := max(1, g.capacity/minReserveDivisor)
+	most := max(1, g.capacity/maxReserveDivisor)
+	return min(max(g.urgentPeak.largest(now), least), most)
 }
 
 func (p *peak) add(now tackclock.Time, n int) {
-	if now.Sub(p.since) >= peakSpan {
-		p.old, p.now, p.since = p.now, 0, now
+	if now.Sub(p.since) >= peakWindow {
+		p.previous, p.current, p.since = p.current, 0, now
 	}
-	p.now = max(p.now, n)
+	p.current = max(p.current, n)
 }
 
 func (p *peak) largest(now tackclock.Time) int {
-	if now.Sub(p.since) >= 2*peakSpan {
+	if now.Sub(p.since) >= 2*peakWindow {
 		return 0
 	}
-	return max(p.now, p.old)
+	return max(p.current, p.previous)
 }
--- a/core/tacklimit/table.go
+++ b/core/tacklimit/table.go
@@ -1,21 +1,21 @@
 package tacklimit
 
 const (
-	// slab is how many entries are allocated together.
-	slab = 64
-	// leastTable is the length of the smallest table.
-	leastTable = 64
+	// slabSize is the number of entries that are allocated together.
+	slabSize = 64
+	// minTableSize is the length of the smallest table.
+	minTableSize = 64
 )
 
-// table finds entries by ID and hands out free ones.
+// table is a hash table of entries by ID with a free list of entries.
 //
-// IDs are counted up, so requests that arrive together lie together in the
-// table and in memory. With a map, whose order is random, a hundred thousand
-// cancellations cost nearly twice as much each as a thousand do, since every
-// one waits for memory.
+// IDs are assigned in increasing order, so requests that arrive together are
+// adjacent in the table and in memory. With a map, whose order is random, each
+// of a hundred thousand cancellations costs nearly twice as much as each of a
+// thousand, because of cache misses.
 type table struct {
-	// cells holds chains of the entries whose ID modulo the length is the
-	// same. The length is a power of two.
+	// cells holds at each index a chain of the entries whose ID modulo the
+	// length is that index. The length is a power of two.
 	cells []*entry
 	used  int
 	free  *entry
@@ -29,7 +29,7 @@
 	return *t.find(id)
 }
 
-// add returns a new entry for a request whose ID is not there.
+// add returns a new entry for a request whose ID is not in the table.
 func (t *table) add(r Request) *entry {
 	if t.used >= len(t.cells) {
 		t.grow()
@@ -45,7 +45,7 @@
 	return e
 }
 
-// remove takes the entry out and keeps it for another request.
+// remove deletes the entry and puts it on the free list.
 func (t *table) remove(e *entry) {
 	*t.find(e.ID) = e.chain
 	t.used--
@@ -53,18 +53,19 @@
 	t.free = e
 }
 
-// find returns where the entry with the ID hangs, or the end of its chain.
+// find returns the link that points to the entry with the ID, or the nil link at
+// the end of its chain.
 func (t *table) find(id uint64) **entry {
-	at := &t.cells[id&uint64(len(t.cells)-1)]
-	for *at != nil && (*at).ID != id {
-		at = &(*at).chain
+	link := &t.cells[id&uint64(len(t.cells)-1)]
+	for *link != nil && (*link).ID != id {
+		link = &(*link).chain
 	}
-	return at
+	return link
 }
 
 func (t *table) grow() {
 	old := t.cells
-	t.cells = make([]*entry, max(leastTable, 2*len(old)))
+	t.cells = make([]*entry, max(minTableSize, 2*len(old)))
 	for _, e := range old {
 		for e != nil {
 			next := e.chain
@@ -76,7 +77,7 @@
 }
 
 func (t *table) refill() {
-	entries := make([]entry, slab)
+	entries := make([]entry, slabSize)
 	for i := range entries[1:] {
 		entries[i].chain = &entries[i+1]
 	}
--- a/core/tacklimit/team.go
+++ b/core/tacklimit/team.go
@@ -5,11 +5,12 @@
 )
 
 const (
-	// maxTeams is how many teams a Gate tells apart at once. Callers choose
-	// the name of their team; without a bound one caller that makes names up
-	// would get a fair share for each.
+	// maxTeams is how many teams a Gate distinguishes at once. Callers choose
+	// the name of their team, so without a bound a caller that makes up names
+	// would get a fair share for each of them.
 	maxTeams = 256
-	// otherTeams stands for all teams beyond maxTeams that have no quota.
+	// otherTeams is the common name of all teams beyond maxTeams that have
+	// no quota.
 	otherTeams tackid.Team = "\x00others"
 )
 
@@ -18,25 +19,26 @@
 	team struct {
 		name    tackid.Team
 		running int
-		// parked says that it holds its whole quota, as last seen.
-		parked bool
-		lanes  [classes]lane
+		// parked reports whether the team held its whole quota when a request
+		// of it last tried to start.
+		parked    bool
+		subqueues [numClasses]subqueue
 	}
 
-	// lane holds the requests of one team and class that wait, first come
-	// first. It is listed in the fair order of its class while it has some
-	// and its team is not parked.
-	lane struct {
+	// subqueue holds the waiting requests of one team and class in order of
+	// arrival. It is listed in the fairQueue of its class while it is not
+	// empty and its team is not parked.
+	subqueue struct {
 		team       *team
 		head, tail *entry
 		length     int
 		running    int
 		listed     bool
-		prev, next *lane
+		prev, next *subqueue
 	}
 )
 
-// teamOf returns the team of that name, and makes it if it is new.
+// teamOf returns the team with the name, and adds it if it is new.
 func (g *Gate) teamOf(name tackid.Team) *team {
 	if t := g.teams[name]; t != nil {
 		return t
@@ -48,20 +50,21 @@
 		g.teams = make(map[tackid.Team]*team)
 	}
 	t := &team{name: name}
-	for class := range t.lanes {
-		t.lanes[class].team = t
+	for class := range t.subqueues {
+		t.subqueues[class].team = t
 	}
 	g.teams[name] = t
 	return t
 }
 
-// forget drops a team that has nothing waiting and nothing running.
+// forget deletes a team that has no request waiting or running, if there are
+// many teams.
 func (g *Gate) forget(t *team) {
 	if t.running > 0 || g.teams[t.name] != t {
 		return
 	}
-	for class := range t.lanes {
-		if t.lanes[class].length > 0 {
+	for class := range t.subqueues {
+		if t.subqueues[class].length > 0 {
 			return
 		}
 	}
@@ -70,15 +73,15 @@
 	}
 }
 
-// park takes a team that holds its whole quota out of the fair order.
+// park removes a team that holds its whole quota from the fair order.
 func (g *Gate) park(t *team) {
 	t.parked = true
 	t.relist(g)
 	g.parked = append(g.parked, t)
 }
 
-// unpark lets every parked team try again. A slot of its quota may have come
-// free at another Gate, which this one does not hear of.
+// unpark lets every parked team try again, since a slot of its quota may have
+// been released at another Gate.
 func (g *Gate) unpark() {
 	for _, t := range g.parked {
 		t.parked = false
@@ -91,7 +94,7 @@
 func (t *team) started(g *Gate, class tackid.Class) {
 	t.unlist(g, class)
 	t.running++
-	t.lanes[class].running++
+	t.subqueues[class].running++
 	t.relist(g)
 }
 
@@ -99,59 +102,60 @@
 func (t *team) released(g *Gate, class tackid.Class) {
 	t.unlist(g, class)
 	t.running--
-	t.lanes[class].running--
+	t.subqueues[class].running--
 	t.parked = false
 	t.relist(g)
 }
 
-// push puts the entry at the end of its lane.
+// push appends the entry to its subqueue.
 func (t *team) push(g *Gate, e *entry) {
-	l := &t.lanes[e.Class]
-	e.prev = l.tail
-	if l.tail == nil {
-		l.head = e
+	q := &t.subqueues[e.Class]
+	e.prev = q.tail
+	if q.tail == nil {
+		q.head = e
 	} else {
-		l.tail.next = e
+		q.tail.next = e
 	}
-	l.tail = e
-	l.length++
+	q.tail = e
+	q.length++
 	t.relist(g)
 }
 
-// drop takes the entry out of its lane.
+// drop removes the entry from its subqueue.
 func (t *team) drop(g *Gate, e *entry) {
-	l := &t.lanes[e.Class]
+	q := &t.subqueues[e.Class]
 	if e.prev == nil {
-		l.head = e.next
+		q.head = e.next
 	} else {
 		e.prev.next = e.next
 	}
 	if e.next == nil {
-		l.tail = e.prev
+		q.tail = e.prev
 	} else {
 		e.next.prev = e.prev
 	}
 	e.prev, e.next = nil, nil
-	l.length--
+	q.length--
 	t.relist(g)
 }
 
-// relist lists exactly those lanes that may start a request.
+// relist updates the fair order so that exactly the subqueues that may start a
+// request are listed.
 func (t *team) relist(g *Gate) {
-	for class := range t.lanes {
-		l := &t.lanes[class]
-		want := l.length > 0 && !t.parked
-		if want && !l.listed {
-			g.fair[class].add(l)
+	for class := range t.subqueues {
+		q := &t.subqueues[class]
+		want := q.length > 0 && !t.parked
+		if want && !q.listed {
+			g.fairQueues[class].add(q)
 		}
-		if !want && l.listed {
-			g.fair[class].remove(l)
+		if !want && q.listed {
+			g.fairQueues[class].remove(q)
 		}
 	}
 }
 
 func (t *team) unlist(g *Gate, class tackid.Class) {
-	if l := &t.lanes[class]; l.listed {
-		g.fair[class].remove(l)
+	if q := &t.subqueues[class]; q.listed {
+		g.fairQueues[class].remove(q)
 	}
 }
--- a/core/tacklimit/urgent_test.go
+++ b/core/tacklimit/urgent_test.go
@@ -12,81 +12,81 @@
 )
 
 type (
-	// offer is a request with the time that it will take.
-	offer struct {
+	// timedRequest is a request with its service time.
+	timedRequest struct {
 		tacklimit.Request
-		takes   tackclock.Duration
-		offered tackclock.Time
+		serviceTime tackclock.Duration
+		offered     tackclock.Time
 	}
 
-	// floor drives a Gate by a model clock.
-	floor struct {
+	// simulation runs requests through a Gate on a simulated clock.
+	simulation struct {
 		gate    tacklimit.Gate
 		now     tackclock.Time
 		next    uint64
-		offers  map[uint64]offer
+		offers  map[uint64]timedRequest
 		ends    map[uint64]tackclock.Time
 		waits   map[tackid.Team][]tackclock.Duration
 		refused map[tackid.Team]int
-		late    int
+		expired int
 	}
 )
 
-func newFloor(slots int) *floor {
-	f := &floor{now: tackclock.Time(tackclock.Hour), offers: make(map[uint64]offer),
+func newSimulation(slots int) *simulation {
+	s := &simulation{now: tackclock.Time(tackclock.Hour), offers: make(map[uint64]timedRequest),
 		ends: make(map[uint64]tackclock.Time), waits: make(map[tackid.Team][]tackclock.Duration),
 		refused: make(map[tackid.Team]int)}
-	f.gate.SetCapacity(slots)
-	return f
+	s.gate.SetCapacity(slots)
+	return s
 }
 
-// offer brings a request that waits at most patience.
-func (f *floor) offer(team tackid.Team, class tackid.Class, takes, patience tackclock.Duration) tacklimit.Verdict {
-	f.next++
-	r := tacklimit.Request{ID: f.next, Team: team, Class: class, Deadline: f.now.Add(patience)}
-	f.offers[r.ID] = offer{Request: r, takes: takes, offered: f.now}
-	v := f.gate.Offer(f.now, r)
+// offer offers a request with the service time and a deadline after the timeout.
+func (s *simulation) offer(team tackid.Team, class tackid.Class, serviceTime, timeout tackclock.Duration) tacklimit.Verdict {
+	s.next++
+	r := tacklimit.Request{ID: s.next, Team: team, Class: class, Deadline: s.now.Add(timeout)}
+	s.offers[r.ID] = timedRequest{Request: r, serviceTime: serviceTime, offered: s.now}
+	v := s.gate.Offer(s.now, r)
 	switch v.Decision {
 	case tacklimit.Admitted:
-		f.start(r.ID)
+		s.start(r.ID)
 	case tacklimit.Refused:
-		f.refused[team]++
+		s.refused[team]++
 	}
 	return v
 }
 
-func (f *floor) start(ids ...uint64) {
+func (s *simulation) start(ids ...uint64) {
 	for _, id := range ids {
-		o := f.offers[id]
-		f.ends[id] = f.now.Add(o.takes)
-		f.waits[o.Team] = append(f.waits[o.Team], f.now.Sub(o.offered))
+		o := s.offers[id]
+		s.ends[id] = s.now.Add(o.serviceTime)
+		s.waits[o.Team] = append(s.waits[o.Team], s.now.Sub(o.offered))
 	}
 }
 
-// run lets a span pass and calls arrive before each millisecond of it.
-func (f *floor) run(span tackclock.Duration, arrive func()) {
-	for end := f.now.Add(span); f.now < end; f.now++ {
+// run advances the clock by the span and calls arrive before each millisecond.
+func (s *simulation) run(span tackclock.Duration, arrive func()) {
+	for end := s.now.Add(span); s.now < end; s.now++ {
 		arrive()
 		var done []uint64
-		for id, at := range f.ends {
-			if at <= f.now {
+		for id, at := range s.ends {
+			if at <= s.now {
 				done = append(done, id)
 			}
 		}
 		for _, id := range done {
-			delete(f.ends, id)
-			f.start(f.gate.Release(f.now, id)...)
+			delete(s.ends, id)
+			s.start(s.gate.Release(s.now, id)...)
 		}
-		if f.now%10 == 0 {
-			started, expired := f.gate.Tick(f.now)
-			f.start(started...)
-			f.late += len(expired)
+		if s.now%10 == 0 {
+			started, expired := s.gate.Tick(s.now)
+			s.start(started...)
+			s.expired += len(expired)
 		}
 	}
 }
 
-func (f *floor) every(interval tackclock.Duration, do func()) {
-	if f.now%tackclock.Time(interval) == 0 {
+func (s *simulation) every(interval tackclock.Duration, do func()) {
+	if s.now%tackclock.Time(interval) == 0 {
 		do()
 	}
 }
@@ -99,55 +99,54 @@
 	return most
 }
 
-// assertPrompt holds that the team had at least n starts, none refused and each
-// within 2.3 s.
-func assertPrompt(f *floor, team tackid.Team, n int) {
-	convey.So(f.refused[team], convey.ShouldEqual, 0)
-	convey.So(len(f.waits[team]), convey.ShouldBeGreaterThanOrEqualTo, n)
-	convey.So(largest(f.waits[team]), convey.ShouldBeLessThanOrEqualTo, 2300*tackclock.Millisecond)
+// assertPrompt checks that at least n requests of the team started, each within
+// 2.3 s, and that none was refused.
+func assertPrompt(s *simulation, team tackid.Team, n int) {
+	convey.So(s.refused[team], convey.ShouldEqual, 0)
+	convey.So(len(s.waits[team]), convey.ShouldBeGreaterThanOrEqualTo, n)
+	convey.So(largest(s.waits[team]), convey.ShouldBeLessThanOrEqualTo, 2300*tackclock.Millisecond)
 }
 
-// Symptom: emergency dispatch waits for many seconds.
-// Sequence: others send work of ten seconds until every slot and the queue are
-// full; an urgent request comes.
-// Cause: either the queue was full of lower classes, or no slot comes free
-// before the first of the slow requests ends.
+// An urgent request must start in time after other teams have filled all slots
+// and the queue with requests of ten seconds. It waited for many seconds when
+// the queue was full of requests of lower classes, or when no slot was released
+// before the first of the slow requests ended.
 func TestUrgentStartsUnderFlood(t *testing.T) {
 	floods := []struct {
-		name  string
-		teams int
-		class func(i int) tackid.Class
-		takes tackclock.Duration
+		name        string
+		teams       int
+		class       func(i int) tackid.Class
+		serviceTime tackclock.Duration
 	}{
-		{"one team floods with normal work", 1, func(int) tackid.Class { return tackid.ClassNormal }, 10 * tackclock.Second},
-		{"44 teams flood with normal and batch work", 44, func(i int) tackid.Class { return tackid.Class(i % 2 * 2) }, 10 * tackclock.Second},
-		{"one team floods with urgent work", 1, func(int) tackid.Class { return tackid.ClassUrgent }, 10 * tackclock.Second},
-		{"44 teams flood with short urgent work", 44, func(int) tackid.Class { return tackid.ClassUrgent }, 50 * tackclock.Millisecond},
+		{"flood of normal requests from one team", 1, func(int) tackid.Class { return tackid.ClassNormal }, 10 * tackclock.Second},
+		{"flood of normal and batch requests from 44 teams", 44, func(i int) tackid.Class { return tackid.Class(i % 2 * 2) }, 10 * tackclock.Second},
+		{"flood of urgent requests from one team", 1, func(int) tackid.Class { return tackid.ClassUrgent }, 10 * tackclock.Second},
+		{"flood of short urgent requests from 44 teams", 44, func(int) tackid.Class { return tackid.ClassUrgent }, 50 * tackclock.Millisecond},
 	}
 	for _, slots := range []int{5, 64} {
 		for _, flood := range floods {
 			t.Run(fmt.Sprintf("%d slots/%s", slots, flood.name), func(t *testing.T) {
 				convey.Convey(flood.name, t, func() {
-					f := newFloor(slots)
-					f.run(20*tackclock.Second, func() {
+					s := newSimulation(slots)
+					s.run(20*tackclock.Second, func() {
 						for i := range 4 {
-							team := tackid.Team(fmt.Sprint("flood-", (int(f.now)*4+i)%flood.teams))
-							f.offer(team, flood.class(int(f.now)+i), flood.takes, 30*tackclock.Second)
+							team := tackid.Team(fmt.Sprint("flood-", (int(s.now)*4+i)%flood.teams))
+							s.offer(team, flood.class(int(s.now)+i), flood.serviceTime, 30*tackclock.Second)
 						}
-						f.every(500, func() {
-							f.offer("dispatch", tackid.ClassUrgent, 50, 5*tackclock.Second)
+						s.every(500, func() {
+							s.offer("dispatch", tackid.ClassUrgent, 50, 5*tackclock.Second)
 						})
 					})
-					assertPrompt(f, "dispatch", 39)
+					assertPrompt(s, "dispatch", 39)
 				})
 			})
 		}
 	}
 }
 
-// Symptom: a team's requests are never started for as long as another floods.
-// Sequence: one team keeps the queue full of a higher class or of the same.
-// Cause: strict order by class, or first come first served over all teams.
+// Requests of a team must start while another team keeps the queue full of
+// requests of a higher class or the same one. They starved with a strict order
+// by class, and with first-in, first-out order over all teams.
 func TestNobodyStarves(t *testing.T) {
 	tests := []struct {
 		name         string
@@ -162,50 +161,48 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			convey.Convey(tt.name, t, func() {
-				f := newFloor(8)
-				f.run(20*tackclock.Second, func() {
-					f.offer("flood", tt.flood, 40, 30*tackclock.Second)
-					f.every(500, func() { f.offer("other", tt.other, 40, 30*tackclock.Second) })
+				s := newSimulation(8)
+				s.run(20*tackclock.Second, func() {
+					s.offer("flood", tt.flood, 40, 30*tackclock.Second)
+					s.every(500, func() { s.offer("other", tt.other, 40, 30*tackclock.Second) })
 				})
-				convey.So(len(f.waits["other"]), convey.ShouldBeGreaterThanOrEqualTo, tt.least)
+				convey.So(len(s.waits["other"]), convey.ShouldBeGreaterThanOrEqualTo, tt.least)
 			})
 		})
 	}
 }
 
-// Symptom: a caller waits until its deadline and then learns that nothing was
-// done, and comes back at once.
-// Sequence: work arrives at five times what the slots can do.
-// Cause: everything was queued, though the drain rate told at its arrival that
-// it could not start in time.
+// At five times the capacity, a request that can't start in time must be refused
+// when it arrives, with a time to wait before a retry. When all requests were
+// queued, callers waited until their deadline, got no answer and retried at once.
 func TestRefusedAtOnceWithTimeToComeBack(t *testing.T) {
 	convey.Convey("At five times the capacity", t, func() {
-		f := newFloor(10)
+		s := newSimulation(10)
 		var verdicts []tacklimit.Verdict
-		f.run(20*tackclock.Second, func() {
-			v := f.offer("many", tackid.ClassNormal, 100, 2*tackclock.Second)
-			if v.Decision == tacklimit.Refused && f.now > tackclock.Time(tackclock.Hour+10*tackclock.Second) {
+		s.run(20*tackclock.Second, func() {
+			v := s.offer("many", tackid.ClassNormal, 100, 2*tackclock.Second)
+			if v.Decision == tacklimit.Refused && s.now > tackclock.Time(tackclock.Hour+10*tackclock.Second) {
 				verdicts = append(verdicts, v)
 			}
 			for range 4 {
-				f.every(10, func() { f.offer("many", tackid.ClassNormal, 100, 2*tackclock.Second) })
+				s.every(10, func() { s.offer("many", tackid.ClassNormal, 100, 2*tackclock.Second) })
 			}
 		})
-		convey.Convey("refusals carry a time by the drain rate, and few expire in the queue", func() {
+		convey.Convey("refusals carry a retry time that fits the rate of starts, and few requests expire in the queue", func() {
 			convey.So(len(verdicts), convey.ShouldBeGreaterThan, 1000)
 			for _, v := range verdicts {
 				convey.So(v.Refusal.RetryAfter, convey.ShouldBeBetween, 1000, 3000)
 			}
-			convey.So(f.late, convey.ShouldBeLessThan, f.refused["many"]/50)
+			convey.So(s.expired, convey.ShouldBeLessThan, s.refused["many"]/50)
 		})
 	})
 }
 
-// Symptom: one team's flood has every other team refused with queue_full.
-// Sequence: the flood fills the queue before the others come.
-// Cause: the bound was on the queue as a whole.
+// A team must be admitted to the queue after other teams have queued all they
+// may. With a single bound on the whole queue, a flood from one team had every
+// other team refused with queue_full.
 func TestFloodLeavesRoomInQueue(t *testing.T) {
-	convey.Convey("With 20 teams that queue all they may", t, func() {
+	convey.Convey("With 20 teams that have as many requests queued as they may", t, func() {
 		var g tacklimit.Gate
 		id := uint64(0)
 		for team := range 20 {
@@ -220,25 +217,24 @@
 	})
 }
 
-// Symptom: a team with short requests gets hardly any slots.
-// Sequence: it shares the service with a team whose requests take 40 times as
-// long; both always have some waiting.
-// Cause: the teams took turns to start, instead of each holding as many slots.
+// A team with short requests must hold as many slots as one whose requests take
+// 40 times as long, when both always have requests waiting. When the teams took
+// turns to start requests instead, it got hardly any slots.
 func TestTeamsShareSlotsEvenly(t *testing.T) {
 	convey.Convey("With long and short requests on 16 slots", t, func() {
-		f := newFloor(16)
+		s := newSimulation(16)
 		var slotTime, short int
-		f.run(20*tackclock.Second, func() {
-			f.every(5, func() {
-				f.offer("long", tackid.ClassNormal, 2000, 30*tackclock.Second)
-				f.offer("short", tackid.ClassNormal, 50, 30*tackclock.Second)
+		s.run(20*tackclock.Second, func() {
+			s.every(5, func() {
+				s.offer("long", tackid.ClassNormal, 2000, 30*tackclock.Second)
+				s.offer("short", tackid.ClassNormal, 50, 30*tackclock.Second)
 			})
-			if f.now < tackclock.Time(tackclock.Hour+5*tackclock.Second) {
+			if s.now < tackclock.Time(tackclock.Hour+5*tackclock.Second) {
 				return
 			}
-			for id := range f.ends {
+			for id := range s.ends {
 				slotTime++
-				if f.offers[id].Team == "short" {
+				if s.offers[id].Team == "short" {
 					short++
 				}
 			}
--- a/core/tacklimit/wheel.go
+++ b/core/tacklimit/wheel.go
@@ -7,60 +7,61 @@
 	wheelStep    = 16 * tackclock.Millisecond
 )
 
-// wheel finds the requests whose time has run out. Adding and removing take
-// constant time, so that a burst of cancellations costs no more than its
-// number. A bucket holds every entry whose time falls in its step of any turn.
+// wheel is a timer wheel that finds expired entries. Adding and removing an
+// entry take constant time, so that the cost of a burst of cancellations is
+// proportional to its size. A bucket holds the entries whose expiry falls in its
+// step of any revolution.
 type wheel struct {
-	buckets [wheelBuckets]*entry
-	swept   tackclock.Time
-	count   int
+	buckets    [wheelBuckets]*entry
+	advancedTo tackclock.Time
+	count      int
 }
 
 func (w *wheel) add(now tackclock.Time, e *entry) {
 	if w.count == 0 {
-		w.swept = now
+		w.advancedTo = now
 	}
 	w.count++
-	b := w.bucket(e.giveUp)
-	e.later = *b
-	if e.later != nil {
-		e.later.earlier = e
+	b := w.bucket(e.expiry)
+	e.wheelNext = *b
+	if e.wheelNext != nil {
+		e.wheelNext.wheelPrev = e
 	}
 	*b = e
 }
 
 func (w *wheel) remove(e *entry) {
 	w.count--
-	if e.earlier == nil {
-		*w.bucket(e.giveUp) = e.later
+	if e.wheelPrev == nil {
+		*w.bucket(e.expiry) = e.wheelNext
 	} else {
-		e.earlier.later = e.later
+		e.wheelPrev.wheelNext = e.wheelNext
 	}
-	if e.later != nil {
-		e.later.earlier = e.earlier
+	if e.wheelNext != nil {
+		e.wheelNext.wheelPrev = e.wheelPrev
 	}
-	e.earlier, e.later = nil, nil
+	e.wheelPrev, e.wheelNext = nil, nil
 }
 
-// advance calls expire for each entry whose time is not after now; expire
-// removes it.
+// advance calls expire for each entry whose expiry is not after now. The callback
+// must remove the entry.
 func (w *wheel) advance(now tackclock.Time, expire func(*entry)) {
 	if w.count == 0 {
-		w.swept = now
+		w.advancedTo = now
 		return
 	}
-	from, to := step(w.swept), step(now)
+	from, to := step(w.advancedTo), step(now)
 	from = max(from, to-wheelBuckets+1)
 	for s := from; s <= to; s++ {
 		for e := w.buckets[s%wheelBuckets]; e != nil; {
-			later := e.later
-			if !now.Before(e.giveUp) {
+			next := e.wheelNext
+			if !now.Before(e.expiry) {
 				expire(e)
 			}
-			e = later
+			e = next
 		}
 	}
-	w.swept = now
+	w.advancedTo = now
 }
 
 func (w *wheel) bucket(t tackclock.Time) **entry {
