--- a/core/tackretry/aside.go
+++ b/core/tackretry/aside.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// defaultServers is on how many healthy backend servers a job must fail.
+	// defaultServers is the default of AsideSettings.Servers.
 	defaultServers = 3
-	// defaultJobs bounds how many failing jobs are kept in mind.
+	// defaultJobs is the default of AsideSettings.Jobs.
 	defaultJobs = 4096
-	// firstAside is how long a job is first set aside; each time that its
-	// next try fails lasts twice as long, up to longestAside.
+	// firstAside is how long a job is set aside at first. Each time that the
+	// next try fails, the duration doubles, up to longestAside.
 	firstAside   = tackclock.Minute
 	longestAside = tackclock.Hour
-	// forgetAfter is how long a failing job is kept in mind after its last
-	// failure, beyond the time that it is set aside.
+	// forgetAfter is how long a failing job is remembered after its last
+	// failure, in addition to the time for which it is set aside.
 	forgetAfter = 10 * tackclock.Minute
 )
 
 type (
-	// Job tells what a request asks for, so that it is known again. The Key
-	// is the idempotency key if there is one. The Shape is a hash of what the
-	// request consists of, zero if it is not known.
+	// Job identifies what a request asks for, so that repetitions of it are
+	// recognized. Key is the idempotency key, if there is one. Shape is a hash
+	// of the contents of the request, zero if unknown.
 	Job struct {
 		Service tackid.Service
 		Team    tackid.Team
@@ -34,76 +34,78 @@
 		Shape   uint64
 	}
 
-	// Failure is a try of a job that a backend server failed.
+	// Failure is a failed try of a job on a backend server.
 	Failure struct {
 		Job           Job
 		BackendServer tackid.BackendServer
-		// Healthy says that the backend server answers other requests. Only
-		// then does the failure speak against the job.
+		// Healthy reports whether the backend server answers other requests.
+		// Only then does the failure count against the job.
 		Healthy bool
 	}
 
-	// SetAside is a job that is not tried for now.
+	// SetAside is a job that is refused for now.
 	SetAside struct {
 		Job            Job
 		BackendServers []tackid.BackendServer
 		Since, Until   tackclock.Time
-		// Refused counts the requests for the job that were turned away.
+		// Refused counts the refused requests for the job.
 		Refused int
 	}
 
 	// AsideSettings are the tunables of an Aside. A zero field takes its
 	// default.
 	AsideSettings struct {
-		// Servers is on how many healthy backend servers a job must fail.
+		// Servers is the number of healthy backend servers on which a job
+		// must fail to be set aside.
 		Servers int
-		// Jobs bounds how many failing jobs are kept in mind.
+		// Jobs is the largest number of failing jobs that are remembered.
 		Jobs int
 	}
 
-	// Aside finds the jobs that can never run, and sets them aside. Such a job
-	// fails wherever it goes; a caller that repeats it for ever would use up
-	// slots and the retry budget, and have one backend server after another
-	// taken for broken.
+	// Aside detects the jobs that can never succeed, and sets them aside. Such
+	// a job fails on every backend server. A caller that keeps repeating it
+	// would use up slots and the retry budget, and cause one backend server
+	// after another to be considered broken.
 	//
-	// A job counts as such once it has failed on several backend servers that
-	// answer other requests, with no success between. It is then refused for
-	// a while, after which one request may try it again.
+	// A job is set aside once it has failed on several backend servers that
+	// answer other requests, with no success in between. It is then refused
+	// for a while, after which one request may try it again.
 	//
 	// The zero value is ready to use. It is not safe for concurrent use.
 	Aside struct {
 		Settings AsideSettings
 
-		jobs map[Job]*failing
+		jobs map[Job]*failureRecord
 	}
 
-	// failing is a job that failed lately.
-	failing struct {
-		servers []tackid.BackendServer
-		last    tackclock.Time
-		since   tackclock.Time
-		until   tackclock.Time
-		aside   tackclock.Duration
-		refused int
+	// failureRecord is the record of a job that failed recently.
+	failureRecord struct {
+		servers     []tackid.BackendServer
+		lastFailure tackclock.Time
+		since       tackclock.Time
+		until       tackclock.Time
+		asideFor    tackclock.Duration
+		refused     int
 	}
 )
 
-// Failed learns that a backend server failed the job. It reports whether the
-// job is set aside by that.
+// Failed records a failure of a job and reports whether it causes the job to be
+// set aside.
 func (a *Aside) Failed(now tackclock.Time, f Failure) bool {
 	if !f.Healthy {
 		return false
 	}
 	aside := false
 	for _, id := range f.Job.identities() {
-		if id != (Job{}) && a.strike(now, id, f.BackendServer) {
+		if id != (Job{}) && a.recordFailure(now, id, f.BackendServer) {
 			aside = true
 		}
 	}
 	return aside
 }
 
-// Answered learns that the job can run.
+// Answered records a success of the job, after which its failures no longer
+// count.
 func (a *Aside) Answered(job Job) {
 	if len(a.jobs) == 0 {
 		return
@@ -113,8 +115,8 @@
 	}
 }
 
-// Check returns for how long the job is still set aside, zero if it may be
-// tried. It counts the request as turned away if it is.
+// Check returns for how long the job is still set aside, or zero if it may be
+// tried. A request for a job that is set aside counts as refused.
 func (a *Aside) Check(now tackclock.Time, job Job) tackclock.Duration {
 	if len(a.jobs) == 0 {
 		return 0
@@ -122,11 +124,12 @@
 	var wait tackclock.Duration
 	for _, id := range job.identities() {
 		f := a.jobs[id]
-		if f == nil || f.aside == 0 {
+		if f == nil || f.asideFor == 0 {
 			continue
 		}
 		if !now.Before(f.until) {
-			// One request probes; the others wait for what becomes of it.
+			// This request is the probe; the others are refused until its
+			// outcome is known.
 			f.until = now.Add(firstAside)
 			continue
 		}
@@ -136,11 +139,11 @@
 	return wait
 }
 
-// List returns the jobs that are set aside, the longest first.
+// List returns the jobs that are set aside, in the order in which they were.
 func (a *Aside) List(now tackclock.Time) []SetAside {
 	var list []SetAside
 	for id, f := range a.jobs {
-		if f.aside > 0 && now.Before(f.until) {
+		if f.asideFor > 0 && now.Before(f.until) {
 			list = append(list, SetAside{Job: id, BackendServers: slices.Clone(f.servers),
 				Since: f.since, Until: f.until, Refused: f.refused})
 		}
@@ -153,61 +156,63 @@
 	return list
 }
 
-// strike counts a failure of the job on a backend server.
-func (a *Aside) strike(now tackclock.Time, id Job, server tackid.BackendServer) bool {
+// recordFailure counts a failure of the job on a backend server and reports
+// whether the job is set aside.
+func (a *Aside) recordFailure(now tackclock.Time, id Job, server tackid.BackendServer) bool {
 	f := a.jobs[id]
-	if f == nil || now.Sub(f.last) >= forgetAfter+f.aside {
-		f = a.remember(now, id)
+	if f == nil || now.Sub(f.lastFailure) >= forgetAfter+f.asideFor {
+		f = a.addRecord(now, id)
 	}
-	f.last = now
+	f.lastFailure = now
 	if !slices.Contains(f.servers, server) {
 		f.servers = append(f.servers, server)
 	}
-	if f.aside == 0 {
+	if f.asideFor == 0 {
 		if len(f.servers) < orDefault(a.Settings.Servers, defaultServers) {
 			return false
 		}
 		f.since = now
 	}
-	f.aside = min(max(2*f.aside, firstAside), longestAside)
-	f.until = now.Add(f.aside)
+	f.asideFor = min(max(2*f.asideFor, firstAside), longestAside)
+	f.until = now.Add(f.asideFor)
 	return true
 }
 
-// remember makes room for one more failing job, and drops the one that failed
-// longest ago if there is none.
-func (a *Aside) remember(now tackclock.Time, id Job) *failing {
+// addRecord adds a record for a failing job, and drops old records if there is no
+// room for it.
+func (a *Aside) addRecord(now tackclock.Time, id Job) *failureRecord {
 	if a.jobs == nil {
-		a.jobs = make(map[Job]*failing)
+		a.jobs = make(map[Job]*failureRecord)
 	}
 	if len(a.jobs) >= orDefault(a.Settings.Jobs, defaultJobs) {
-		a.forget(now)
+		a.dropOldRecords(now)
 	}
-	f := new(failing)
+	f := new(failureRecord)
 	a.jobs[id] = f
 	return f
 }
 
-// forget drops all jobs that are past their time, or else a quarter of those
-// that failed longest ago, so that its cost is shared by many failures.
-func (a *Aside) forget(now tackclock.Time) {
+// dropOldRecords drops all expired records. If there are none, it drops the quarter of
+// the jobs that failed longest ago, so that its cost is amortized over many
+// failures.
+func (a *Aside) dropOldRecords(now tackclock.Time) {
 	before := len(a.jobs)
-	maps.DeleteFunc(a.jobs, func(_ Job, f *failing) bool {
-		return now.Sub(f.last) >= forgetAfter+f.aside
+	maps.DeleteFunc(a.jobs, func(_ Job, f *failureRecord) bool {
+		return now.Sub(f.lastFailure) >= forgetAfter+f.asideFor
 	})
 	if len(a.jobs) < before {
 		return
 	}
 	ids := slices.SortedFunc(maps.Keys(a.jobs), func(x, y Job) int {
-		return cmp.Compare(a.jobs[x].last, a.jobs[y].last)
+		return cmp.Compare(a.jobs[x].lastFailure, a.jobs[y].lastFailure)
 	})
 	for _, id := range ids[:max(1, len(ids)/4)] {
 		delete(a.jobs, id)
 	}
 }
 
-// identities returns what the job is known by: its key, and its shape, each
-// zero if there is none.
+// identities returns the job identified by its key alone and by its shape alone,
+// each zero if there is none.
 func (j Job) identities() [2]Job {
 	var ids [2]Job
 	if j.Key != "" {
--- a/core/tackretry/aside_test.go
+++ b/core/tackretry/aside_test.go
@@ -11,7 +11,7 @@
 	"auburntack/core/tackretry"
 )
 
-var poison = tackretry.Job{Service: "names-api", Team: "clerks", Key: "k1", Shape: 7}
+var poisonJob = tackretry.Job{Service: "names-api", Team: "clerks", Key: "k1", Shape: 7}
 
 func fail(a *tackretry.Aside, now tackclock.Time, job tackretry.Job, healthy bool, servers ...tackid.BackendServer) {
 	for _, server := range servers {
@@ -19,50 +19,49 @@
 	}
 }
 
-// Symptom: one job that can never run fails on every backend server, again and
-// again, and takes slots and retries from others.
-// Sequence: its caller repeats it for ever, under the same key or another.
-// Cause: every request was looked at by itself.
+// A job that can never succeed must not fail on every backend server again and
+// again, and take slots and retries from other jobs, when its caller keeps
+// repeating it under the same key or another. It did when each request was
+// considered by itself.
 func TestJobThatNeverRunsIsSetAside(t *testing.T) {
-	otherKey := poison
+	otherKey := poisonJob
 	otherKey.Key = "k2"
 	convey.Convey("After a job failed on three healthy backend servers", t, func() {
 		var a tackretry.Aside
-		fail(&a, 0, poison, true, "s1", "s2", "s1")
-		convey.So(a.Check(1, poison), convey.ShouldEqual, 0)
-		fail(&a, 1, poison, true, "s3")
-		convey.Convey("it is refused, also under another key, and listed", func() {
-			convey.So(a.Check(2, poison), convey.ShouldBeGreaterThan, 0)
+		fail(&a, 0, poisonJob, true, "s1", "s2", "s1")
+		convey.So(a.Check(1, poisonJob), convey.ShouldEqual, 0)
+		fail(&a, 1, poisonJob, true, "s3")
+		convey.Convey("it is refused, also under another key, and is listed", func() {
+			convey.So(a.Check(2, poisonJob), convey.ShouldBeGreaterThan, 0)
 			convey.So(a.Check(2, otherKey), convey.ShouldBeGreaterThan, 0)
 			convey.So(a.List(2), convey.ShouldHaveLength, 2)
 			convey.So(a.List(2)[0].BackendServers, convey.ShouldHaveLength, 3)
 		})
-		convey.Convey("others are not", func() {
+		convey.Convey("other jobs are not", func() {
 			convey.So(a.Check(2, tackretry.Job{Service: "names-api", Team: "clerks", Shape: 8}), convey.ShouldEqual, 0)
 		})
-		convey.Convey("one request may try it later, and sets it aside for longer if it fails", func() {
+		convey.Convey("one request may try it later, and a failure sets it aside for longer", func() {
 			later := tackclock.Time(2 * tackclock.Minute)
-			convey.So(a.Check(later, poison), convey.ShouldEqual, 0)
-			convey.So(a.Check(later, poison), convey.ShouldBeGreaterThan, 0)
-			fail(&a, later, poison, true, "s1")
-			convey.So(a.Check(later.Add(90*tackclock.Second), poison), convey.ShouldBeGreaterThan, 0)
+			convey.So(a.Check(later, poisonJob), convey.ShouldEqual, 0)
+			convey.So(a.Check(later, poisonJob), convey.ShouldBeGreaterThan, 0)
+			fail(&a, later, poisonJob, true, "s1")
+			convey.So(a.Check(later.Add(90*tackclock.Second), poisonJob), convey.ShouldBeGreaterThan, 0)
 		})
-		convey.Convey("an answer ends it", func() {
-			a.Answered(poison)
-			convey.So(a.Check(2, poison), convey.ShouldEqual, 0)
+		convey.Convey("an answer clears it", func() {
+			a.Answered(poisonJob)
+			convey.So(a.Check(2, poisonJob), convey.ShouldEqual, 0)
 			convey.So(a.List(2), convey.ShouldBeEmpty)
 		})
 	})
 }
 
-// Symptom: after an outage good jobs are refused for minutes.
-// Sequence: every backend server fails; jobs fail on one after another.
-// Cause: failures of broken backend servers were held against the jobs.
+// Jobs must not be refused after an outage in which every backend server failed,
+// as they were when failures of broken backend servers counted against them.
 func TestOutageSetsNothingAside(t *testing.T) {
-	convey.Convey("When the backend servers fail everything", t, func() {
+	convey.Convey("When the backend servers fail all requests", t, func() {
 		var a tackretry.Aside
-		fail(&a, 0, poison, false, "s1", "s2", "s3", "s4")
-		convey.So(a.Check(1, poison), convey.ShouldEqual, 0)
+		fail(&a, 0, poisonJob, false, "s1", "s2", "s3", "s4")
+		convey.So(a.Check(1, poisonJob), convey.ShouldEqual, 0)
 	})
 }
 
--- a/core/tackretry/budget.go
+++ b/core/tackretry/budget.go
@@ -1,47 +1,48 @@
-// Package tackretry decides whether a request that failed is sent again.
+// Package tackretry decides whether a failed request is retried.
 //
-// A retry must be safe, must have time left, and must be paid for from the
-// budget of its service, which fills with the requests that arrive. So a
-// service whose backend servers fail gets little more load than without
-// retries, instead of a multiple.
+// A retry must be safe, must have time left, and takes a token from the retry
+// budget of its service, which is replenished by the requests that arrive. So a
+// service whose backend servers fail gets little more load than it would without
+// retries, instead of a multiple of it.
 package tackretry
 
 import "auburntack/core/tackclock"
 
 const (
-	// defaultRatio is the part of the requests that may be retried.
+	// defaultRatio is the default of Settings.Ratio.
 	defaultRatio = 0.1
-	// defaultBurst is the largest number of retries that can be saved up.
+	// defaultBurst is the default of Settings.Burst.
 	defaultBurst = 20
-	// defaultTries bounds the dispatches of one request, the first included.
+	// defaultTries is the default of Settings.Tries.
 	defaultTries = 3
-	// defaultMinLeft is the least time left in which a retry can help.
+	// defaultMinLeft is the default of Settings.MinLeft.
 	defaultMinLeft = 20 * tackclock.Millisecond
 )
 
 const (
 	// ReasonNone is the reason of a retry that is allowed.
 	ReasonNone Reason = ""
-	// ReasonUnsafe: the request may have run and is not idempotent.
+	// ReasonUnsafe means that the request may have run and is not idempotent.
 	ReasonUnsafe Reason = "unsafe"
-	// ReasonTries: the request was tried often enough.
+	// ReasonTries means that the request has reached the limit of tries.
 	ReasonTries Reason = "tries"
-	// ReasonTime: too little time is left.
+	// ReasonTime means that too little time is left until the deadline.
 	ReasonTime Reason = "time"
-	// ReasonBudget: the service's budget is spent.
+	// ReasonBudget means that the retry budget of the service is exhausted.
 	ReasonBudget Reason = "budget"
 )
 
 type (
-	// Reason says why a request is not tried again.
+	// Reason is the reason why a request is not retried.
 	Reason string
 
-	// Attempt is a request after a dispatch that failed.
+	// Attempt describes a request after a failed dispatch.
 	Attempt struct {
-		// Idempotent says that running the request twice does no harm.
+		// Idempotent reports whether the request may safely run twice.
 		Idempotent bool
-		// SurelyNotRun says that no byte of it left, or that the backend
-		// server said itself that it did not run it.
+		// SurelyNotRun reports whether the request certainly has not run:
+		// either no byte of it was sent, or the backend server answered that
+		// it did not run it.
 		SurelyNotRun bool
 		// Tries counts the dispatches so far.
 		Tries int
@@ -49,7 +50,7 @@
 		TimeLeft tackclock.Duration
 	}
 
-	// Decision says whether to try again, and why not.
+	// Decision is whether to retry and, if not, why.
 	Decision struct {
 		Retry  bool
 		Reason Reason
@@ -57,40 +58,44 @@
 
 	// Settings are the tunables of a Budget. A zero field takes its default.
 	Settings struct {
-		// Ratio is the number of retries that each request pays for.
+		// Ratio is the number of retries that each request adds to the
+		// budget.
 		Ratio float64
-		// Burst is the largest number of retries that can be saved up.
+		// Burst is the largest number of retries that the budget can hold.
 		Burst float64
-		// Tries bounds the dispatches of one request, the first included.
+		// Tries is the largest number of dispatches of one request, including
+		// the first.
 		Tries int
-		// MinLeft is the least time left in which a retry can help.
+		// MinLeft is the least time until the deadline with which a retry is
+		// worthwhile.
 		MinLeft tackclock.Duration
 	}
 
-	// Budget pays for the retries of one service. Its zero value is ready to
-	// use and has a full burst saved up: with an empty one the first requests
-	// after a start would fail by one silent connection, though another
-	// backend server could have run them. It is not safe for concurrent use.
+	// Budget is the retry budget of one service, a token bucket. Its zero
+	// value is ready to use and full: with an empty budget, the first requests
+	// after a start would fail because of a single connection that does not
+	// answer, although another backend server could have run them. It is not
+	// safe for concurrent use.
 	Budget struct {
 		Settings Settings
 
-		spent    float64 // of the burst
+		spent    float64 // tokens taken from the full burst
 		requests uint64
 		retries  uint64
 	}
 )
 
-// Record counts a request that arrived for the service, and pays its part
-// into the budget. It is called once a request, before its first dispatch.
+// Record counts a request for the service and adds its ratio to the budget. It
+// must be called once per request, before the first dispatch.
 func (b *Budget) Record(tackclock.Time) {
 	b.requests++
 	b.spent = max(b.spent-b.ratio(), 0)
 }
 
-// Decide says whether the attempt may be followed by another, on another
-// backend server, and takes the retry from the budget if so.
+// Decide decides whether the request is retried on another backend server, and
+// takes the retry from the budget if so.
 func (b *Budget) Decide(_ tackclock.Time, a Attempt) Decision {
-	if reason := b.refuses(a); reason != ReasonNone {
+	if reason := b.refusalReason(a); reason != ReasonNone {
 		return Decision{Reason: reason}
 	}
 	b.spent++
@@ -98,18 +103,17 @@
 	return Decision{Retry: true}
 }
 
-// Requests returns how many requests were recorded, and Retries how many
-// retries were allowed.
+// Requests returns the number of requests recorded.
 func (b *Budget) Requests() uint64 {
 	return b.requests
 }
 
-// Retries returns how many retries were allowed.
+// Retries returns the number of retries allowed.
 func (b *Budget) Retries() uint64 {
 	return b.retries
 }
 
-func (b *Budget) refuses(a Attempt) Reason {
+func (b *Budget) refusalReason(a Attempt) Reason {
 	switch {
 	case !a.Idempotent && !a.SurelyNotRun:
 		return ReasonUnsafe
--- a/core/tackretry/model_test.go
+++ b/core/tackretry/model_test.go
@@ -15,7 +15,7 @@
 )
 
 type (
-	// budget decides on retries; the baseline always allows them.
+	// budget decides on retries; the baseline noBudget always allows them.
 	budget interface {
 		Record(tackclock.Time)
 		Decide(tackclock.Time, tackretry.Attempt) tackretry.Decision
@@ -23,32 +23,32 @@
 
 	noBudget struct{}
 
-	// chain is a request on its way through the backend servers.
-	chain struct {
-		tried []tackid.BackendServer
-		to    tackroute.Candidate
-		ends  tackclock.Time
-		fails bool
+	// inFlight is a request in flight, with the backend servers tried so far.
+	inFlight struct {
+		tried  []tackid.BackendServer
+		server tackroute.Candidate
+		ends   tackclock.Time
+		fails  bool
 	}
 
-	// retryModel sends requests, one each millisecond, to backend servers of
+	// retryModel sends one request each millisecond to backend servers of
 	// which some fail.
 	retryModel struct {
 		budget  budget
 		chooser tackroute.Chooser
 		random  *rand.Rand
-		rate    float64 // of failure on the bad half
-		// blind chooses at random, without regard to outcomes.
-		blind    bool
-		servers  []tackroute.Candidate
-		requests int
-		sent     int
-		answered int
-		flights  []chain
+		rate    float64 // failure rate of the bad half
+		// randomChoice chooses at random, without regard to outcomes.
+		randomChoice bool
+		servers      []tackroute.Candidate
+		requests     int
+		sent         int
+		answered     int
+		inFlight     []inFlight
 	}
 )
 
-const settle = 5 * tackclock.Second
+const warmUp = 5 * tackclock.Second
 
 func (noBudget) Record(tackclock.Time) {}
 
@@ -67,81 +67,80 @@
 	return m
 }
 
-// run returns the dispatches for each request, and the part that was answered,
-// once the budget has settled.
+// run returns the number of dispatches per request, and the part of the requests
+// that were answered, after a warm-up.
 func (m *retryModel) run(span tackclock.Duration) (dispatches, answered float64) {
-	for now := tackclock.Time(0); now < tackclock.Time(settle+span); now++ {
-		if now == tackclock.Time(settle) {
+	for now := tackclock.Time(0); now < tackclock.Time(warmUp+span); now++ {
+		if now == tackclock.Time(warmUp) {
 			m.requests, m.sent, m.answered = 0, 0, 0
 		}
-		m.land(now)
+		m.complete(now)
 		m.requests++
 		m.budget.Record(now)
-		m.dispatch(now, chain{})
+		m.dispatch(now, inFlight{})
 	}
 	return float64(m.sent) / float64(m.requests), float64(m.answered) / float64(m.requests)
 }
 
-func (m *retryModel) dispatch(now tackclock.Time, c chain) {
+func (m *retryModel) dispatch(now tackclock.Time, c inFlight) {
 	to, ok := m.pick(now, c.tried)
 	if !ok {
 		return
 	}
 	m.sent++
-	c.to = to
+	c.server = to
 	c.tried = append(c.tried, to.BackendServer)
 	c.ends = now.Add(20)
 	c.fails = to.BackendServer < "names-api-4" && m.random.Float64() < m.rate
 	if c.fails {
 		c.ends = now.Add(1)
 	}
-	m.flights = append(m.flights, c)
+	m.inFlight = append(m.inFlight, c)
 }
 
 func (m *retryModel) pick(now tackclock.Time, tried []tackid.BackendServer) (tackroute.Candidate, bool) {
-	if m.blind {
+	if m.randomChoice {
 		return m.servers[m.random.IntN(len(m.servers))], true
 	}
 	return m.chooser.Pick(now, tackroute.Ask{Home: "rennes-a", Exclude: tried})
 }
 
-func (m *retryModel) land(now tackclock.Time) {
-	flights := m.flights
-	m.flights = nil
+func (m *retryModel) complete(now tackclock.Time) {
+	flights := m.inFlight
+	m.inFlight = nil
 	for _, c := range flights {
 		switch {
 		case c.ends > now:
-			m.flights = append(m.flights, c)
+			m.inFlight = append(m.inFlight, c)
 		case c.fails:
-			m.chooser.Done(now, c.to, tackroute.Outcome{Result: tackroute.Failed, Latency: 1})
+			m.chooser.Done(now, c.server, tackroute.Outcome{Result: tackroute.Failed, Latency: 1})
 			attempt := tackretry.Attempt{Idempotent: true, Tries: len(c.tried), TimeLeft: tackclock.Second}
 			if m.budget.Decide(now, attempt).Retry {
 				m.dispatch(now, c)
 			}
 		default:
-			m.chooser.Done(now, c.to, tackroute.Outcome{Latency: 20})
+			m.chooser.Done(now, c.server, tackroute.Outcome{Latency: 20})
 			m.answered++
 		}
 	}
 }
 
-// Symptom: while half of the backend servers fail, the others get several times
-// the load that callers send, and fail too.
-// Sequence: each request that fails is sent again, and again.
-// Cause: nothing bounded the retries of a service as a whole.
+// While half of the backend servers fail, retries must not multiply the load on
+// the others until they fail too, as they did without a limit on the retries of
+// a service as a whole.
 func TestDispatchesStayBounded(t *testing.T) {
 	for _, rate := range []float64{1, 0.5, 0.2} {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("rate %v seed %d", rate, seed), func(t *testing.T) {
 				convey.Convey("With half of the backend servers failing", t, func() {
 					m := newRetryModel(new(tackretry.Budget), seed, rate)
-					convey.Convey("few requests are sent twice, and nearly all answered", func() {
+					convey.Convey("few requests are sent twice, and nearly all are answered", func() {
 						dispatches, answered := m.run(30 * tackclock.Second)
 						convey.So(dispatches, convey.ShouldBeLessThan, 1.2)
 						convey.So(answered, convey.ShouldBeGreaterThan, 0.9)
 					})
-					convey.Convey("few are sent twice also if they are chosen blindly", func() {
-						m.blind = true
+					convey.Convey("few requests are sent twice if backend servers are chosen at random", func() {
+						m.randomChoice = true
 						dispatches, _ := m.run(30 * tackclock.Second)
 						convey.So(dispatches, convey.ShouldBeLessThan, 1.2)
 					})
@@ -151,9 +150,10 @@
 	}
 }
 
-// Symptom: as above, when every backend server fails and none can be avoided.
+// As TestDispatchesStayBounded, but every backend server fails, so that none can
+// be avoided.
 func TestDispatchesStayBoundedWhenAllFail(t *testing.T) {
-	convey.Convey("With every retry allowed by all else", t, func() {
+	convey.Convey("With retries limited by the budget alone", t, func() {
 		b := budgetAfter(10000)
 		allowed := 0
 		for range 10000 {
@@ -168,16 +168,16 @@
 	})
 }
 
-// BenchmarkRetries shows the budget beside retries without one.
+// BenchmarkRetries compares retries with and without a budget.
 func BenchmarkRetries(b *testing.B) {
 	for _, rate := range []float64{1, 0.5, 0.2} {
-		for _, way := range []string{"budget", "no_budget", "random_choice_and_budget", "random_choice_and_no_budget"} {
-			b.Run(fmt.Sprintf("failing=%v/%s", rate, way), func(b *testing.B) {
+		for _, variant := range []string{"budget", "no_budget", "random_choice_and_budget", "random_choice_and_no_budget"} {
+			b.Run(fmt.Sprintf("failing=%v/%s", rate, variant), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
 					m := newRetryModel(new(tackretry.Budget), 1, rate)
-					m.blind = strings.HasPrefix(way, "random_choice")
-					if strings.HasSuffix(way, "no_budget") {
+					m.randomChoice = strings.HasPrefix(variant, "random_choice")
+					if strings.HasSuffix(variant, "no_budget") {
 						m.budget = noBudget{}
 					}
 					dispatches, answered := m.run(30 * tackclock.Second)
