--- a/core/tackroute/chooser.go
+++ b/core/tackroute/chooser.go
@@ -1,14 +1,13 @@
-// Package tackroute chooses the backend server that a request goes to.
+// Package tackroute chooses the backend server to which a request is sent.
 //
-// A Chooser serves one service on one peer. It sends work to the least
-// loaded backend server of its own data centre, and to other data centres when
-// its own has no slot free. It weighs each backend server by what became of
-// the requests sent there, so that one which fails everything fast does not
-// attract work by always being idle.
+// A Chooser serves one service on one peer. It chooses the least loaded backend
+// server in its own data centre, and uses other data centres when its own has no
+// free slot. It weights each backend server by the outcomes of the requests sent
+// there, so that one that fails all requests fast doesn't attract more of them
+// by being idle.
 //
-// The peers share no memory. Package tackshare divides the slots of each
-// backend server among them, and its shares tell the Chooser which part of each
-// it may fill.
+// The peers share no memory. Package tackshare divides the slots of each backend
+// server among them, and its shares limit how many slots of each a Chooser uses.
 package tackroute
 
 import (
@@ -19,32 +18,33 @@
 )
 
 const (
-	// Answered is the result of a request that the backend server answered
-	// whole, whatever the answer says, short of a server error.
+	// Answered is the result of a request to which the backend server gave a
+	// complete answer other than a server error.
 	Answered Result = iota
 	// Refused is the result of a request that the backend server refused
-	// without having run it.
+	// without running it.
 	Refused
 	// Failed is the result of a request that ended in a server error, a
-	// refused connection or a broken answer.
+	// refused connection or an incomplete answer.
 	Failed
-	// Silent is the result of a request on which no progress was seen within
-	// the bound for it.
+	// Silent is the result of a request that made no progress for longer than
+	// allowed.
 	Silent
-	// Cancelled is the result of a request that its caller gave up. It says
+	// Cancelled is the result of a request that its caller cancelled. It says
 	// nothing about the backend server.
 	Cancelled
 )
 
-// awayCost puts every candidate at home before all others.
-const awayCost = 1e6
+// remoteCost is added to the cost of candidates outside the home data centre, so
+// that all candidates at home come first.
+const remoteCost = 1e6
 
 type (
-	// Result is what became of a request that was sent to a backend server.
+	// Result is how a request that was sent to a backend server ended.
 	Result uint8
 
-	// Outcome is the end of one request as the backend server's doing. The
-	// latency is measured from the dispatch.
+	// Outcome is the result and latency of a request. The latency is measured
+	// from the dispatch.
 	Outcome struct {
 		Result  Result
 		Latency tackclock.Duration
@@ -63,10 +63,10 @@
 		Incarnation   tackid.Incarnation
 	}
 
-	// Table is what the peer may route by. It is never changed once
-	// published; a later one replaces it.
+	// Table is the routing table of a peer. It is immutable once published;
+	// a later one replaces it.
 	Table struct {
-		// Revision is the log index that the table follows from.
+		// Revision is the log index from which the table was derived.
 		Revision tackid.Revision
 		// Services has a key for every known service. A service without a
 		// backend server has an empty list.
@@ -75,12 +75,12 @@
 		Quotas map[tackid.Team]int
 		// Peers is the number of peers that share the slots.
 		Peers int
-		// HomeOnly says that this peer is cut off and may only use the
+		// HomeOnly reports whether this peer is cut off and may only use the
 		// backend servers of its own data centre.
 		HomeOnly bool
 	}
 
-	// Lot is one life of a backend server as a source of slots.
+	// Lot identifies the slots of one incarnation of a backend server.
 	Lot struct {
 		BackendServer tackid.BackendServer `cbor:"1,keyasint,omitempty"`
 		Incarnation   tackid.Incarnation   `cbor:"2,keyasint,omitempty"`
@@ -92,13 +92,13 @@
 		Slots int
 	}
 
-	// Ask is what one request needs of a backend server.
+	// Ask holds the requirements of one request on the backend server.
 	Ask struct {
-		// Home is the data centre that is preferred.
+		// Home is the preferred data centre.
 		Home tackid.DataCentre
 		// HomeOnly forbids every other data centre.
 		HomeOnly bool
-		// Exclude names the backend servers that were tried already.
+		// Exclude lists the backend servers that were already tried.
 		Exclude []tackid.BackendServer
 	}
 
@@ -113,39 +113,39 @@
 	// value is ready to use and has no candidates. It is not safe for
 	// concurrent use.
 	Chooser struct {
-		servers []*server
-		byName  map[tackid.BackendServer]*server
-		leaving map[Lot]*server
-		zones   map[tackid.DataCentre]*zone
-		rotor   uint32
-		latency float64
+		servers     []*server
+		byName      map[tackid.BackendServer]*server
+		leaving     map[Lot]*server
+		zones       map[tackid.DataCentre]*zone
+		scanOffset  uint32
+		meanLatency float64
 	}
 
-	// zone is the part of the candidates that is in one data centre.
+	// zone is the state for the candidates in one data centre.
 	zone struct {
 		inFlight int
-		// shares holds what this peer may fill of each lot, and bound how many
-		// requests it may have in flight there in all; nil if the slots are
-		// not shared.
+		// shares holds the number of slots that this peer may use on each
+		// lot; it is nil if the slots are not shared. bound is the total
+		// number of requests that the peer may have in flight in the zone.
 		shares map[Lot]int
 		bound  int
 	}
 
-	// server is what a Chooser remembers of one life of a backend server.
+	// server is the state of one incarnation of a backend server.
 	server struct {
 		Candidate
 		zone     *zone
 		inFlight int
-		// limit is how many slots this peer may fill.
+		// limit is how many slots this peer may use.
 		limit  int
 		record record
 	}
 )
 
 // SetCandidates replaces the candidates. A backend server that stays with the
-// same incarnation keeps its requests in flight, its share and what was learned
-// of it; one that went is no longer chosen, and its requests in flight still
-// count until they are done.
+// same incarnation keeps its requests in flight, its share and its record. One
+// that is removed is no longer chosen, but its requests in flight count until
+// they are done.
 func (c *Chooser) SetCandidates(candidates []Candidate) {
 	old := c.byName
 	c.byName = make(map[tackid.BackendServer]*server, len(candidates))
@@ -155,29 +155,30 @@
 	}
 	for name, s := range old {
 		if c.byName[name] != s && s.inFlight > 0 {
-			c.leave(s)
+			c.addLeaving(s)
 		}
 	}
 	c.readmit()
 }
 
-// readmit puts all candidates on probation if each has been ejected since it last answered.
-// They were ejected since others did better, and those are no candidates any more.
+// readmit puts all candidates on probation if each of them has been ejected since
+// it last answered. They were ejected because others did better, but those are
+// no longer candidates.
 func (c *Chooser) readmit() {
 	for _, s := range c.servers {
-		if s.record.until == 0 {
+		if s.record.ejectedUntil == 0 {
 			return
 		}
 	}
 	for _, s := range c.servers {
-		s.record.until = 0
+		s.record.ejectedUntil = 0
 	}
 }
 
-// Pick chooses a backend server and takes one of its slots, which Done gives
-// back. It returns false if none that may be used has a slot free.
+// Pick chooses a backend server and takes one of its slots, which Done releases.
+// It returns false if no backend server that may be used has a free slot.
 func (c *Chooser) Pick(now tackclock.Time, ask Ask) (Candidate, bool) {
-	c.rotor++
+	c.scanOffset++
 	s := c.best(now, ask, true)
 	if s == nil {
 		s = c.best(now, ask, false)
@@ -190,8 +191,8 @@
 	return s.Candidate, true
 }
 
-// Done gives back the slot that Pick took on the candidate and learns from
-// the outcome. It does nothing for a candidate with no request in flight.
+// Done releases the slot that Pick took on the candidate and records the
+// outcome. It does nothing for a candidate with no request in flight.
 func (c *Chooser) Done(now tackclock.Time, candidate Candidate, outcome Outcome) {
 	s := c.byName[candidate.BackendServer]
 	if s == nil || s.Incarnation != candidate.Incarnation {
@@ -203,18 +204,18 @@
 	}
 	s.inFlight--
 	s.zone.inFlight--
-	c.learn(now, s, outcome)
+	c.recordOutcome(now, s, outcome)
 }
 
 // Healthy reports whether a candidate answers most of its requests, so that a
-// failure there is more likely the request's own fault.
+// failure there is more likely caused by the request.
 func (c *Chooser) Healthy(name tackid.BackendServer) bool {
 	s := c.byName[name]
 	return s != nil && s.record.healthy()
 }
 
-// InFlight returns how many requests are in flight on a VM, also on backend
-// servers that are no candidates any more.
+// InFlight returns the number of requests in flight on a VM, including those on
+// backend servers that are no longer candidates.
 func (c *Chooser) InFlight(vm tackid.VM) int {
 	n := 0
 	for _, s := range c.servers {
@@ -230,7 +231,7 @@
 	return n
 }
 
-// Loads returns the requests in flight on each candidate that has any.
+// Loads returns the number of requests in flight on each candidate that has any.
 func (c *Chooser) Loads() []Load {
 	var loads []Load
 	for _, s := range c.servers {
@@ -241,9 +242,9 @@
 	return loads
 }
 
-// Capacity returns how many requests may be in flight at once on the
-// candidates that an ask may use, by the shares of this peer and without
-// those that are ejected.
+// Capacity returns how many requests this peer may have in flight at once on the
+// candidates that satisfy the ask, given its shares. Ejected candidates don't
+// count.
 func (c *Chooser) Capacity(now tackclock.Time, ask Ask) int {
 	n := 0
 	for dc, z := range c.zones {
@@ -254,9 +255,10 @@
 	return n
 }
 
-// SetShares limits what this peer may have in flight in a data centre: on each
-// lot its share, and bound in all. A lot without a share gets nothing, also one
-// that becomes a candidate later: its slots may all be another peer's.
+// SetShares limits the requests that this peer may have in flight in a data
+// centre: to its share on each lot, and to bound in total. A lot without a share
+// gets none, even if it becomes a candidate later, since all its slots may belong
+// to other peers.
 func (c *Chooser) SetShares(dc tackid.DataCentre, bound int, shares []Share) {
 	z := c.zoneOf(dc)
 	z.bound = bound
@@ -271,7 +273,7 @@
 	}
 }
 
-// InUse returns the slots taken on each life of a backend server.
+// InUse returns the number of slots in use on each lot that has any.
 func (c *Chooser) InUse() []Share {
 	var used []Share
 	for _, s := range c.servers {
@@ -298,8 +300,8 @@
 	return n
 }
 
-// add makes a candidate choosable, with what is remembered of it from the last
-// table or from when it left the one before.
+// add adds a candidate. It keeps the state of the same incarnation, either known
+// from the last table or among those that left.
 func (c *Chooser) add(candidate Candidate, known *server) {
 	lot := Lot{BackendServer: candidate.BackendServer, Incarnation: candidate.Incarnation}
 	if known == nil || known.Incarnation != candidate.Incarnation {
@@ -328,7 +330,7 @@
 	return z
 }
 
-func (c *Chooser) leave(s *server) {
+func (c *Chooser) addLeaving(s *server) {
 	if c.leaving == nil {
 		c.leaving = make(map[Lot]*server)
 	}
@@ -348,25 +350,25 @@
 	}
 }
 
-// best returns the least loaded candidate with a slot free, of the home data
-// centre if there is one. The scan starts at another candidate each time, so that
-// equals take turns.
+// best returns the candidate with a free slot and the lowest cost, from the home
+// data centre if possible. The scan starts at another candidate each time, so
+// that candidates of equal cost take turns.
 //
-// A data centre whose bound is reached is left out if bounded is set. It is used
-// only by a request that has nowhere else to go: one that was admitted before the
-// bound fell, and whose slot is still ours.
+// If bounded is set, data centres whose bound is reached are skipped. Those are
+// used only by a request that no other one can take: it was admitted before the
+// bound decreased, and this peer still holds its slot.
 func (c *Chooser) best(now tackclock.Time, ask Ask, bounded bool) *server {
 	var found *server
 	var foundCost float64
 	n := len(c.servers)
 	for i := range n {
-		s := c.servers[(int(c.rotor)+i)%n]
+		s := c.servers[(int(c.scanOffset)+i)%n]
 		if s.inFlight >= s.allowed(now) || (bounded && s.zone.full()) || !allows(ask, s) {
 			continue
 		}
-		cost := s.cost(c.latency)
+		cost := s.cost(c.meanLatency)
 		if s.DataCentre != ask.Home {
-			cost += awayCost
+			cost += remoteCost
 		}
 		if found == nil || cost < foundCost {
 			found, foundCost = s, cost
@@ -375,12 +377,12 @@
 	return found
 }
 
-// full reports whether no more requests should be in flight there.
+// full reports whether the bound of the zone is reached.
 func (z *zone) full() bool {
 	return z.shares != nil && z.inFlight >= z.bound
 }
 
-// allowed returns how many requests this peer may have in flight there.
+// allowed returns how many requests this peer may have in flight on the server.
 func (s *server) allowed(now tackclock.Time) int {
 	return min(s.limit, s.record.allowance(now))
 }
@@ -392,18 +394,19 @@
 	}
 }
 
-// cost is the time that one more request is expected to take there, relative
-// to others: the load after it, by latency and recent success.
+// cost returns the expected relative time of one more request on the server: the
+// load including that request, scaled by latency and divided by the recent
+// success rate.
 func (s *server) cost(meanLatency float64) float64 {
 	load := float64(s.inFlight+1) / float64(max(s.limit, 1))
-	return load * s.record.slowness(meanLatency) / s.record.weight()
+	return load * s.record.slowness(meanLatency) / s.record.successRate()
 }
 
 func (s *server) lot() Lot {
 	return Lot{BackendServer: s.BackendServer, Incarnation: s.Incarnation}
 }
 
-// allows reports whether the ask may be sent there.
+// allows reports whether the server satisfies the ask.
 func allows(ask Ask, s *server) bool {
 	if ask.HomeOnly && s.DataCentre != ask.Home {
 		return false
--- a/core/tackroute/chooser_test.go
+++ b/core/tackroute/chooser_test.go
@@ -34,7 +34,7 @@
 			convey.So(ok, convey.ShouldBeTrue)
 			convey.So(got.DataCentre, convey.ShouldEqual, here)
 		}
-		convey.Convey("the ninth goes elsewhere, and stays if home only is asked", func() {
+		convey.Convey("the ninth goes elsewhere, unless only home is allowed", func() {
 			_, ok := c.Pick(0, tackroute.Ask{Home: here, HomeOnly: true})
 			convey.So(ok, convey.ShouldBeFalse)
 			got, ok := c.Pick(0, tackroute.Ask{Home: here})
@@ -44,12 +44,11 @@
 	})
 }
 
-// Symptom: a VM is rebooted while a request still runs on it.
-// Sequence: a request is in flight; the backend server leaves the table and
-// announces itself again with a later incarnation, on another VM; a request to
-// the new life ends first.
-// Cause: work in flight was counted by name alone, so the end of the newer
-// request was taken for that of the older one.
+// Requests in flight must be counted by incarnation. A backend server leaves the
+// table with a request in flight and announces itself again on another VM with a
+// later incarnation, and a request to the new incarnation ends first. Counted by
+// name alone, the older request seemed to have ended, and its VM was rebooted
+// while it still ran there.
 func TestInFlightCountsByLife(t *testing.T) {
 	convey.Convey("After a backend server moved with a request in flight", t, func() {
 		var c tackroute.Chooser
@@ -68,11 +67,9 @@
 	})
 }
 
-// Symptom: a backend server that just announced itself gets more requests than it
-// has slots.
-// Sequence: slots are shared; a new backend server appears in the table before
-// this peer was granted a part of it.
-// Cause: a candidate without a share was taken for one whose slots are all ours.
+// With shared slots, a new backend server that appears in the table before this
+// peer was granted a share of it must get no requests. It got more requests than
+// it has slots when a candidate without a share counted as unshared.
 func TestNewCandidateWaitsForItsShare(t *testing.T) {
 	convey.Convey("With shares for one of two backend servers", t, func() {
 		var c tackroute.Chooser
@@ -86,12 +83,10 @@
 	})
 }
 
-// Symptom: a request that was admitted is refused a moment later for want of a
-// slot.
-// Sequence: two are admitted; before they are sent, the peer is asked to give
-// slots back, and its bound falls to one.
-// Cause: the bound, which is for requests yet to be admitted, was held against
-// those that were.
+// Admitted requests must find a slot even if the bound decreases before they are
+// sent. Two requests are admitted, and the bound decreases to one because the
+// peer is asked to return slots. One of them was refused for lack of a slot when
+// the bound, which limits the requests yet to be admitted, applied to them too.
 func TestAdmittedRequestsFindTheirSlots(t *testing.T) {
 	convey.Convey("With two slots held and a bound of one", t, func() {
 		var c tackroute.Chooser
--- a/core/tackroute/machine_test.go
+++ b/core/tackroute/machine_test.go
@@ -10,12 +10,12 @@
 	"auburntack/core/tackroute"
 )
 
-// chooserMachine runs a Chooser against a plain count of what is in flight.
+// chooserMachine compares a Chooser to a list of the requests in flight.
 type chooserMachine struct {
-	chooser tackroute.Chooser
-	now     tackclock.Time
-	table   []tackroute.Candidate
-	flying  []tackroute.Candidate
+	chooser  tackroute.Chooser
+	now      tackclock.Time
+	table    []tackroute.Candidate
+	inFlight []tackroute.Candidate
 }
 
 func (m *chooserMachine) SetCandidates(t *rapid.T) {
@@ -46,27 +46,27 @@
 	if ask.HomeOnly && got.DataCentre != here {
 		t.Fatalf("picked %s in %s, want %s only", got.BackendServer, got.DataCentre, here)
 	}
-	m.flying = append(m.flying, got)
+	m.inFlight = append(m.inFlight, got)
 }
 
 func (m *chooserMachine) Done(t *rapid.T) {
 	m.now = m.now.Add(tackclock.Duration(rapid.IntRange(0, 3000).Draw(t, "later")))
-	if len(m.flying) == 0 {
+	if len(m.inFlight) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(m.flying)-1).Draw(t, "which")
+	i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "which")
 	result := tackroute.Result(rapid.IntRange(int(tackroute.Answered), int(tackroute.Cancelled)).Draw(t, "result"))
-	m.chooser.Done(m.now, m.flying[i], tackroute.Outcome{Result: result, Latency: 10})
-	m.flying = append(m.flying[:i], m.flying[i+1:]...)
+	m.chooser.Done(m.now, m.inFlight[i], tackroute.Outcome{Result: result, Latency: 10})
+	m.inFlight = append(m.inFlight[:i], m.inFlight[i+1:]...)
 }
 
-// Check holds that nothing in flight is forgotten or counted twice, that no
-// life of a backend server has more in flight than slots, and that something
-// can be chosen while anything serves.
+// Check checks that every request in flight is counted exactly once, that no
+// incarnation of a backend server has more requests in flight than slots, and
+// that not all candidates are ejected.
 func (m *chooserMachine) Check(t *rapid.T) {
 	perVM := make(map[tackid.VM]int)
 	perLot := make(map[tackroute.Lot]int)
-	for _, c := range m.flying {
+	for _, c := range m.inFlight {
 		perVM[c.VM]++
 		perLot[tackroute.Lot{BackendServer: c.BackendServer, Incarnation: c.Incarnation}]++
 	}
--- a/core/tackroute/outcome_test.go
+++ b/core/tackroute/outcome_test.go
@@ -14,92 +14,91 @@
 	"auburntack/core/tackroute"
 )
 
-// flight is a request in a model of backend servers.
+// flight is a request in flight in the simulation.
 type flight struct {
 	to   tackroute.Candidate
 	ends tackclock.Time
 }
 
-// bench sends requests to backend servers of which some fail.
-type bench struct {
-	chooser tackroute.Chooser
-	now     tackclock.Time
-	fails   func(tackid.BackendServer) bool
-	flights []flight
-	sent    map[tackid.BackendServer]int
-	failed  int
-	pick    picker
-	random  *rand.Rand
+// simulation sends requests to simulated backend servers of which some fail.
+type simulation struct {
+	chooser  tackroute.Chooser
+	now      tackclock.Time
+	fails    func(tackid.BackendServer) bool
+	inFlight []flight
+	sent     map[tackid.BackendServer]int
+	failed   int
+	pick     picker
+	random   *rand.Rand
 }
 
-func newBench(servers int, fails func(tackid.BackendServer) bool) *bench {
-	b := &bench{fails: fails, sent: make(map[tackid.BackendServer]int), random: rand.New(rand.NewPCG(1, 1))}
-	b.pick = func(b *bench) (tackroute.Candidate, bool) {
-		return b.chooser.Pick(b.now, tackroute.Ask{Home: here})
+func newSimulation(servers int, fails func(tackid.BackendServer) bool) *simulation {
+	s := &simulation{fails: fails, sent: make(map[tackid.BackendServer]int), random: rand.New(rand.NewPCG(1, 1))}
+	s.pick = func(s *simulation) (tackroute.Candidate, bool) {
+		return s.chooser.Pick(s.now, tackroute.Ask{Home: here})
 	}
-	b.chooser.SetCandidates(candidates(here, servers))
-	return b
+	s.chooser.SetCandidates(candidates(here, servers))
+	return s
 }
 
-// run sends one request each millisecond. A failure takes 1 ms, an answer 20.
-func (b *bench) run(span tackclock.Duration) {
-	for end := b.now.Add(span); b.now < end; b.now++ {
-		b.land()
-		to, ok := b.pick(b)
+// run sends one request each millisecond. A failure takes 1 ms, an answer 20 ms.
+func (s *simulation) run(span tackclock.Duration) {
+	for end := s.now.Add(span); s.now < end; s.now++ {
+		s.complete()
+		to, ok := s.pick(s)
 		if !ok {
 			continue
 		}
-		b.sent[to.BackendServer]++
+		s.sent[to.BackendServer]++
 		took := tackclock.Duration(20)
-		if b.fails(to.BackendServer) {
+		if s.fails(to.BackendServer) {
 			took = 1
 		}
-		b.flights = append(b.flights, flight{to: to, ends: b.now.Add(took)})
+		s.inFlight = append(s.inFlight, flight{to: to, ends: s.now.Add(took)})
 	}
 }
 
-func (b *bench) land() {
-	var still []flight
-	for _, f := range b.flights {
-		if f.ends > b.now {
-			still = append(still, f)
+func (s *simulation) complete() {
+	var remaining []flight
+	for _, f := range s.inFlight {
+		if f.ends > s.now {
+			remaining = append(remaining, f)
 			continue
 		}
 		outcome := tackroute.Outcome{Latency: 20}
-		if b.fails(f.to.BackendServer) {
+		if s.fails(f.to.BackendServer) {
 			outcome = tackroute.Outcome{Result: tackroute.Failed, Latency: 1}
-			b.failed++
+			s.failed++
 		}
-		b.chooser.Done(b.now, f.to, outcome)
+		s.chooser.Done(s.now, f.to, outcome)
 	}
-	b.flights = still
+	s.inFlight = remaining
 }
 
-// Symptom: one broken backend server of eight fails most requests of the service.
-// Sequence: it fails each request within a millisecond, so it is idle whenever
-// the next request comes, and gets that one too.
-// Cause: the choice went by load alone.
+// One broken backend server of eight must not fail most requests of the service.
+// It fails each request within a millisecond, so it is idle whenever the next
+// request comes and, chosen by load alone, got that one too.
 func TestFastFailureAttractsNoWork(t *testing.T) {
 	convey.Convey("With one of eight backend servers failing at once", t, func() {
 		const bad tackid.BackendServer = "rennes-a-3"
 		broken := true
-		b := newBench(8, func(name tackid.BackendServer) bool { return broken && name == bad })
-		b.run(30 * tackclock.Second)
-		convey.So(b.failed, convey.ShouldBeLessThan, 20)
-		convey.Convey("it wins its share back by probes once it is mended", func() {
+		s := newSimulation(8, func(name tackid.BackendServer) bool { return broken && name == bad })
+		s.run(30 * tackclock.Second)
+		convey.So(s.failed, convey.ShouldBeLessThan, 20)
+		convey.Convey("it regains its share through probes once it works again", func() {
 			broken = false
-			b.run(20 * tackclock.Second)
-			clear(b.sent)
-			b.run(8 * tackclock.Second)
-			convey.So(b.sent[bad], convey.ShouldBeGreaterThan, 800)
+			s.run(20 * tackclock.Second)
+			clear(s.sent)
+			s.run(8 * tackclock.Second)
+			convey.So(s.sent[bad], convey.ShouldBeGreaterThan, 800)
 		})
 	})
 }
 
-// Symptom: a service refuses everything though its backend servers are up.
-// Sequence: a fault that all of them share fails every request for a while;
-// each is ejected in turn, and when the fault ends none may be chosen.
-// Cause: ejection looked at each backend server by itself.
+// A fault common to all backend servers must not get all of them ejected. When
+// ejection considered each backend server by itself, a fault that failed every
+// request for a while ejected one after another, and once it ended the service
+// still refused all requests.
 func TestNeverEjectsAll(t *testing.T) {
 	tests := []struct {
 		name string
@@ -111,20 +110,19 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			convey.Convey(tt.name, t, func() {
-				b := newBench(6, tt.bad)
+				s := newSimulation(6, tt.bad)
 				for range 1000 {
-					b.run(10)
-					convey.So(b.chooser.Capacity(b.now, tackroute.Ask{Home: here}), convey.ShouldBeGreaterThan, 0)
+					s.run(10)
+					convey.So(s.chooser.Capacity(s.now, tackroute.Ask{Home: here}), convey.ShouldBeGreaterThan, 0)
 				}
 			})
 		})
 	}
 }
 
-// Symptom: callers time out one after another on a backend server whose
-// connections go silent, while others are idle.
-// Sequence: three requests in a row end without progress.
-// Cause: a request that ends by silence was not held against the backend server.
+// A backend server on which three requests in a row made no progress must be
+// avoided. When such requests did not count as failures, callers timed out on it
+// one after another while other backend servers were idle.
 func TestSilentIsAvoided(t *testing.T) {
 	convey.Convey("After three silent requests", t, func() {
 		var c tackroute.Chooser
@@ -143,27 +141,28 @@
 	})
 }
 
-// picker is a way of choosing, for the comparison with plain baselines.
-type picker func(b *bench) (tackroute.Candidate, bool)
+// picker is a policy for choosing a backend server.
+type picker func(s *simulation) (tackroute.Candidate, bool)
 
-// BenchmarkChoice counts failed requests of 1,000 a second while one or four of
-// eight backend servers fail at once, beside plain ways of choosing.
+// BenchmarkChoice reports how many of 1,000 requests per second fail while one or
+// four of eight backend servers fail at once, for a Chooser and for baseline
+// policies.
 func BenchmarkChoice(b *testing.B) {
 	table := candidates(here, 8)
-	ways := map[string]picker{
+	policies := map[string]picker{
 		"chooser":      nil,
-		"least_loaded": func(b *bench) (tackroute.Candidate, bool) { return leastLoaded(b, table), true },
-		"random":       func(b *bench) (tackroute.Candidate, bool) { return table[b.random.IntN(8)], true },
-		"round_robin":  func(b *bench) (tackroute.Candidate, bool) { return table[int(b.now)%8], true },
+		"least_loaded": func(b *simulation) (tackroute.Candidate, bool) { return leastLoaded(b, table), true },
+		"random":       func(b *simulation) (tackroute.Candidate, bool) { return table[b.random.IntN(8)], true },
+		"round_robin":  func(b *simulation) (tackroute.Candidate, bool) { return table[int(b.now)%8], true },
 	}
 	for _, broken := range []int{1, 4} {
-		for _, name := range slices.Sorted(maps.Keys(ways)) {
+		for _, name := range slices.Sorted(maps.Keys(policies)) {
 			b.Run(fmt.Sprintf("broken=%d/%s", broken, name), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					m := newBench(8, func(s tackid.BackendServer) bool { return s < tackid.BackendServer(fmt.Sprint(here, "-", broken)) })
-					if ways[name] != nil {
-						m.pick = ways[name]
+					m := newSimulation(8, func(s tackid.BackendServer) bool { return s < tackid.BackendServer(fmt.Sprint(here, "-", broken)) })
+					if policies[name] != nil {
+						m.pick = policies[name]
 					}
 					m.run(30 * tackclock.Second)
 					b.ReportMetric(float64(m.failed)/300, "failed_%")
@@ -173,9 +172,9 @@
 	}
 }
 
-func leastLoaded(b *bench, table []tackroute.Candidate) tackroute.Candidate {
+func leastLoaded(s *simulation, table []tackroute.Candidate) tackroute.Candidate {
 	inFlight := make(map[tackid.BackendServer]int)
-	for _, f := range b.flights {
+	for _, f := range s.inFlight {
 		inFlight[f.to.BackendServer]++
 	}
 	best := table[0]
@@ -187,8 +186,9 @@
 	return best
 }
 
-// Guards against a service that answers nothing although a backend server serves: it was
-// ejected since others did better, and those have left since.
+// The last candidate must be readmitted if it was ejected because others did
+// better and those have left since. Otherwise the service answers no requests
+// although a backend server is available.
 func TestLastCandidateIsReadmitted(t *testing.T) {
 	var c tackroute.Chooser
 	table := candidates(here, 2)
@@ -199,10 +199,10 @@
 		c.Done(0, got, tackroute.Outcome{Result: tackroute.Silent})
 	}
 	if got := c.Capacity(0, others); got != table[0].Slots {
-		t.Fatalf("capacity of %d, want that of the other alone, %d", got, table[0].Slots)
+		t.Fatalf("capacity is %d, want that of the other candidate alone, %d", got, table[0].Slots)
 	}
 	c.SetCandidates(table[1:])
 	if got := c.Capacity(0, tackroute.Ask{Home: here}); got != 1 {
-		t.Errorf("capacity of %d with the ejected one alone, want a request on probation", got)
+		t.Errorf("capacity is %d with the ejected candidate alone, want 1, for a request on probation", got)
 	}
 }
