--- a/core/tackshare/allocate.go
+++ b/core/tackshare/allocate.go
@@ -8,90 +8,94 @@
 	"auburntack/core/tackroute"
 )
 
-// claimant is one holder in the division of a group.
+// claimant is a holder among which the slots of a group are divided.
 type claimant struct {
 	peer    tackid.Peer
 	session *session
 	want    int
 	held    int
-	// target is its fair part of what all want.
+	// target is its fair part of the slots.
 	target int
-	// spread says that it may hold more than it wants while nobody is short.
-	spread bool
+	// takesSpare reports whether it may hold more than it wants while no
+	// claimant is short.
+	takesSpare bool
 }
 
-// allocate divides the slots of a group that this peer owns: free ones go
-// to those that are short of their fair part, and what is still missing is
-// taken from those that hold more than theirs. While nobody is short the free
-// slots are spread, so that a burst finds some at hand.
+// allocate divides the slots of a group that this peer owns. Free slots go to
+// the claimants below their fair part; if those don't suffice, claimants that
+// hold more than their part are asked to return slots. While no claimant is
+// short, the free slots are distributed among all, so that a burst of requests
+// finds some.
 func (s *Sharer) allocate(now tackclock.Time, g *group) {
-	o := &g.owning
-	if !o.active || s.inherits(now, o) {
+	o := &g.ownership
+	if !o.active || s.awaitsClaims(now, o) {
 		return
 	}
 	claimants := s.claimants(g)
 	setTargets(claimants, g.total())
 	free := newFreeSlots(g)
-	for c := shortest(claimants); c != nil && free.give(c); {
-		c = shortest(claimants)
+	for c := furthestBelow(claimants); c != nil && free.grant(c); {
+		c = furthestBelow(claimants)
 	}
 	missing := 0
 	for i := range claimants {
 		missing += max(claimants[i].target-claimants[i].held, 0)
 	}
-	for c := roomiest(claimants); missing == 0 && c != nil && free.give(c); {
-		c = roomiest(claimants)
+	for c := leastSpare(claimants); missing == 0 && c != nil && free.grant(c); {
+		c = leastSpare(claimants)
 	}
 	setBounds(claimants, missing)
 }
 
-// inherits reports whether the group was taken over so recently that a holder
-// of the last owner's grants may not have claimed them yet. A grant now could
-// put two peers on one slot. A peer that has just started need not wait for those
-// that know of its start, since they have claimed what they hold.
-func (s *Sharer) inherits(now tackclock.Time, o *owning) bool {
-	if len(s.peers) == 1 || now.Sub(o.since) >= lease+margin {
+// awaitsClaims reports whether the group was taken over so recently that a holder
+// of grants from the previous owner may not have claimed them yet. A grant now
+// could assign a slot to two peers. A peer that has just started need not wait
+// if all others have acknowledged its current epoch, since they have then claimed
+// what they hold.
+func (s *Sharer) awaitsClaims(now tackclock.Time, o *ownership) bool {
+	if len(s.peers) == 1 || now.Sub(o.since) >= lease+leaseMargin {
 		return false
 	}
-	if o.since != s.began {
+	if o.since != s.startedAt {
 		return true
 	}
 	for _, l := range s.links {
-		if !l.knowsMe {
+		if !l.knowsEpoch {
 			return true
 		}
 	}
 	return false
 }
 
-// claimants returns the holders in the division. A member wants one slot at
-// least, if there are enough, so that its first request after a pause starts at once, and so that it
-// has something to go on with if it is cut off.
+// claimants returns the holders among which the group is divided. A member wants
+// at least one slot, if there are enough, so that its first request after a pause
+// starts at once and so that it keeps a slot if it is cut off.
 func (s *Sharer) claimants(g *group) []claimant {
 	members := g.members(s.live)
 	least := min(g.total()/len(members), 1)
 	var all []claimant
-	for _, peer := range sortedPeers(g.owning.sessions) {
-		h := g.owning.sessions[peer]
-		c := claimant{peer: peer, session: h, want: h.want, held: h.held(), spread: h.want > 0}
+	for _, peer := range sortedPeers(g.ownership.sessions) {
+		h := g.ownership.sessions[peer]
+		c := claimant{peer: peer, session: h, want: h.want, held: h.held(), takesSpare: h.want > 0}
 		if slices.Contains(members, peer) {
-			c.want, c.spread = max(c.want, least), true
+			c.want, c.takesSpare = max(c.want, least), true
 		}
 		all = append(all, c)
 	}
 	return all
 }
 
-// setTargets gives each claimant what it wants if there is enough for all.
-// Else each is sure of half an even part, and the rest goes by what is still
-// wanted, so that callers wait about equally long at a busy peer as at
-// others, and a flood at one does not stop the others.
+// setTargets sets the target of each claimant to what it wants, if there are
+// enough slots for all. Otherwise each is guaranteed half of an equal part, and
+// the rest is divided in proportion to the unmet demand, so that callers wait
+// about equally long at busy peers and at others, and a flood at one peer does
+// not starve the others.
 func setTargets(claimants []claimant, slots int) {
-	floor := max(slots/(2*max(len(claimants), 1)), min(slots/max(len(claimants), 1), 1))
+	guaranteed := max(slots/(2*max(len(claimants), 1)), min(slots/max(len(claimants), 1), 1))
 	unmet := 0
 	for i := range claimants {
 		c := &claimants[i]
-		c.target = min(c.want, floor)
+		c.target = min(c.want, guaranteed)
 		slots -= c.target
 		unmet += c.want - c.target
 	}
@@ -109,8 +113,8 @@
 	}
 }
 
-// shortest returns the claimant that is furthest below its target, or nil.
-func shortest(claimants []claimant) *claimant {
+// furthestBelow returns the claimant that is furthest below its target, or nil.
+func furthestBelow(claimants []claimant) *claimant {
 	var found *claimant
 	for i := range claimants {
 		c := &claimants[i]
@@ -121,21 +125,21 @@
 	return found
 }
 
-// roomiest returns the claimant to which a slot that nobody wants goes: the
-// one with the fewest beyond its want.
-func roomiest(claimants []claimant) *claimant {
+// leastSpare returns the claimant that gets the next spare slot: the one with the
+// fewest slots beyond what it wants. It returns nil if no claimant takes any.
+func leastSpare(claimants []claimant) *claimant {
 	var found *claimant
 	for i := range claimants {
 		c := &claimants[i]
-		if c.spread && (found == nil || c.held-c.want < found.held-found.want) {
+		if c.takesSpare && (found == nil || c.held-c.want < found.held-found.want) {
 			found = c
 		}
 	}
 	return found
 }
 
-// setBounds asks those that hold the most beyond their targets to return what
-// is missing, and lets everybody else keep what it holds.
+// setBounds reduces the bounds of the claimants that hold the most beyond their
+// targets, so that they return the missing slots. All others keep what they hold.
 func setBounds(claimants []claimant, missing int) {
 	bounds := make([]int, len(claimants))
 	for i := range claimants {
@@ -159,7 +163,7 @@
 	}
 }
 
-// freeSlots holds the slots of a group that nobody holds.
+// freeSlots counts by lot the slots of a group that are granted to no holder.
 type freeSlots struct {
 	group *group
 	free  []int
@@ -173,25 +177,26 @@
 	return f
 }
 
-// give grants one free slot, from the lots in turn so that a holder's slots
-// are spread over the backend servers. It returns false if there is none.
-func (f *freeSlots) give(c *claimant) bool {
+// grant grants one free slot. It takes the lots in turn, so that the slots of a
+// holder are spread over the backend servers. It returns false if no slot is
+// free.
+func (f *freeSlots) grant(c *claimant) bool {
 	lots := f.group.lots
 	for range lots {
-		i := f.group.owning.turn % len(lots)
-		f.group.owning.turn = i + 1
+		i := f.group.ownership.nextLot % len(lots)
+		f.group.ownership.nextLot = i + 1
 		if f.free[i] <= 0 {
 			continue
 		}
 		f.free[i]--
 		c.held++
-		c.session.granted(lots[i])
+		c.session.recordGrant(lots[i])
 		return true
 	}
 	return false
 }
 
-func (h *session) granted(lot tackroute.Lot) {
+func (h *session) recordGrant(lot tackroute.Lot) {
 	c := h.lots[lot]
 	if c == nil {
 		c = new(count)
--- a/core/tackshare/change_test.go
+++ b/core/tackshare/change_test.go
@@ -9,16 +9,16 @@
 	"auburntack/core/tackclock"
 )
 
-// change does something to the peers at its time, and counts the slots that may
-// be filled in the last second.
-type change struct {
+// scriptedChanges runs steps at given times, and records the largest number of
+// slots that may be in use from a given time on.
+type scriptedChanges struct {
 	*leasedShares
 	steps map[tackclock.Time]func(now tackclock.Time)
 	from  tackclock.Time
 	most  int
 }
 
-func (c *change) tick(now tackclock.Time, waiting []int) {
+func (c *scriptedChanges) tick(now tackclock.Time, waiting []int) {
 	if step := c.steps[now]; step != nil {
 		step(now)
 	}
@@ -34,21 +34,20 @@
 	}
 }
 
-// restart starts a peer anew: it knows nothing and holds nothing.
-func (c *change) restart(now tackclock.Time, vm int) {
-	c.vms[vm] = newEntryVM(now, vm, len(c.vms), 2)
+// restart replaces a peer by a new one without state.
+func (c *scriptedChanges) restart(now tackclock.Time, vm int) {
+	c.vms[vm] = newSimPeer(now, vm, len(c.vms), 2)
 	c.vms[vm].setTable(now, 4)
 }
 
-// Symptom: slots are lost for good, or filled twice, after a change.
-// Sequence: a peer is started anew and its counts begin at nothing; or a backend
-// server leaves the tables of the peers and comes back, at each a little later
-// than at the last.
-// Cause: the two sides of a grant no longer counted from the same point.
+// No slot may be lost permanently or used twice after a peer restarts without
+// state, or after backend servers leave the tables of the peers and come back, at
+// each peer a little later than at the previous one. Either happened when the two
+// sides of a grant no longer counted from the same state.
 func TestChangesLoseNoSlot(t *testing.T) {
 	start := tackclock.Time(tackclock.Hour)
 	for vm := range 4 {
-		c := &change{from: start + 19000}
+		c := &scriptedChanges{from: start + 19000}
 		changes := map[string]map[tackclock.Time]func(tackclock.Time){
 			"restart": {
 				start + 6000: func(tackclock.Time) { c.vms[vm].down = true },
@@ -82,14 +81,13 @@
 	}
 }
 
-// Symptom: a peer that starts while it is cut off serves nothing, or at once
-// fills every slot beside those on the other side.
-// Sequence: no other peer answers.
-// Cause: it waited for its owner for ever, or took the others for gone.
+// A peer that starts while no other peer answers must not wait for the owner for
+// ever and serve no requests. Nor may it use every slot at once, since the peers
+// on the other side of the partition use them too.
 func TestStartsCutOff(t *testing.T) {
 	convey.Convey("When no other of four peers answers", t, func() {
 		start := tackclock.Time(tackclock.Hour)
-		w := &leasedShares{vms: []*entryVM{newEntryVM(start, 0, 4, 1)}}
+		w := &leasedShares{vms: []*simPeer{newSimPeer(start, 0, 4, 1)}}
 		w.vms[0].setTable(start, 4)
 		wants := map[tackclock.Time]int{start + 1000: 0, start + 2000: 8, start + 5000: 32}
 		for now := start; now <= start+5000; now += 100 {
--- a/core/tackshare/group.go
+++ b/core/tackshare/group.go
@@ -8,14 +8,14 @@
 	"auburntack/core/tackroute"
 )
 
-// group is a Group in the table, with both sides of this peer's work on
-// it: what it holds and, if it is or was the owner, what it granted.
+// group is the state of a Group: what this peer holds of it and, if this peer is
+// or was the owner, what it granted.
 type group struct {
 	Group
 	lots         []tackroute.Lot
 	slots        map[tackroute.Lot]int
 	holding      holding
-	owning       owning
+	ownership    ownership
 	applied      []tackroute.Share
 	appliedBound int
 }
@@ -28,7 +28,7 @@
 	return n
 }
 
-// inUse returns how many slots of the group are taken.
+// inUse returns how many slots of the group are in use.
 func (g *group) inUse(usage Usage) int {
 	n := 0
 	for _, used := range usage.InUse {
@@ -39,17 +39,17 @@
 	return n
 }
 
-// busy reports whether either side still counts slots of the group.
+// busy reports whether this peer holds slots of the group or has granted any.
 func (g *group) busy() bool {
-	return g.holding.held() > 0 || len(g.owning.sessions) > 0
+	return g.holding.held() > 0 || len(g.ownership.sessions) > 0
 }
 
 func (g *group) sameAsApplied(bound int, shares []tackroute.Share) bool {
 	return bound == g.appliedBound && g.applied != nil && slices.Equal(g.applied, shares)
 }
 
-// members returns the peers that a group is divided among while nobody
-// asks: those in its data centre or, if there are none, all.
+// members returns the peers among which a group is divided while there is no
+// demand: those in its data centre or, if there are none, all.
 func (g *group) members(all []Neighbour) []tackid.Peer {
 	var inside, every []tackid.Peer
 	for _, p := range all {
@@ -64,10 +64,10 @@
 	return every
 }
 
-// fixedPart returns how many slots of a lot this peer may fill without
-// asking: the slots are dealt out among the members, also those that can't be
-// heard, starting at another one for each lot, so that the parts of all members
-// add up to the slots.
+// fixedPart returns how many slots of a lot this peer may use without a grant.
+// The slots are divided evenly among all members, including unreachable ones,
+// with the remainder starting at another member for each lot, so that the parts
+// of all members add up to the number of slots.
 func (s *Sharer) fixedPart(g *group, lot tackroute.Lot) int {
 	members := g.members(s.peers)
 	self := slices.Index(members, s.Self)
--- a/core/tackshare/holding.go
+++ b/core/tackshare/holding.go
@@ -9,46 +9,48 @@
 )
 
 const (
-	// decay is the part of a need that is left after decayStep without it.
+	// decay is the factor by which an unused need decreases per decayStep.
 	decay     = 0.5
 	decayStep = 100 * tackclock.Millisecond
-	// unanswered is how long a report waits for the first grant before it is
+	// grantTimeout is how long the first grant is awaited before the report is
 	// sent again.
-	unanswered = tackclock.Second / 2
-	// persistent is how many decay steps a group must have been short before
-	// other data centres are asked for slots.
-	persistent = 2
+	grantTimeout = tackclock.Second / 2
+	// spillAfter is the number of decay steps for which a group must have been
+	// short before slots in other data centres are requested.
+	spillAfter = 2
 )
 
-// holding is what this peer holds of a group.
+// holding is the state of a group on the side of the holder.
 type holding struct {
 	owner   tackid.Peer
 	session uint32
-	// since is when the session began, or an earlier one that was not
-	// answered and held nothing either.
+	// since is when the session began. A session that follows on one without
+	// an answer and without slots keeps its start.
 	since tackclock.Time
-	// member says that this peer is one of those that share the group while
-	// nobody asks. It reports to the owner even if it needs nothing.
+	// member reports whether this peer is one of the group's members. A
+	// member reports to the owner even if it needs nothing.
 	member bool
-	// granted says that the owner has answered in this session.
+	// granted reports whether the owner has answered in this session.
 	granted bool
-	// fixed says that what is held is the fixed part, not a claim.
+	// fixed reports whether the slots held are the fixed part, rather than
+	// granted ones.
 	fixed bool
 	bound int
 	lots  map[tackroute.Lot]*count
-	// need is the largest recent need, short for how many steps it was more
-	// than what is held.
-	need  float64
-	short int
-	// want is the need as last reported at wantAt, sent the frame that first
-	// carried it, or zero if none did.
+	// need is the decaying maximum of recent needs, shortSteps the number of
+	// steps for which it has exceeded the slots held.
+	need       float64
+	shortSteps int
+	// want is the need as last reported, wantAt the time of that report, and
+	// sent the sequence number of the frame that first carried it, or zero if
+	// none did.
 	want   int
 	wantAt tackclock.Time
 	sent   uint64
 }
 
-// restart begins a session with an owner, from which all that is held is
-// claimed. One that holds nothing goes on waiting for an answer.
+// restart begins a session with an owner, in which all slots held are claimed.
+// If there are none, the wait for an answer goes on from the previous session.
 func (h *holding) restart(now tackclock.Time, owner tackid.Peer) {
 	lots := make(map[tackroute.Lot]*count, len(h.lots))
 	for lot, c := range h.lots {
@@ -64,7 +66,7 @@
 		want: h.want, bound: math.MaxInt, lots: lots}
 }
 
-// open reports whether there is anything to tell the owner.
+// open reports whether there is anything to report to the owner.
 func (h *holding) open() bool {
 	return h.granted || h.member || h.want > 0 || len(h.lots) > 0
 }
@@ -92,19 +94,19 @@
 	return false
 }
 
-// wanted takes in the need of the moment and decides whether the owner must
-// hear of it: at once if more is needed than is held, now and then if much
-// less is needed than before.
-func (h *holding) wanted(now tackclock.Time, need int, step bool) {
+// updateNeed records the current need and decides whether to report it to the
+// owner: at once if more is needed than is held, and at intervals if much less is
+// needed than before.
+func (h *holding) updateNeed(now tackclock.Time, need int, step bool) {
 	if step {
 		h.need = decay*h.need + (1-decay)*float64(need)
-		h.short++
+		h.shortSteps++
 	}
 	held := h.held()
 	if need > held {
 		h.need = max(h.need, float64(need))
 	} else {
-		h.short = 0
+		h.shortSteps = 0
 	}
 	want := int(math.Ceil(h.need - 0.5))
 	more := want > h.want && (want > held || h.want == 0)
@@ -114,28 +116,28 @@
 	}
 }
 
-// appendReport adds the part of a frame that tells the owner of the group.
+// appendReport appends the report on the group to the owner, if it is needed.
 func (g *group) appendReport(reports []Report, l *link) []Report {
 	h := &g.holding
 	if !h.open() {
 		return reports
 	}
 	r := Report{Group: g.Group, Session: h.session, Want: h.want}
-	needed := h.sent == 0 || h.sent > l.acked
+	needed := h.sent == 0 || h.sent > l.ackedSeq
 	if h.sent == 0 {
-		h.sent = l.seq
+		h.sent = l.sentSeq
 	}
 	for _, lot := range sortedLots(h.lots) {
 		c := h.lots[lot]
 		if !h.granted && c.granted > 0 {
 			r.Claimed = append(r.Claimed, Count{Lot: lot, Slots: c.granted})
 		}
-		if c.returned > 0 && (c.sent == 0 || c.sent > l.acked) {
+		if c.returned > 0 && (c.sent == 0 || c.sent > l.ackedSeq) {
 			r.Returned = append(r.Returned, Count{Lot: lot, Slots: c.returned})
 			if c.sent == 0 {
-				c.sent = l.seq
+				c.sent = l.sentSeq
 			}
-			c.told = c.returned
+			c.returnedSent = c.returned
 			needed = true
 		}
 	}
@@ -145,8 +147,8 @@
 	return append(reports, r)
 }
 
-// grant takes in what the owner grants.
-func (s *Sharer) grant(from tackid.Peer, gr *Grant) {
+// receiveGrant applies a grant from the owner.
+func (s *Sharer) receiveGrant(from tackid.Peer, gr *Grant) {
 	g := s.groups[gr.Group]
 	if g == nil || g.holding.owner != from || g.holding.session != gr.Session {
 		return
@@ -170,29 +172,29 @@
 	}
 }
 
-// observe works out what is needed of each group, gives back what the owners
-// ask for and drops what is not leased any more.
-func (s *Sharer) observe(now tackclock.Time) {
-	step := now.Sub(s.stepped) >= decayStep
+// refreshNeeds updates the need of each group, returns slots that the owners reclaim
+// and drops those whose lease has expired.
+func (s *Sharer) refreshNeeds(now tackclock.Time) {
+	step := now.Sub(s.lastStep) >= decayStep
 	if step {
-		s.stepped = now
+		s.lastStep = now
 	}
-	for i := 0; i < len(s.order); {
+	for i := 0; i < len(s.groupOrder); {
 		end := i + 1
-		for end < len(s.order) && s.order[end].Subject == s.order[i].Subject {
+		for end < len(s.groupOrder) && s.groupOrder[end].Subject == s.groupOrder[i].Subject {
 			end++
 		}
-		s.observeSubject(now, s.order[i:end], step)
+		s.refreshSubject(now, s.groupOrder[i:end], step)
 		i = end
 	}
 }
 
-func (s *Sharer) observeSubject(now tackclock.Time, keys []Group, step bool) {
+func (s *Sharer) refreshSubject(now tackclock.Time, keys []Group, step bool) {
 	usage := s.usage(now, keys[0].Subject)
-	foreign := 0
+	remote := 0
 	for _, key := range keys {
 		if key.DataCentre != s.Home {
-			foreign += s.groups[key].total()
+			remote += s.groups[key].total()
 		}
 	}
 	first := s.groups[Group{Subject: keys[0].Subject, DataCentre: s.Home}]
@@ -201,8 +203,8 @@
 	}
 	spill := usage.Waiting
 	if first != nil {
-		first.holding.wanted(now, first.inUse(usage)+usage.Admitted+usage.Waiting, step)
-		if first.holding.short < persistent {
+		first.holding.updateNeed(now, first.inUse(usage)+usage.Admitted+usage.Waiting, step)
+		if first.holding.shortSteps < spillAfter {
 			spill = 0
 		}
 	}
@@ -210,30 +212,30 @@
 		g := s.groups[key]
 		if g != first {
 			part := 0
-			if spill > 0 && foreign > 0 && !s.only {
-				part = (spill*g.total() + foreign - 1) / foreign
+			if spill > 0 && remote > 0 && !s.homeOnly {
+				part = (spill*g.total() + remote - 1) / remote
 			}
-			g.holding.wanted(now, g.inUse(usage)+part, step)
+			g.holding.updateNeed(now, g.inUse(usage)+part, step)
 		}
 		s.checkLease(now, g)
-		s.giveBack(now, g, usage)
+		s.returnIdle(now, g, usage)
 	}
 }
 
-// checkLease falls back to the fixed part when the owner has not answered for
-// a lease. Without it a peer that the owner took for dead would go on filling
-// slots that were granted to others since, and one that nobody answers would
-// serve nothing.
+// checkLease falls back to the fixed part if the owner has not answered for the
+// duration of a lease. Without it, a peer that the owner considers dead would go
+// on using slots that have been granted to others since, and a peer that gets no
+// answer would have no slots at all.
 func (s *Sharer) checkLease(now tackclock.Time, g *group) {
 	h := &g.holding
 	l := s.links[h.owner]
-	if !h.granted && now.Sub(h.wantAt) >= unanswered {
+	if !h.granted && now.Sub(h.wantAt) >= grantTimeout {
 		h.wantAt, h.sent = now, 0
 	}
 	waited := now.Sub(h.since)
-	lost := l != nil && h.granted && !now.Before(l.leasedTo)
+	lost := l != nil && h.granted && !now.Before(l.leaseUntil)
 	unclaimed := !h.granted && !h.fixed && len(h.lots) > 0 && waited >= lease
-	unheard := len(h.lots) == 0 && !h.fixed && waited >= silence && (!h.granted || s.inheritsSelf(now, g))
+	unheard := len(h.lots) == 0 && !h.fixed && waited >= peerTimeout && (!h.granted || s.mustAwaitClaims(now, g))
 	if lost || unclaimed || unheard {
 		h.restart(now, h.owner)
 		s.claimFixedPart(g)
@@ -241,12 +243,12 @@
 	}
 }
 
-// inheritsSelf reports whether this peer owns the group and may not grant yet.
-func (s *Sharer) inheritsSelf(now tackclock.Time, g *group) bool {
-	return g.owning.active && s.inherits(now, &g.owning)
+// mustAwaitClaims reports whether this peer owns the group and may not grant yet.
+func (s *Sharer) mustAwaitClaims(now tackclock.Time, g *group) bool {
+	return g.ownership.active && s.awaitsClaims(now, &g.ownership)
 }
 
-// claimFixedPart claims the fixed part in place of all that was held.
+// claimFixedPart replaces the slots held by the fixed part.
 func (s *Sharer) claimFixedPart(g *group) {
 	h := &g.holding
 	h.fixed = true
@@ -258,9 +260,9 @@
 	}
 }
 
-// giveBack returns idle slots: those beyond the bound, of lots that are gone,
-// and beyond the slots of a lot.
-func (s *Sharer) giveBack(now tackclock.Time, g *group, usage Usage) {
+// returnIdle returns idle slots: those beyond the bound, those of removed lots,
+// and those beyond the number of slots of a lot.
+func (s *Sharer) returnIdle(now tackclock.Time, g *group, usage Usage) {
 	h := &g.holding
 	if !h.granted {
 		return
@@ -270,7 +272,7 @@
 	returned := false
 	for _, lot := range sortedLots(h.lots) {
 		c := h.lots[lot]
-		idle := c.held() - usage.of(lot)
+		idle := c.held() - usage.slotsOf(lot)
 		n := min(idle, spare, max(excess, c.held()-g.slots[lot]))
 		if n <= 0 {
 			continue
@@ -283,18 +285,18 @@
 	}
 	if returned {
 		s.apply(now, g)
-		s.takeBack(now, g)
+		s.undoReturns(now, g)
 	}
 }
 
-// takeBack undoes the return of slots that were filled between the look at the
-// usage and the new shares. Nobody has heard of the return yet. Without it
-// the owner would grant a slot that still works.
-func (s *Sharer) takeBack(now tackclock.Time, g *group) {
+// undoReturns undoes the return of slots that were taken between the reading of
+// the usage and the update of the shares. Those returns have not been sent yet.
+// Without it, the owner would grant slots that are still in use.
+func (s *Sharer) undoReturns(now tackclock.Time, g *group) {
 	usage := s.usage(now, g.Subject)
 	undone := false
 	for lot, c := range g.holding.lots {
-		if n := min(usage.of(lot)-c.held(), c.returned-c.told); n > 0 {
+		if n := min(usage.slotsOf(lot)-c.held(), c.returned-c.returnedSent); n > 0 {
 			c.returned -= n
 			undone = true
 		}
@@ -304,7 +306,7 @@
 	}
 }
 
-// apply tells the user the shares of a group, if they changed.
+// apply passes the shares of a group to the user, if they changed.
 func (s *Sharer) apply(now tackclock.Time, g *group) {
 	h := &g.holding
 	shares := make([]tackroute.Share, len(g.lots))
@@ -327,7 +329,7 @@
 	return s.User.Usage(now, subject)
 }
 
-func (u *Usage) of(lot tackroute.Lot) int {
+func (u *Usage) slotsOf(lot tackroute.Lot) int {
 	for _, n := range u.InUse {
 		if n.Lot == lot {
 			return n.Slots
--- a/core/tackshare/model_test.go
+++ b/core/tackshare/model_test.go
@@ -17,40 +17,42 @@
 	service       tackid.Service = "names-api"
 	executorSlots                = 8
 	meanService                  = 50.0
-	patience                     = 2 * tackclock.Second
-	// tickEvery and tickAgain are how often a Sharer is ticked, and how soon
-	// again when requests begin to wait.
-	tickEvery = 100 * tackclock.Millisecond
-	tickAgain = 10 * tackclock.Millisecond
+	callerTimeout                = 2 * tackclock.Second
+	// tickInterval is how often Tick is called, minTickInterval how soon after
+	// the last call when requests begin to wait.
+	tickInterval    = 100 * tackclock.Millisecond
+	minTickInterval = 10 * tackclock.Millisecond
 )
 
 type (
-	// sharing is one way for peers to share the slots of executors.
-	sharing interface {
+	// strategy is a method for peers to share the slots of executors.
+	strategy interface {
 		// pick takes a slot for a request at a peer.
 		pick(now tackclock.Time, vm int) (executor int, ok bool)
 		done(now tackclock.Time, vm, executor int)
-		// tick sends messages; waiting holds the requests that wait by VM.
+		// tick sends messages; waiting holds the number of waiting requests
+		// by VM.
 		tick(now tackclock.Time, waiting []int)
 		traffic() (messages, bytes int)
 	}
 
-	// load says how requests arrive.
+	// load describes how requests arrive.
 	load struct {
 		vms, executors int
-		// part is the arrivals as a part of what all executors can do.
+		// part is the arrival rate as a part of the capacity of all
+		// executors.
 		part float64
-		// hot is the part of the arrivals that comes through one peer,
-		// which is another one every hotFor.
+		// hot is the part of the requests that arrive at one peer, which
+		// changes every hotFor.
 		hot    float64
 		hotFor tackclock.Duration
 	}
 
-	// result is what a run of the model counted.
+	// result holds the results of a run of the model.
 	result struct {
 		requests, late, overloaded int
-		// idle is slot time that stood idle while a caller waited, as a part
-		// of all slot time.
+		// idle is the part of all slot time in which a slot was idle while a
+		// caller waited.
 		idle            float64
 		meanWait        float64
 		messages, bytes float64 // per peer and second
@@ -61,23 +63,23 @@
 		sent, ends   tackclock.Time
 	}
 
-	// model steps peers and executors millisecond by millisecond.
+	// model simulates peers and executors in steps of one millisecond.
 	model struct {
 		load
-		way     sharing
-		random  *rand.Rand
-		waiting [][]tackclock.Time
-		busy    []int
-		queued  [][]running
-		working []running
-		result  result
-		waited  tackclock.Duration
-		idleMS  int
+		strategy strategy
+		random   *rand.Rand
+		waiting  [][]tackclock.Time
+		busy     []int
+		queued   [][]running
+		working  []running
+		result   result
+		waited   tackclock.Duration
+		idleMS   int
 	}
 )
 
-func runModel(l load, way sharing, seed uint64, span tackclock.Duration) result {
-	m := &model{load: l, way: way, random: rand.New(rand.NewPCG(seed, 1)),
+func runModel(l load, sharing strategy, seed uint64, span tackclock.Duration) result {
+	m := &model{load: l, strategy: sharing, random: rand.New(rand.NewPCG(seed, 1)),
 		waiting: make([][]tackclock.Time, l.vms), busy: make([]int, l.executors),
 		queued: make([][]running, l.executors)}
 	const warm = 5 * tackclock.Second
@@ -86,11 +88,11 @@
 	for now := start; now < start.Add(warm+span); now++ {
 		if now == start.Add(warm) {
 			m.result, m.waited, m.idleMS = result{}, 0, 0
-			before[0], before[1] = way.traffic()
+			before[0], before[1] = sharing.traffic()
 		}
 		m.step(now)
 	}
-	messages, bytes := way.traffic()
+	messages, bytes := sharing.traffic()
 	seconds := float64(span) / float64(tackclock.Second)
 	m.result.messages = float64(messages-before[0]) / float64(l.vms) / seconds
 	m.result.bytes = float64(bytes-before[1]) / float64(l.vms) / seconds
@@ -107,7 +109,7 @@
 		m.dispatch(now, vm)
 		counts[vm] = len(m.waiting[vm])
 	}
-	m.way.tick(now, counts)
+	m.strategy.tick(now, counts)
 	m.count(counts)
 }
 
@@ -116,7 +118,7 @@
 		if r.ends > now {
 			return false
 		}
-		m.way.done(now, r.vm, r.executor)
+		m.strategy.done(now, r.vm, r.executor)
 		m.busy[r.executor]--
 		return true
 	})
@@ -152,12 +154,12 @@
 func (m *model) dispatch(now tackclock.Time, vm int) {
 	for len(m.waiting[vm]) > 0 {
 		since := m.waiting[vm][0]
-		if now.Sub(since) > patience {
+		if now.Sub(since) > callerTimeout {
 			m.result.late++
 			m.waiting[vm] = m.waiting[vm][1:]
 			continue
 		}
-		e, ok := m.way.pick(now, vm)
+		e, ok := m.strategy.pick(now, vm)
 		if !ok {
 			return
 		}
@@ -184,19 +186,20 @@
 	m.idleMS += min(idle, callers)
 }
 
-// leasedShares drives the real Sharer and Chooser of every peer.
+// leasedShares is the strategy of this package, with the Sharer and Chooser of
+// every peer.
 type leasedShares struct {
-	vms      []*entryVM
-	flying   []envelope
-	messages int
-	bytes    int
-	// random, if set, makes the network lose a tenth of the frames, double a
-	// tenth and delay each by up to 60 ms.
+	vms       []*simPeer
+	inTransit []envelope
+	messages  int
+	bytes     int
+	// random, if set, makes the network lose a tenth of the frames, duplicate
+	// a tenth and delay each by up to 60 ms.
 	random *rand.Rand
 }
 
 type (
-	entryVM struct {
+	simPeer struct {
 		sharer   *tackshare.Sharer
 		chooser  tackroute.Chooser
 		inFlight int
@@ -214,11 +217,11 @@
 
 const home tackid.DataCentre = "rennes-a"
 
-func (v *entryVM) SetShares(_ tackclock.Time, g tackshare.Group, bound int, shares []tackroute.Share) {
+func (v *simPeer) SetShares(_ tackclock.Time, g tackshare.Group, bound int, shares []tackroute.Share) {
 	v.chooser.SetShares(g.DataCentre, bound, shares)
 }
 
-func (v *entryVM) Usage(tackclock.Time, tackshare.Subject) tackshare.Usage {
+func (v *simPeer) Usage(tackclock.Time, tackshare.Subject) tackshare.Usage {
 	return tackshare.Usage{Waiting: v.waiting, InUse: v.chooser.InUse()}
 }
 
@@ -243,26 +246,26 @@
 func newLeasedShares(l load) *leasedShares {
 	w := new(leasedShares)
 	for vm := range l.vms {
-		w.vms = append(w.vms, newEntryVM(tackclock.Time(tackclock.Hour), vm, l.vms, 1))
+		w.vms = append(w.vms, newSimPeer(tackclock.Time(tackclock.Hour), vm, l.vms, 1))
 		w.vms[vm].setTable(tackclock.Time(tackclock.Hour), l.executors)
 	}
 	return w
 }
 
-// newEntryVM starts one of a number of peers.
-func newEntryVM(now tackclock.Time, vm, vms int, epoch uint64) *entryVM {
+// newSimPeer starts one of a number of peers.
+func newSimPeer(now tackclock.Time, vm, vms int, epoch uint64) *simPeer {
 	var peers []tackshare.Neighbour
 	for vm := range vms {
 		peers = append(peers, tackshare.Neighbour{Peer: peerOf(vm), DataCentre: home})
 	}
-	v := new(entryVM)
+	v := new(simPeer)
 	v.sharer = &tackshare.Sharer{Self: peerOf(vm), Home: home, Epoch: epoch, User: v}
 	v.sharer.SetPeers(now, peers)
 	return v
 }
 
-// setTable lets a peer know that many executors.
-func (v *entryVM) setTable(now tackclock.Time, executors int) {
+// setTable sets the table of a peer to the given number of executors.
+func (v *simPeer) setTable(now tackclock.Time, executors int) {
 	table := tableOf(executors)
 	v.chooser.SetCandidates(table.Services[service])
 	v.sharer.SetTable(now, table)
@@ -295,11 +298,11 @@
 }
 
 func (w *leasedShares) tick(now tackclock.Time, waiting []int) {
-	arrived := w.flying
-	w.flying = nil
+	arrived := w.inTransit
+	w.inTransit = nil
 	for _, e := range arrived {
 		if e.at > now {
-			w.flying = append(w.flying, e)
+			w.inTransit = append(w.inTransit, e)
 			continue
 		}
 		if v := w.vms[e.to]; !v.down {
@@ -307,9 +310,9 @@
 		}
 	}
 	for vm, v := range w.vms {
-		began := v.waiting == 0 && waiting[vm] > 0 && now.Sub(v.ticked) >= tickAgain
+		began := v.waiting == 0 && waiting[vm] > 0 && now.Sub(v.ticked) >= minTickInterval
 		v.waiting = waiting[vm]
-		if v.down || (now.Sub(v.ticked) < tickEvery && !began) {
+		if v.down || (now.Sub(v.ticked) < tickInterval && !began) {
 			continue
 		}
 		v.ticked = now
@@ -319,7 +322,7 @@
 
 func (w *leasedShares) send(now tackclock.Time, from int, out []tackshare.Outgoing) {
 	for _, o := range out {
-		to := slices.IndexFunc(w.vms, func(v *entryVM) bool { return v.sharer.Self == o.To })
+		to := slices.IndexFunc(w.vms, func(v *simPeer) bool { return v.sharer.Self == o.To })
 		encoded, _ := cbor.Marshal(o.Frame)
 		w.messages++
 		w.bytes += len(encoded)
@@ -328,7 +331,7 @@
 			panic(err)
 		}
 		for range w.copies() {
-			w.flying = append(w.flying, envelope{at: now.Add(w.delay()), from: from, to: to, frame: received})
+			w.inTransit = append(w.inTransit, envelope{at: now.Add(w.delay()), from: from, to: to, frame: received})
 		}
 	}
 }
@@ -353,7 +356,7 @@
 	return tackclock.Duration(1 + w.random.IntN(60))
 }
 
-// capacity is what a peer may have in flight.
+// capacity returns how many requests a peer may have in flight.
 func (w *leasedShares) capacity(now tackclock.Time, vm int) int {
 	return w.vms[vm].chooser.Capacity(now, tackroute.Ask{Home: home})
 }
--- a/core/tackshare/owner.go
+++ b/core/tackshare/owner.go
@@ -11,17 +11,19 @@
 )
 
 type (
-	// owning is what this peer granted of a group. The sessions outlive
-	// the ownership: if it comes back before the holders noticed, they go on.
-	owning struct {
+	// ownership is the state of a group on the side of the owner. The sessions
+	// are kept when the ownership is lost: if it is regained before the
+	// holders notice, they continue.
+	ownership struct {
 		active   bool
 		since    tackclock.Time
 		sessions map[tackid.Peer]*session
-		// turn is the lot that the next free slot is granted from.
-		turn int
+		// nextLot is the index of the lot from which the next free slot is
+		// granted.
+		nextLot int
 	}
 
-	// session is what one holder has, as its owner knows.
+	// session is what one holder has been granted, as recorded by the owner.
 	session struct {
 		id    uint32
 		want  int
@@ -31,45 +33,46 @@
 	}
 )
 
-// report takes in what a holder needs and returns.
-func (s *Sharer) report(now tackclock.Time, from tackid.Peer, r *Report) {
+// receiveReport applies a report of a holder.
+func (s *Sharer) receiveReport(now tackclock.Time, from tackid.Peer, r *Report) {
 	g := s.groups[r.Group]
 	if g == nil {
 		return
 	}
-	o := &g.owning
-	held := o.sessions[from]
-	if held != nil && r.Session < held.id {
+	o := &g.ownership
+	h := o.sessions[from]
+	if h != nil && r.Session < h.id {
 		return
 	}
-	if held == nil || r.Session > held.id {
-		held = g.begin(from, r)
+	if h == nil || r.Session > h.id {
+		h = g.beginSession(from, r)
 	}
-	held.want = r.Want
+	h.want = r.Want
 	for _, n := range r.Returned {
-		if c := held.lots[n.Lot]; c != nil {
+		if c := h.lots[n.Lot]; c != nil {
 			c.returned = max(c.returned, n.Slots)
 		}
 	}
 	s.allocate(now, g)
 }
 
-// begin opens a session with what the holder claims, as far as it is free.
-func (g *group) begin(from tackid.Peer, r *Report) *session {
-	o := &g.owning
+// beginSession begins a session with the slots that the holder claims, as far as
+// those are free.
+func (g *group) beginSession(from tackid.Peer, r *Report) *session {
+	o := &g.ownership
 	if o.sessions == nil {
 		o.sessions = make(map[tackid.Peer]*session)
 	}
 	delete(o.sessions, from)
-	fresh := &session{id: r.Session, lots: make(map[tackroute.Lot]*count)}
+	h := &session{id: r.Session, lots: make(map[tackroute.Lot]*count)}
 	for _, n := range r.Claimed {
 		if free := min(n.Slots, g.free(n.Lot)); free > 0 {
-			fresh.lots[n.Lot] = &count{granted: free}
+			h.lots[n.Lot] = &count{granted: free}
 		}
 	}
-	fresh.bound = fresh.held()
-	o.sessions[from] = fresh
-	return fresh
+	h.bound = h.held()
+	o.sessions[from] = h
+	return h
 }
 
 func (h *session) held() int {
@@ -86,10 +89,10 @@
 	}
 }
 
-// free returns how many slots of a lot nobody holds.
+// free returns how many slots of a lot are granted to no holder.
 func (g *group) free(lot tackroute.Lot) int {
 	n := g.slots[lot]
-	for _, h := range g.owning.sessions {
+	for _, h := range g.ownership.sessions {
 		if c := h.lots[lot]; c != nil {
 			n -= c.held()
 		}
@@ -97,8 +100,8 @@
 	return n
 }
 
-// pending reports whether the holder must be told something.
-func (o *owning) pending(peer tackid.Peer, due func(uint64) bool) bool {
+// pending reports whether there is something to send to the holder.
+func (o *ownership) pending(peer tackid.Peer, due func(uint64) bool) bool {
 	h := o.sessions[peer]
 	if !o.active || h == nil {
 		return false
@@ -114,24 +117,24 @@
 	return false
 }
 
-// appendGrant adds the part of a frame that tells a holder of the group.
+// appendGrant appends the grant of the group to a holder, if it is needed.
 func (g *group) appendGrant(grants []Grant, l *link) []Grant {
-	h := g.owning.sessions[l.Peer]
-	if !g.owning.active || h == nil {
+	h := g.ownership.sessions[l.Peer]
+	if !g.ownership.active || h == nil {
 		return grants
 	}
 	gr := Grant{Group: g.Group, Session: h.id, Bound: h.bound}
-	needed := h.sent == 0 || h.sent > l.acked
+	needed := h.sent == 0 || h.sent > l.ackedSeq
 	if h.sent == 0 {
-		h.sent = l.seq
+		h.sent = l.sentSeq
 	}
 	for _, lot := range sortedLots(h.lots) {
 		c := h.lots[lot]
-		if c.sent != 0 && c.sent <= l.acked {
+		if c.sent != 0 && c.sent <= l.ackedSeq {
 			continue
 		}
 		if c.sent == 0 {
-			c.sent = l.seq
+			c.sent = l.sentSeq
 		}
 		gr.Granted = append(gr.Granted, Count{Lot: lot, Slots: c.granted})
 		needed = true
@@ -142,39 +145,39 @@
 	return append(grants, gr)
 }
 
-// exchangeWithSelf does between this peer and the groups it owns what
-// frames do with others.
+// exchangeWithSelf exchanges reports and grants between the two sides of this
+// peer, for the groups that it owns, as frames do between peers.
 func (s *Sharer) exchangeWithSelf(now tackclock.Time, groups []*group) {
 	for _, g := range groups {
-		if !g.owning.active {
+		if !g.ownership.active {
 			continue
 		}
 		s.exchange(now, g)
 		if g.holding.granted && g.holding.held() > g.holding.bound {
-			s.giveBack(now, g, s.usage(now, g.Subject))
+			s.returnIdle(now, g, s.usage(now, g.Subject))
 			s.exchange(now, g)
 		}
 	}
 }
 
 func (s *Sharer) exchange(now tackclock.Time, g *group) {
-	self := &link{Neighbour: Neighbour{Peer: s.Self}, seq: 1}
+	self := &link{Neighbour: Neighbour{Peer: s.Self}, sentSeq: 1}
 	if g.holding.owner == s.Self {
 		for _, r := range g.appendReport(nil, self) {
-			s.report(now, s.Self, &r)
+			s.receiveReport(now, s.Self, &r)
 		}
 	}
 	s.allocate(now, g)
 	for _, gr := range g.appendGrant(nil, self) {
-		s.grant(s.Self, &gr)
+		s.receiveGrant(s.Self, &gr)
 	}
 	s.apply(now, g)
 }
 
-// forgetPeer drops what is shared with a peer that started anew.
+// forgetPeer drops the sessions with a peer that was restarted.
 func (s *Sharer) forgetPeer(now tackclock.Time, peer tackid.Peer) {
-	for _, g := range s.all {
-		delete(g.owning.sessions, peer)
+	for _, g := range s.allGroups {
+		delete(g.ownership.sessions, peer)
 		if g.holding.owner == peer {
 			g.holding.restart(now, peer)
 			s.apply(now, g)
@@ -182,39 +185,39 @@
 	}
 }
 
-// dropSilentSessions frees what is held by peers whose lease has run out.
-func (s *Sharer) dropSilentSessions(now tackclock.Time) {
-	for _, g := range s.all {
-		o := &g.owning
+// dropExpiredSessions frees the slots held by peers whose lease has expired.
+func (s *Sharer) dropExpiredSessions(now tackclock.Time) {
+	for _, g := range s.allGroups {
+		o := &g.ownership
 		for peer := range o.sessions {
 			l := s.links[peer]
-			if peer != s.Self && (l == nil || now.Sub(l.heard) >= lease+margin) {
+			if peer != s.Self && (l == nil || now.Sub(l.lastHeard) >= lease+leaseMargin) {
 				delete(o.sessions, peer)
 			}
 		}
 	}
 }
 
-// refreshOwners works out the owner of each group anew. A group that changes
-// hands is claimed from the new owner by those that hold slots.
+// refreshOwners recomputes the owner of each group. When the owner changes, the
+// holders claim their slots from the new one.
 func (s *Sharer) refreshOwners(now tackclock.Time) {
-	for _, g := range s.all {
+	for _, g := range s.allGroups {
 		g.holding.member = slices.Contains(g.members(s.live), s.Self)
 		owner := s.ownerOf(g)
 		if owner != g.holding.owner {
 			g.holding.restart(now, owner)
 		}
-		if active := owner == s.Self; active != g.owning.active {
-			g.owning.active, g.owning.since = active, now
+		if active := owner == s.Self; active != g.ownership.active {
+			g.ownership.active, g.ownership.since = active, now
 		}
 		s.apply(now, g)
 	}
 }
 
-// ownerOf returns the peer that divides the group: of its members the one
-// with the highest hash of both names. So groups spread evenly, few change
-// hands when a peer comes or goes, and a data centre that is cut off
-// divides its own slots.
+// ownerOf returns the owner of the group by rendezvous hashing: the live member
+// with the highest hash of both names. So the groups are spread evenly, few
+// change owners when a peer is added or removed, and a data centre that is cut
+// off divides its own slots.
 func (s *Sharer) ownerOf(g *group) tackid.Peer {
 	best, bestScore := s.Self, uint64(0)
 	for _, p := range g.members(s.live) {
@@ -234,8 +237,8 @@
 	return mix(h.Sum64())
 }
 
-// mix spreads the bits of h, of which FNV leaves the upper ones alike for
-// names that differ only at their end.
+// mix mixes the bits of h, since FNV gives similar upper bits for names that
+// differ only at their end.
 func mix(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
--- a/core/tackshare/quota_test.go
+++ b/core/tackshare/quota_test.go
@@ -11,10 +11,10 @@
 	"auburntack/core/tackshare"
 )
 
-// holder is a User of one group. Between two looks at its usage it fills as
-// many slots as hasty says, if its share lets it.
+// holder is a User of one group. After each call of Usage it takes up to perCall
+// more slots, as far as its share allows.
 type holder struct {
-	held, share, inUse, waiting, admitted, hasty int
+	held, share, inUse, waiting, admitted, perCall int
 }
 
 func (h *holder) SetShares(_ tackclock.Time, _ tackshare.Group, bound int, shares []tackroute.Share) {
@@ -27,18 +27,18 @@
 
 func (h *holder) Usage(tackclock.Time, tackshare.Subject) tackshare.Usage {
 	u := tackshare.Usage{Waiting: h.waiting, Admitted: h.admitted, InUse: []tackroute.Share{{Slots: h.inUse}}}
-	h.inUse += max(min(h.hasty, h.share-h.inUse), 0)
+	h.inUse += max(min(h.perCall, h.share-h.inUse), 0)
 	return u
 }
 
-// team is a set of peers that share the quota of one team.
-type team struct {
+// quotaPeers is a set of peers that share the quota of one team.
+type quotaPeers struct {
 	holders []*holder
 	sharers []*tackshare.Sharer
 }
 
-func newTeam(vms, quota int) *team {
-	q := new(team)
+func newQuotaPeers(vms, quota int) *quotaPeers {
+	q := new(quotaPeers)
 	var peers []tackshare.Neighbour
 	for vm := range vms {
 		peers = append(peers, tackshare.Neighbour{Peer: peerOf(vm), DataCentre: home})
@@ -53,9 +53,9 @@
 	return q
 }
 
-// run ticks all peers and delivers every frame at once, and returns the
-// most slots that were in use at any moment.
-func (q *team) run(from, to tackclock.Time) (most int) {
+// run calls Tick on all peers, delivers every frame without delay, and returns
+// the largest number of slots in use at any time.
+func (q *quotaPeers) run(from, to tackclock.Time) (most int) {
 	for now := from; now < to; now += 100 {
 		for vm, s := range q.sharers {
 			q.deliver(now, vm, s.Tick(now))
@@ -65,7 +65,7 @@
 	return most
 }
 
-func (q *team) deliver(now tackclock.Time, from int, out []tackshare.Outgoing) {
+func (q *quotaPeers) deliver(now tackclock.Time, from int, out []tackshare.Outgoing) {
 	for _, o := range out {
 		for vm, s := range q.sharers {
 			if s.Self == o.To {
@@ -75,7 +75,7 @@
 	}
 }
 
-func (q *team) inUse() int {
+func (q *quotaPeers) inUse() int {
 	n := 0
 	for _, h := range q.holders {
 		n += h.inUse
@@ -83,18 +83,17 @@
 	return n
 }
 
-// Symptom: a team holds more slots than its quota, or only a part of it while
-// the rest stands idle.
-// Sequence: its requests come through one peer, then through another.
-// Cause: every peer held the team to the whole quota, or to a fixed part.
+// A team whose requests arrive at one peer and then at another must be able to use
+// its whole quota, and no more. It got more when every peer enforced the whole
+// quota, and less when every peer enforced a fixed part.
 func TestQuotaIsSharedAmongPeers(t *testing.T) {
 	convey.Convey("With a quota of 4 slots over 6 peers", t, func() {
-		q := newTeam(6, 4)
+		q := newQuotaPeers(6, 4)
 		for i, busy := range []int{2, 5, 0} {
 			for _, h := range q.holders {
-				h.inUse, h.waiting, h.hasty = 0, 0, 0
+				h.inUse, h.waiting, h.perCall = 0, 0, 0
 			}
-			q.holders[busy].waiting, q.holders[busy].hasty = 10, 4
+			q.holders[busy].waiting, q.holders[busy].perCall = 10, 4
 			start := tackclock.Time(i) * 10000
 			most := q.run(start, start.Add(10*tackclock.Second))
 			convey.So(most, convey.ShouldBeLessThanOrEqualTo, 4)
@@ -103,14 +102,12 @@
 	})
 }
 
-// Symptom: a request that was admitted is refused a moment later since no backend
-// server has a slot for it.
-// Sequence: it is admitted and its key is being recorded; meanwhile another peer is
-// short, and the slot that stands idle for it is returned.
-// Cause: only slots in use were taken for needed.
+// A slot must be kept for a request that was admitted and whose key is still being
+// recorded, even if another peer is short. When only slots in use counted as
+// needed, the idle slot was returned and the request refused for lack of one.
 func TestSlotsOfAdmittedRequestsAreKept(t *testing.T) {
 	convey.Convey("With two requests admitted at one peer and many waiting at another", t, func() {
-		q := newTeam(2, 6)
+		q := newQuotaPeers(2, 6)
 		q.run(0, 10000)
 		q.holders[0].admitted, q.holders[1].waiting = 2, 10
 		q.run(10000, 12000)
@@ -119,45 +116,45 @@
 	})
 }
 
-// hasty is a User to which a request comes right after the look at its usage
-// that follows on a bound below its shares.
-type hasty struct {
-	entryVM
-	flying []tackroute.Candidate
-	comes  bool
+// eagerUser is a User that takes a slot right after the call of Usage that follows
+// a bound below its shares.
+type eagerUser struct {
+	simPeer
+	inFlight []tackroute.Candidate
+	arrives  bool
 }
 
-func (h *hasty) SetShares(now tackclock.Time, g tackshare.Group, bound int, shares []tackroute.Share) {
-	h.entryVM.SetShares(now, g, bound, shares)
+func (h *eagerUser) SetShares(now tackclock.Time, g tackshare.Group, bound int, shares []tackroute.Share) {
+	h.simPeer.SetShares(now, g, bound, shares)
 	sum := 0
 	for _, share := range shares {
 		sum += share.Slots
 	}
-	h.comes = bound < sum
+	h.arrives = bound < sum
 }
 
-func (h *hasty) Usage(now tackclock.Time, subject tackshare.Subject) tackshare.Usage {
-	u := h.entryVM.Usage(now, subject)
-	if !h.comes && h.waiting == 0 {
+func (h *eagerUser) Usage(now tackclock.Time, subject tackshare.Subject) tackshare.Usage {
+	u := h.simPeer.Usage(now, subject)
+	if !h.arrives && h.waiting == 0 {
 		return u
 	}
-	h.comes = false
+	h.arrives = false
 	if c, ok := h.chooser.Pick(now, tackroute.Ask{Home: home}); ok {
-		h.flying = append(h.flying, c)
+		h.inFlight = append(h.inFlight, c)
 	}
 	return u
 }
 
-// end lets all requests of the peer end.
-func (h *hasty) end(now tackclock.Time) {
-	for _, c := range h.flying {
+// end ends all requests of the peer.
+func (h *eagerUser) end(now tackclock.Time) {
+	for _, c := range h.inFlight {
 		h.chooser.Done(now, c, tackroute.Outcome{})
 	}
-	h.flying = nil
+	h.inFlight = nil
 }
 
-func newHasty(vm int, table *tackroute.Table) *hasty {
-	h := new(hasty)
+func newEagerUser(vm int, table *tackroute.Table) *eagerUser {
+	h := new(eagerUser)
 	h.sharer = &tackshare.Sharer{Self: peerOf(vm), Home: home, Epoch: 1, User: h}
 	h.chooser.SetCandidates(table.Services[service])
 	h.sharer.SetPeers(0, []tackshare.Neighbour{{Peer: peerOf(0), DataCentre: home}, {Peer: peerOf(1), DataCentre: home}})
@@ -165,11 +162,11 @@
 	return h
 }
 
-// assertOneEach holds that no lot of one slot is taken by both peers.
-func assertOneEach(vms ...*hasty) {
+// assertOneEach checks that no lot with one slot is used by both peers.
+func assertOneEach(vms ...*eagerUser) {
 	taken := make(map[tackid.BackendServer]int)
 	for _, h := range vms {
-		for _, c := range h.flying {
+		for _, c := range h.inFlight {
 			taken[c.BackendServer]++
 		}
 	}
@@ -178,18 +175,17 @@
 	}
 }
 
-// Symptom: a slot is filled twice.
-// Sequence: a peer looks at what is in use and returns an idle slot; before
-// its chooser hears of the smaller share, a request takes that slot.
-// Cause: the return was sent without a second look.
+// A returned slot must not be used twice. A peer reads the usage and returns an
+// idle slot, and a request takes that slot before the chooser gets the smaller
+// share. So the usage must be read again before the return is sent.
 func TestReturnedSlotIsNotFilled(t *testing.T) {
-	convey.Convey("When requests come between the two looks", t, func() {
+	convey.Convey("When requests arrive between the two readings of the usage", t, func() {
 		table := tableOf(8)
 		for i := range table.Services[service] {
 			table.Services[service][i].Slots = 1
 		}
-		vms := []*hasty{newHasty(0, table), newHasty(1, table)}
-		q := &team{sharers: []*tackshare.Sharer{vms[0].sharer, vms[1].sharer}}
+		vms := []*eagerUser{newEagerUser(0, table), newEagerUser(1, table)}
+		q := &quotaPeers{sharers: []*tackshare.Sharer{vms[0].sharer, vms[1].sharer}}
 		for now := tackclock.Time(0); now < 60000; now += 100 {
 			busy := int(now/1000) % 2
 			vms[busy].waiting, vms[1-busy].waiting = 8, 0
--- a/core/tackshare/sharer.go
+++ b/core/tackshare/sharer.go
@@ -10,77 +10,82 @@
 )
 
 const (
-	// silence is how long a peer may be unheard before its groups pass
-	// to another owner.
-	silence = 1500 * tackclock.Millisecond
-	// lease is how long a share may be used after the holder last wrote to
-	// the owner and was answered. It outlasts silence, so that the shares of
-	// an owner that died are claimed from the next one without a gap.
+	// peerTimeout is how long nothing may be received from a peer before its
+	// groups pass to another owner.
+	peerTimeout = 1500 * tackclock.Millisecond
+	// lease is how long a share may be used after the holder sent the last
+	// frame that the owner answered. It is longer than peerTimeout, so that
+	// the holders of an owner that died claim their shares from the next one
+	// without interruption.
 	lease = 3 * tackclock.Second
-	// margin is how much longer the owner counts a lease than its holder.
-	margin = tackclock.Second / 2
-	// heartbeat is the longest time between two frames to a peer.
-	heartbeat = tackclock.Second / 2
-	// resend is how long an answer is awaited before a frame goes out again.
-	resend = 250 * tackclock.Millisecond
+	// leaseMargin is how much longer a lease lasts for the owner than for its
+	// holder.
+	leaseMargin = tackclock.Second / 2
+	// heartbeatInterval is the longest time between two frames to a peer.
+	heartbeatInterval = tackclock.Second / 2
+	// resendAfter is how long an acknowledgement is awaited before a frame is
+	// sent again.
+	resendAfter = 250 * tackclock.Millisecond
 )
 
 type (
 	// Sharer divides the slots of all services and the quotas of all teams
-	// among the peers. Every group of slots has one owner, which every
-	// peer works out alike from those it can hear; the owner grants slots
-	// by what the others report to need, and takes idle ones back.
+	// among the peers. Every group of slots has one owner, which each peer
+	// computes in the same way from the set of live peers. The owner grants
+	// slots according to the reported needs, and reclaims idle ones.
 	//
-	// When its owner does not answer, a peer fills a fixed part of the slots,
-	// so that one which is cut off goes on serving. One that starts gives the
-	// owner some time to answer, since others may hold every slot.
+	// If the owner does not answer, a peer uses a fixed part of the slots, so
+	// that a peer that is cut off continues to serve requests. After a start
+	// it first gives the owner some time to answer, since other peers may hold
+	// every slot.
 	//
 	// The zero value with Self, Home, Epoch and User set is ready to use. It
 	// is not safe for concurrent use.
 	Sharer struct {
 		Self tackid.Peer
 		Home tackid.DataCentre
-		// Epoch tells the lives of this peer apart, for example by the
+		// Epoch distinguishes the incarnations of this peer. It can be the
 		// time of its start.
 		Epoch uint64
 		User  User
 
 		links map[tackid.Peer]*link
-		// retired keeps the links of peers that went, since the numbers
-		// of their frames must not start again.
-		retired map[tackid.Peer]*link
-		peers   []Neighbour
-		live    []Neighbour
-		groups  map[Group]*group
-		order   []Group
-		all     []*group
-		only    bool
-		stepped tackclock.Time
-		// began is when the peers were first set.
-		began tackclock.Time
+		// retired keeps the links of removed peers, since the sequence
+		// numbers of frames must not restart.
+		retired    map[tackid.Peer]*link
+		peers      []Neighbour
+		live       []Neighbour
+		groups     map[Group]*group
+		groupOrder []Group
+		allGroups  []*group
+		homeOnly   bool
+		lastStep   tackclock.Time
+		// startedAt is when the peers were first set.
+		startedAt tackclock.Time
 	}
 
-	// link is what a Sharer knows of another peer.
+	// link is the state of the connection to another peer.
 	link struct {
 		Neighbour
-		heard    tackclock.Time
-		epoch    uint64
-		seen     uint64
-		stamp    tackclock.Time
-		seq      uint64
-		acked    uint64
-		sentAt   tackclock.Time
-		oweAck   bool
-		leasedTo tackclock.Time
-		// knowsMe says that it has answered in this life of ours.
-		knowsMe bool
+		lastHeard   tackclock.Time
+		epoch       uint64
+		receivedSeq uint64
+		lastStamp   tackclock.Time
+		sentSeq     uint64
+		ackedSeq    uint64
+		sentAt      tackclock.Time
+		ackDue      bool
+		leaseUntil  tackclock.Time
+		// knowsEpoch reports whether the peer has acknowledged the current
+		// epoch of this one.
+		knowsEpoch bool
 	}
 )
 
-// SetPeers sets all peers, this one included or not.
+// SetPeers sets the peers, which may or may not include this one.
 func (s *Sharer) SetPeers(now tackclock.Time, peers []Neighbour) {
 	if s.retired == nil {
-		s.began = now
+		s.startedAt = now
 		s.retired = make(map[tackid.Peer]*link)
 	}
 	maps.Copy(s.retired, s.links)
@@ -95,7 +100,7 @@
 			l = new(link)
 		}
 		delete(s.retired, p.Peer)
-		l.Neighbour, l.heard = p, now
+		l.Neighbour, l.lastHeard = p, now
 		s.links[p.Peer] = l
 		s.peers = append(s.peers, p)
 	}
@@ -103,11 +108,11 @@
 	s.refreshLive(now)
 }
 
-// SetTable sets the slots to share. Groups that stay keep their shares.
+// SetTable sets the slots to share. Groups that remain keep their shares.
 func (s *Sharer) SetTable(now tackclock.Time, table *tackroute.Table) {
 	old := s.groups
 	s.groups = make(map[Group]*group, len(old))
-	s.only = table.HomeOnly
+	s.homeOnly = table.HomeOnly
 	for service, candidates := range table.Services {
 		for _, c := range candidates {
 			key := Group{Subject: Subject{Service: service}, DataCentre: c.DataCentre}
@@ -127,16 +132,16 @@
 	}
 	s.sortGroups()
 	s.refreshOwners(now)
-	s.exchangeWithSelf(now, s.all)
+	s.exchangeWithSelf(now, s.allGroups)
 }
 
-// Tick returns the frames that are due. It is called every 100 ms, and at
-// once, though not more than every 10 ms, when requests begin to wait.
+// Tick returns the frames that are due. It must be called every 100 ms, and also
+// when requests begin to wait, but at most every 10 ms.
 func (s *Sharer) Tick(now tackclock.Time) []Outgoing {
 	s.refreshLive(now)
-	s.dropSilentSessions(now)
-	s.observe(now)
-	s.exchangeWithSelf(now, s.all)
+	s.dropExpiredSessions(now)
+	s.refreshNeeds(now)
+	s.exchangeWithSelf(now, s.allGroups)
 	var out []Outgoing
 	for _, p := range s.peers {
 		if l := s.links[p.Peer]; l != nil && s.due(now, l) {
@@ -146,29 +151,28 @@
 	return out
 }
 
-// Receive takes in a frame and returns the frames that should not wait for the
-// next Tick.
+// Receive processes a frame and returns the frames to send before the next Tick.
 func (s *Sharer) Receive(now tackclock.Time, from tackid.Peer, f Frame) []Outgoing {
 	l := s.links[from]
-	if l == nil || (f.Epoch == l.epoch && f.Seq <= l.seen) {
+	if l == nil || (f.Epoch == l.epoch && f.Seq <= l.receivedSeq) {
 		return nil
 	}
-	s.note(now, l, f)
+	s.recordHeader(now, l, f)
 	s.refreshLive(now)
 	for i := range f.Reports {
-		s.report(now, from, &f.Reports[i])
+		s.receiveReport(now, from, &f.Reports[i])
 	}
 	for i := range f.Grants {
-		s.grant(from, &f.Grants[i])
+		s.receiveGrant(from, &f.Grants[i])
 	}
 	touched := s.groupsOf(f)
-	s.settle(now, touched)
+	s.applyGrants(now, touched)
 	s.exchangeWithSelf(now, touched)
-	return s.news(now, touched)
+	return s.unsentFrames(now, touched)
 }
 
-// groupsOf returns the groups that a frame is about. What it changes elsewhere
-// can wait for the next Tick, which looks at all.
+// groupsOf returns the groups that a frame refers to. Its effects on other groups
+// are handled by the next Tick, which processes all groups.
 func (s *Sharer) groupsOf(f Frame) []*group {
 	groups := make([]*group, 0, len(f.Reports)+len(f.Grants))
 	for i := range f.Reports {
@@ -180,40 +184,41 @@
 	return slices.DeleteFunc(groups, func(g *group) bool { return g == nil })
 }
 
-// settle puts grants into force.
-func (s *Sharer) settle(now tackclock.Time, groups []*group) {
+// applyGrants applies the grants of the groups and returns slots beyond their
+// bounds.
+func (s *Sharer) applyGrants(now tackclock.Time, groups []*group) {
 	for _, g := range groups {
 		s.apply(now, g)
 		if g.holding.held() > g.holding.bound {
-			s.giveBack(now, g, s.usage(now, g.Subject))
+			s.returnIdle(now, g, s.usage(now, g.Subject))
 		}
 	}
 }
 
-// note takes in the envelope of a frame.
-func (s *Sharer) note(now tackclock.Time, l *link, f Frame) {
+// recordHeader records the header of a frame.
+func (s *Sharer) recordHeader(now tackclock.Time, l *link, f Frame) {
 	if f.Epoch != l.epoch {
 		l.epoch = f.Epoch
-		l.oweAck = true
+		l.ackDue = true
 		s.forgetPeer(now, l.Peer)
 	}
-	l.seen = f.Seq
-	l.heard = now
-	l.stamp = f.Stamp
-	l.oweAck = l.oweAck || len(f.Reports)+len(f.Grants) > 0
+	l.receivedSeq = f.Seq
+	l.lastHeard = now
+	l.lastStamp = f.Stamp
+	l.ackDue = l.ackDue || len(f.Reports)+len(f.Grants) > 0
 	if f.AckEpoch != s.Epoch {
 		return
 	}
-	l.knowsMe = true
-	l.acked = max(l.acked, f.Ack)
+	l.knowsEpoch = true
+	l.ackedSeq = max(l.ackedSeq, f.Ack)
 	if f.Echo != 0 {
-		l.leasedTo = max(l.leasedTo, f.Echo.Add(lease))
+		l.leaseUntil = max(l.leaseUntil, f.Echo.Add(lease))
 	}
 }
 
-// news returns frames for the peers that must be told something new about
-// the groups.
-func (s *Sharer) news(now tackclock.Time, groups []*group) []Outgoing {
+// unsentFrames returns frames for the peers to which something about the groups
+// has not been sent yet.
+func (s *Sharer) unsentFrames(now tackclock.Time, groups []*group) []Outgoing {
 	var out []Outgoing
 	for _, p := range s.peers {
 		if l := s.links[p.Peer]; l != nil && s.alive(now, l) && l.pending(groups, 0) {
@@ -224,23 +229,23 @@
 }
 
 func (s *Sharer) due(now tackclock.Time, l *link) bool {
-	if now.Sub(l.sentAt) >= heartbeat || l.seq == 0 {
+	if now.Sub(l.sentAt) >= heartbeatInterval || l.sentSeq == 0 {
 		return true
 	}
 	if !s.alive(now, l) {
 		return false
 	}
-	return l.oweAck || l.pending(s.all, 0) || (l.acked < l.seq && now.Sub(l.sentAt) >= resend && l.pending(s.all, l.seq))
+	return l.ackDue || l.pending(s.allGroups, 0) || (l.ackedSeq < l.sentSeq && now.Sub(l.sentAt) >= resendAfter && l.pending(s.allGroups, l.sentSeq))
 }
 
-// frame builds the next frame to a peer. It carries all that was not yet
-// acknowledged, so the newest frame alone brings the receiver up to date.
+// frame returns the next frame to a peer. It carries everything that is not
+// acknowledged yet, so the newest frame alone brings the receiver up to date.
 func (s *Sharer) frame(now tackclock.Time, l *link) Outgoing {
-	l.seq++
+	l.sentSeq++
 	l.sentAt = now
-	l.oweAck = false
-	f := Frame{Epoch: s.Epoch, Seq: l.seq, AckEpoch: l.epoch, Ack: l.seen, Stamp: now, Echo: l.stamp}
-	for _, g := range s.all {
+	l.ackDue = false
+	f := Frame{Epoch: s.Epoch, Seq: l.sentSeq, AckEpoch: l.epoch, Ack: l.receivedSeq, Stamp: now, Echo: l.lastStamp}
+	for _, g := range s.allGroups {
 		if g.holding.owner == l.Peer {
 			f.Reports = g.appendReport(f.Reports, l)
 		}
@@ -249,15 +254,15 @@
 	return Outgoing{To: l.Peer, Frame: f}
 }
 
-// pending reports whether something about the groups was never sent to the
-// peer or, up to the given frame, was not acknowledged.
+// pending reports whether something about the groups was never sent to the peer,
+// or was sent in a frame up to upTo and is not acknowledged.
 func (l *link) pending(groups []*group, upTo uint64) bool {
-	due := func(sent uint64) bool { return sent == 0 || (sent > l.acked && sent <= upTo) }
+	due := func(sent uint64) bool { return sent == 0 || (sent > l.ackedSeq && sent <= upTo) }
 	for _, g := range groups {
 		if g.holding.owner == l.Peer && g.holding.pending(due) {
 			return true
 		}
-		if g.owning.pending(l.Peer, due) {
+		if g.ownership.pending(l.Peer, due) {
 			return true
 		}
 	}
@@ -265,11 +270,10 @@
 }
 
 func (s *Sharer) alive(now tackclock.Time, l *link) bool {
-	return now.Sub(l.heard) < silence
+	return now.Sub(l.lastHeard) < peerTimeout
 }
 
-// refreshLive works out which peers can be heard, and the owners if that
-// changed.
+// refreshLive recomputes the set of live peers, and the owners if it changed.
 func (s *Sharer) refreshLive(now tackclock.Time) {
 	live := make([]Neighbour, 0, len(s.peers))
 	for _, p := range s.peers {
@@ -298,14 +302,14 @@
 }
 
 func (s *Sharer) sortGroups() {
-	s.order = s.order[:0]
+	s.groupOrder = s.groupOrder[:0]
 	for key, g := range s.groups {
-		s.order = append(s.order, key)
+		s.groupOrder = append(s.groupOrder, key)
 		slices.SortFunc(g.lots, compareLots)
 	}
-	slices.SortFunc(s.order, compareGroups)
-	s.all = s.all[:0]
-	for _, key := range s.order {
-		s.all = append(s.all, s.groups[key])
+	slices.SortFunc(s.groupOrder, compareGroups)
+	s.allGroups = s.allGroups[:0]
+	for _, key := range s.groupOrder {
+		s.allGroups = append(s.allGroups, s.groups[key])
 	}
 }
--- a/core/tackshare/sharer_test.go
+++ b/core/tackshare/sharer_test.go
@@ -10,15 +10,15 @@
 	"auburntack/core/tackclock"
 )
 
-// assertWithinSlots holds that no request was sent to an executor of which all
-// slots were taken.
+// assertWithinSlots checks that no request was sent to an executor with all slots
+// in use.
 func assertWithinSlots(r result) {
 	convey.So(r.requests, convey.ShouldBeGreaterThan, 1000)
 	convey.So(r.overloaded, convey.ShouldEqual, 0)
 }
 
-// TestSharingBounds holds the figures of the design note, which do not depend
-// on the machine.
+// TestSharingBounds checks the bounds that the design states and that do not
+// depend on the machine.
 func TestSharingBounds(t *testing.T) {
 	for _, vms := range []int{1, 4, 12} {
 		t.Run(fmt.Sprint(vms, " peers"), func(t *testing.T) {
@@ -33,37 +33,37 @@
 	}
 }
 
-// Symptom: an executor gets more requests than it has slots.
-// Sequence: frames between the peers are lost, doubled and overtake each
-// other while slots change hands.
-// Cause: a frame was taken for newer than it was, or a slot was granted again
-// before its holder was known to have returned it.
+// An executor must not get more requests than it has slots while frames between
+// the peers are lost, duplicated and reordered. It would if an old frame were
+// taken for a newer one, or if a slot were granted again before its holder is
+// known to have returned it.
 func TestNoSlotIsGrantedTwice(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			convey.Convey("With a network that loses, doubles and reorders", t, func() {
+			convey.Convey("With a network that loses, duplicates and reorders frames", t, func() {
 				l := load{vms: 6, executors: 4, part: 0.9, hot: 0.6, hotFor: tackclock.Second}
-				way := newLeasedShares(l)
-				way.random = rand.New(rand.NewPCG(seed, 9))
-				calm := &calmEnd{leasedShares: way, at: tackclock.Time(tackclock.Hour).Add(22 * tackclock.Second)}
-				assertWithinSlots(runModel(l, calm, seed, 20*tackclock.Second))
-				convey.Convey("and none is lost for good", func() {
-					convey.So(calm.most, convey.ShouldEqual, 32)
+				shares := newLeasedShares(l)
+				shares.random = rand.New(rand.NewPCG(seed, 9))
+				healed := &healedNetwork{leasedShares: shares, at: tackclock.Time(tackclock.Hour).Add(22 * tackclock.Second)}
+				assertWithinSlots(runModel(l, healed, seed, 20*tackclock.Second))
+				convey.Convey("and no slot is lost permanently", func() {
+					convey.So(healed.most, convey.ShouldEqual, 32)
 				})
 			})
 		})
 	}
 }
 
-// calmEnd mends the network at a time, and counts the most slots that may be
-// filled at once from then on: some are always on their way.
-type calmEnd struct {
+// healedNetwork makes the network reliable at a given time, and records the largest
+// number of slots that may be in use at once after that. It takes the largest
+// number since some slots are always in transit.
+type healedNetwork struct {
 	*leasedShares
 	at   tackclock.Time
 	most int
 }
 
-func (c *calmEnd) tick(now tackclock.Time, waiting []int) {
+func (c *healedNetwork) tick(now tackclock.Time, waiting []int) {
 	if now == c.at {
 		c.random = nil
 	}
@@ -78,18 +78,18 @@
 	c.most = max(c.most, total)
 }
 
-// hotVM is the peer that most requests come through in TestOwnerIsLost.
+// hotVM is the peer at which most requests arrive in TestOwnerIsLost.
 const hotVM = 1
 
-// outage takes a peer down, or cuts it off, at a time of the model.
+// outage stops a peer, or cuts it off, at a given time.
 type outage struct {
 	*leasedShares
 	vm     int
 	at     tackclock.Time
 	cut    bool
 	lowest int
-	// busiest is the least capacity of the peer that most requests come
-	// through, and after the last capacity of all that are left.
+	// busiest is the least capacity of the peer at which most requests
+	// arrive, and after the last capacity of all remaining peers.
 	busiest int
 	after   int
 }
@@ -100,12 +100,12 @@
 	}
 	if now >= o.at && o.cut {
 		var kept []envelope
-		for _, e := range o.flying {
+		for _, e := range o.inTransit {
 			if e.from != o.vm && e.to != o.vm {
 				kept = append(kept, e)
 			}
 		}
-		o.flying = kept
+		o.inTransit = kept
 	}
 	o.leasedShares.tick(now, waiting)
 	if now < o.at {
@@ -124,11 +124,10 @@
 	}
 }
 
-// Symptom: after the loss of one peer, others refuse work for seconds, or
-// its slots are never used again.
-// Sequence: the peer that divides the slots of a service dies, or is cut off
-// from the others.
-// Cause: the shares that it granted ended with it, or nobody took them over.
+// After the peer that divides the slots of a service dies or is cut off, the
+// others must neither refuse requests for seconds nor leave its slots unused.
+// They did when the shares that it granted ended with it, or when no other peer
+// took them over.
 func TestOwnerIsLost(t *testing.T) {
 	start := tackclock.Time(tackclock.Hour)
 	for vm := range 4 {
@@ -136,17 +135,17 @@
 			t.Run(fmt.Sprint("peer ", vm, " cut ", cut), func(t *testing.T) {
 				convey.Convey("After the loss", t, func() {
 					l := load{vms: 4, executors: 4, part: 0.6, hot: 0.8, hotFor: 80 * tackclock.Second}
-					way := &outage{leasedShares: newLeasedShares(l), vm: vm, at: start.Add(8 * tackclock.Second),
+					shares := &outage{leasedShares: newLeasedShares(l), vm: vm, at: start.Add(8 * tackclock.Second),
 						cut: cut, lowest: 100, busiest: 100}
-					r := runModel(l, way, 1, 15*tackclock.Second)
+					r := runModel(l, shares, 1, 15*tackclock.Second)
 					if !cut {
 						assertWithinSlots(r)
 					}
 					if vm != hotVM {
-						convey.So(way.busiest, convey.ShouldBeGreaterThan, 11)
+						convey.So(shares.busiest, convey.ShouldBeGreaterThan, 11)
 					}
-					convey.So(way.lowest, convey.ShouldBeGreaterThan, 0)
-					convey.So(way.after, convey.ShouldBeGreaterThanOrEqualTo, 30)
+					convey.So(shares.lowest, convey.ShouldBeGreaterThan, 0)
+					convey.So(shares.after, convey.ShouldBeGreaterThanOrEqualTo, 30)
 				})
 			})
 		}
--- a/core/tackshare/sharing_test.go
+++ b/core/tackshare/sharing_test.go
@@ -7,26 +7,26 @@
 	"auburntack/core/tackclock"
 )
 
-// BenchmarkSharing weighs the ways of sharing slots by the model: fixed
-// shares, the less loaded of two by loads reported each 100 or 250 ms, and
-// leased shares, which is what this package does.
+// BenchmarkSharing compares strategies of sharing slots in the model: fixed
+// shares, the less loaded of two executors by loads that are reported every 100
+// or 250 ms, and leased shares, as implemented by this package.
 func BenchmarkSharing(b *testing.B) {
-	ways := []struct {
+	strategies := []struct {
 		name string
-		make func(load) sharing
+		make func(load) strategy
 	}{
 		{"fixed", newFixedShares},
-		{"reported_100ms", func(l load) sharing { return newReportedLoads(l, 100) }},
-		{"reported_250ms", func(l load) sharing { return newReportedLoads(l, 250) }},
-		{"leased", func(l load) sharing { return newLeasedShares(l) }},
+		{"reported_100ms", func(l load) strategy { return newReportedLoads(l, 100) }},
+		{"reported_250ms", func(l load) strategy { return newReportedLoads(l, 250) }},
+		{"leased", func(l load) strategy { return newLeasedShares(l) }},
 	}
 	for _, vms := range []int{1, 4, 8, 12} {
 		for _, hot := range []float64{0, 0.5} {
-			for _, way := range ways {
+			for _, s := range strategies {
 				l := load{vms: vms, executors: 8, part: 0.8, hot: hot, hotFor: 5 * tackclock.Second}
-				b.Run(fmt.Sprintf("vms=%d/hot=%v/%s", vms, hot, way.name), func(b *testing.B) {
+				b.Run(fmt.Sprintf("vms=%d/hot=%v/%s", vms, hot, s.name), func(b *testing.B) {
 					for b.Loop() {
-						reportResult(b, runModel(l, way.make(l), 1, 60*tackclock.Second))
+						reportResult(b, runModel(l, s.make(l), 1, 60*tackclock.Second))
 					}
 				})
 			}
--- a/core/tackshare/size_test.go
+++ b/core/tackshare/size_test.go
@@ -14,18 +14,18 @@
 	"auburntack/core/tackshare"
 )
 
-// crowd is a User with many services, whose load changes every second.
-type crowd struct {
+// multiUser is a User with many services, whose load changes every second.
+type multiUser struct {
 	random *rand.Rand
 	shares map[tackshare.Group][]tackroute.Share
 	demand map[tackshare.Subject]int
 }
 
-func (c *crowd) SetShares(_ tackclock.Time, g tackshare.Group, bound int, shares []tackroute.Share) {
+func (c *multiUser) SetShares(_ tackclock.Time, g tackshare.Group, bound int, shares []tackroute.Share) {
 	c.shares[g] = shares
 }
 
-func (c *crowd) Usage(_ tackclock.Time, subject tackshare.Subject) tackshare.Usage {
+func (c *multiUser) Usage(_ tackclock.Time, subject tackshare.Subject) tackshare.Usage {
 	u := tackshare.Usage{Waiting: c.demand[subject]}
 	for g, shares := range c.shares {
 		if g.Subject != subject {
@@ -42,7 +42,7 @@
 	return u
 }
 
-// sizes are those of today and of the plan for two years.
+// sizes are the present size and the one planned for two years.
 var sizes = []struct {
 	name                           string
 	vms, centres, services, server int
@@ -51,9 +51,9 @@
 	{"planned", 12, 10, 36, 2300},
 }
 
-// BenchmarkSize gives bytes, messages and time of sharing at two sizes, with
-// loads that change by a tenth every second. The time is for one peer and
-// one second, on one core, the encoding of its frames and its load included.
+// BenchmarkSize reports the bytes, messages and time of sharing at two sizes, with
+// loads that change by a tenth every second. The time is per peer and second, on
+// one core, and includes the encoding of frames and the simulation of the load.
 func BenchmarkSize(b *testing.B) {
 	const seconds = 20
 	for _, size := range sizes {
@@ -83,7 +83,7 @@
 // runSize runs for the given seconds after a warm-up of as many.
 func runSize(vms, centres, services, servers, seconds int) (bytes, frames int) {
 	table := sizedTable(centres, services, servers)
-	sharers, crowds := sizedSharers(vms, centres, table)
+	sharers, users := sizedSharers(vms, centres, table)
 	var deliver func(now tackclock.Time, from int, out []tackshare.Outgoing)
 	deliver = func(now tackclock.Time, from int, out []tackshare.Outgoing) {
 		for _, o := range out {
@@ -101,7 +101,7 @@
 		now := tackclock.Time(100 * tick)
 		for vm, s := range sharers {
 			if tick%10 == 0 {
-				crowds[vm].change(table, servers*executorSlots/vms/services)
+				users[vm].change(table, servers*executorSlots/vms/services)
 			}
 			deliver(now, vm, s.Tick(now))
 		}
@@ -109,26 +109,26 @@
 	return bytes, frames
 }
 
-func sizedSharers(vms, centres int, table *tackroute.Table) ([]*tackshare.Sharer, []*crowd) {
+func sizedSharers(vms, centres int, table *tackroute.Table) ([]*tackshare.Sharer, []*multiUser) {
 	var peers []tackshare.Neighbour
 	for vm := range vms {
 		peers = append(peers, tackshare.Neighbour{Peer: peerOf(vm), DataCentre: tackid.DataCentre(fmt.Sprint("centre-", vm%centres))})
 	}
 	var sharers []*tackshare.Sharer
-	var crowds []*crowd
+	var users []*multiUser
 	for vm, peer := range peers {
-		c := &crowd{random: rand.New(rand.NewPCG(uint64(vm), 1)), shares: make(map[tackshare.Group][]tackroute.Share),
+		c := &multiUser{random: rand.New(rand.NewPCG(uint64(vm), 1)), shares: make(map[tackshare.Group][]tackroute.Share),
 			demand: make(map[tackshare.Subject]int)}
 		s := &tackshare.Sharer{Self: peer.Peer, Home: peer.DataCentre, Epoch: 1, User: c}
 		s.SetPeers(0, peers)
 		s.SetTable(0, table)
-		sharers, crowds = append(sharers, s), append(crowds, c)
+		sharers, users = append(sharers, s), append(users, c)
 	}
-	return sharers, crowds
+	return sharers, users
 }
 
-// change lets the load of every service move around half of its part.
-func (c *crowd) change(table *tackroute.Table, part int) {
+// change changes the load of every service at random around half of its part.
+func (c *multiUser) change(table *tackroute.Table, part int) {
 	for service := range table.Services {
 		subject := tackshare.Subject{Service: service}
 		n := c.demand[subject]
--- a/core/tackshare/ways_test.go
+++ b/core/tackshare/ways_test.go
@@ -9,13 +9,13 @@
 	"auburntack/core/tackshare"
 )
 
-// fixedShares deals the slots out once and for all.
+// fixedShares is a strategy that divides the slots once.
 type fixedShares struct {
 	part [][]int
 	used [][]int
 }
 
-func newFixedShares(l load) sharing {
+func newFixedShares(l load) strategy {
 	f := &fixedShares{part: grid(l.vms, l.executors), used: grid(l.vms, l.executors)}
 	for e := range l.executors {
 		for slot := range executorSlots {
@@ -43,8 +43,8 @@
 func (f *fixedShares) tick(tackclock.Time, []int)              {}
 func (f *fixedShares) traffic() (int, int)                     { return 0, 0 }
 
-// reportedLoads tells every peer each interval what the others have in
-// flight, and takes the less loaded of two executors.
+// reportedLoads is a strategy in which each peer reports its requests in flight to
+// the others at intervals, and chooses the less loaded of two executors.
 type reportedLoads struct {
 	own      [][]int
 	known    [][]int // by VM: what all others reported
@@ -54,7 +54,7 @@
 	bytes    int
 }
 
-func newReportedLoads(l load, interval tackclock.Duration) sharing {
+func newReportedLoads(l load, interval tackclock.Duration) strategy {
 	return &reportedLoads{own: grid(l.vms, l.executors), known: grid(l.vms, l.executors),
 		random: rand.New(rand.NewPCG(7, 7)), interval: interval}
 }
