--- a/core/tackledger/queue.go
+++ b/core/tackledger/queue.go
@@ -7,8 +7,8 @@
 }
 
 func (q *queue) push(e entry) {
-	// Popped entries are cut off once they are half of the slice, so that
-	// moving the rest costs no more than the pops did.
+	// Popped entries are removed once they are half of the slice, so that the
+	// amortized cost of moving the rest is constant.
 	if q.first > len(q.entries)/2 {
 		q.entries = append(q.entries[:0], q.entries[q.first:]...)
 		q.first = 0
--- a/core/tackledger/record.go
+++ b/core/tackledger/record.go
@@ -12,52 +12,55 @@
 const (
 	// OutcomeAnswered means that the backend server's answer is known.
 	OutcomeAnswered Outcome = iota + 1
-	// OutcomeDidNotRun means that the dispatch surely did not run; the key is
-	// free again.
+	// OutcomeDidNotRun means that the request certainly did not run. It frees
+	// the key.
 	OutcomeDidNotRun
-	// OutcomeUnknown means that nobody knows whether the dispatch ran.
+	// OutcomeUnknown means that it is not known whether the request ran.
 	OutcomeUnknown
 )
 
 const (
-	// Mine means that the claimer holds the key and may dispatch, once.
+	// Mine means that the claimer holds the key and may dispatch the request
+	// once.
 	Mine ClaimKind = iota + 1
 	// Running means that another request holds the key and has not finished.
 	Running
-	// Recorded means that the key's work ran and Claim.Answer has its answer.
+	// Recorded means that the request with the key ran and Claim.Answer has
+	// its answer.
 	Recorded
-	// Unknown means that the key's work may or may not have run.
+	// Unknown means that the request with the key may or may not have run.
 	Unknown
 	// Mismatch means that the key was first used with a different request.
 	Mismatch
-	// Released means that this very request was given up on before its claim
-	// was applied: it must not be dispatched.
+	// Released means that this request was released before its claim was
+	// applied. It must not be dispatched.
 	Released
-	// Full means that no further key is recorded for now, because an earlier
-	// one would have to be forgotten for it.
+	// Full means that no more keys can be recorded at present without
+	// forgetting earlier ones.
 	Full
 )
 
 type (
-	// ID is what a record stands under.
+	// ID identifies a record.
 	ID struct {
 		Service tackid.Service `cbor:"1,keyasint"`
 		Team    tackid.Team    `cbor:"2,keyasint,omitempty"`
 		Key     tackid.Key     `cbor:"3,keyasint"`
 	}
 
-	// Fingerprint tells whether two requests with the same key are the same:
-	// a SHA-256 over method, path with query, and body.
+	// Fingerprint identifies the contents of a request, to detect different
+	// requests with the same key. It is a SHA-256 hash over method, path with
+	// query, and body.
 	Fingerprint [sha256.Size]byte
 
-	// Life tells one life of a peer's process from the next. Each process
-	// draws a new one at random when it starts.
+	// Life identifies one process of a peer. Each process chooses a new random
+	// value when it starts.
 	Life uint64
 
-	// Outcome is what became of a dispatch.
+	// Outcome is the outcome of a dispatch.
 	Outcome uint8
 
-	// ClaimKind is the verdict on a Begin.
+	// ClaimKind is the decision on a Begin.
 	ClaimKind uint8
 
 	// Field is one header field of an answer, with its values in order.
@@ -66,8 +69,8 @@
 		Values []string `cbor:"2,keyasint"`
 	}
 
-	// Answer is what a backend server answered. Truncated means that the body
-	// was too large to keep: Status and Header are whole, Body is empty.
+	// Answer is the answer of a backend server. Truncated means that the body
+	// was too large to keep: Status and Header are complete, Body is empty.
 	Answer struct {
 		Status    int     `cbor:"1,keyasint,omitempty"`
 		Header    []Field `cbor:"2,keyasint,omitempty"`
@@ -75,9 +78,9 @@
 		Truncated bool    `cbor:"4,keyasint,omitempty"`
 	}
 
-	// Begin asks for a key. Within is how long the dispatch may take at most,
-	// in milliseconds from when the change is applied: after that a record
-	// without a Finish counts as unknown.
+	// Begin claims a key. Within is the longest time that the dispatch may
+	// take, in milliseconds from when the change is applied. After that a
+	// record without a Finish counts as unknown.
 	Begin struct {
 		ID          ID                 `cbor:"1,keyasint"`
 		Fingerprint Fingerprint        `cbor:"2,keyasint"`
@@ -87,8 +90,8 @@
 		Within      tackclock.Duration `cbor:"6,keyasint"`
 	}
 
-	// Finish says what became of the dispatch that Request claimed the key
-	// for. Answer counts with OutcomeAnswered only.
+	// Finish records the outcome of the dispatch for which Request claimed the
+	// key. Answer is used with OutcomeAnswered only.
 	Finish struct {
 		ID      ID               `cbor:"1,keyasint"`
 		Request tackid.RequestID `cbor:"2,keyasint"`
@@ -96,14 +99,14 @@
 		Answer  Answer           `cbor:"4,keyasint"`
 	}
 
-	// Change is one change of the ledger as it stands in the replicated log.
+	// Change is an entry of the replicated log that changes the ledger.
 	// Exactly one field is set.
 	Change struct {
 		Begin  *Begin  `cbor:"1,keyasint,omitempty"`
 		Finish *Finish `cbor:"2,keyasint,omitempty"`
 	}
 
-	// Claim is the answer to a Begin. Answer is set with Recorded only.
+	// Claim is the result of a Begin. Answer is set with Recorded only.
 	Claim struct {
 		Kind   ClaimKind `cbor:"1,keyasint"`
 		Answer Answer    `cbor:"2,keyasint"`
@@ -127,7 +130,7 @@
 	}
 )
 
-// String returns the outcome as the Auburntack-Outcome header writes it.
+// String returns the value of the Auburntack-Outcome header for the outcome.
 func (o Outcome) String() string {
 	if int(o) < len(outcomeNames) && outcomeNames[o] != "" {
 		return outcomeNames[o]
@@ -135,7 +138,7 @@
 	return fmt.Sprintf("outcome_%d", uint8(o))
 }
 
-// String returns the verdict's name.
+// String returns the name of the decision.
 func (k ClaimKind) String() string {
 	if int(k) < len(claimNames) && claimNames[k] != "" {
 		return claimNames[k]
@@ -143,12 +146,12 @@
 	return fmt.Sprintf("claim_%d", uint8(k))
 }
 
-// Print returns the fingerprint of a request. Target is the path with its
-// query as the caller sent it.
+// Print returns the fingerprint of a request. Target is the path with the query,
+// as sent by the caller.
 func Print(method, target string, body []byte) Fingerprint {
 	h := sha256.New()
-	// Each part is preceded by its length. Without it, a method and a path
-	// that run together would count as the same as another pair.
+	// The lengths make the encoding unambiguous. Without them, different pairs
+	// of method and target could have the same concatenation.
 	fmt.Fprintf(h, "%d %s %d ", len(method), method, len(target))
 	io.WriteString(h, target)
 	h.Write(body)
@@ -157,7 +160,7 @@
 	return f
 }
 
-// size returns the bytes that keeping the answer takes, roughly.
+// size returns the approximate size of the answer in bytes.
 func (a *Answer) size() int {
 	n := len(a.Body)
 	for _, f := range a.Header {
--- a/core/tackledger/snapshot.go
+++ b/core/tackledger/snapshot.go
@@ -16,8 +16,7 @@
 const snapshotVersion = 1
 
 type (
-	// VersionError reports a snapshot of a version that this program can't
-	// read.
+	// VersionError reports a snapshot version that this program can't read.
 	VersionError struct {
 		Version int
 	}
@@ -30,9 +29,9 @@
 		Records  []savedRecord        `cbor:"5,keyasint"`
 	}
 
-	// savedRecord is a record and the digest that it stands under.
+	// savedRecord is a record with the digest of its ID.
 	savedRecord struct {
-		At          digest          `cbor:"1,keyasint"`
+		Digest      digest          `cbor:"1,keyasint"`
 		Team        tackid.Team     `cbor:"2,keyasint,omitempty"`
 		Fingerprint digest          `cbor:"3,keyasint"`
 		Request     digest          `cbor:"4,keyasint"`
@@ -62,7 +61,7 @@
 }
 
 // Snapshot returns the state as CBOR. Two states that applied the same changes
-// give the same bytes.
+// have the same encoding.
 func (s *State) Snapshot() ([]byte, error) {
 	out := snapshot{
 		Version:  snapshotVersion,
@@ -74,8 +73,8 @@
 	if out.Lives == nil {
 		out.Lives = make(map[tackid.Peer]Life)
 	}
-	for at, r := range s.records {
-		out.Records = append(out.Records, r.save(at))
+	for d, r := range s.records {
+		out.Records = append(out.Records, r.save(d))
 	}
 	slices.SortFunc(out.Records, compareSaved)
 	data, err := encoding.Marshal(out)
@@ -85,8 +84,8 @@
 	return data, nil
 }
 
-// Restore replaces the state by that of a snapshot; the limits stay. The error
-// is a *VersionError for a snapshot of a later program.
+// Restore replaces the state, except the limits, by that of a snapshot. The error
+// is a *VersionError if the snapshot has a later version.
 func (s *State) Restore(data []byte) error {
 	var in snapshot
 	if err := cbor.Unmarshal(data, &in); err != nil {
@@ -107,7 +106,7 @@
 	return nil
 }
 
-// restore puts one record back.
+// restore adds one record from a snapshot.
 func (s *State) restore(v *savedRecord) {
 	r := &record{
 		team:        unique.Make(v.Team),
@@ -123,19 +122,19 @@
 		outcome:     v.Outcome,
 		answer:      v.Answer,
 	}
-	s.records[v.At] = r
+	s.records[v.Digest] = r
 	s.teams[v.Team]++
 	if r.answer != nil {
 		s.bytes += r.answer.size()
 	}
 	if r.outcome == OutcomeDidNotRun {
-		s.released.push(entry{v.At, v.Revision, v.Ended})
+		s.released.push(entry{v.Digest, v.Revision, v.Ended})
 		return
 	}
-	s.begun.push(entry{v.At, v.Revision, v.Begun})
+	s.begun.push(entry{v.Digest, v.Revision, v.Begun})
 }
 
-// requeueAnswers lists the answers in the order in which they came.
+// requeueAnswers queues the answers in the order in which they were recorded.
 func (s *State) requeueAnswers(records []savedRecord) {
 	var answered []*savedRecord
 	for i := range records {
@@ -145,14 +144,14 @@
 	}
 	slices.SortFunc(answered, func(a, b *savedRecord) int { return cmp.Compare(a.Finished, b.Finished) })
 	for _, v := range answered {
-		s.answered.push(entry{v.At, v.Revision, v.Ended})
+		s.answered.push(entry{v.Digest, v.Revision, v.Ended})
 	}
 }
 
-// save returns the record in the snapshot's form.
-func (r *record) save(at digest) savedRecord {
+// save returns the record in its encoded form.
+func (r *record) save(d digest) savedRecord {
 	return savedRecord{
-		At:          at,
+		Digest:      d,
 		Team:        r.team.Value(),
 		Fingerprint: r.fingerprint,
 		Request:     r.request,
@@ -168,10 +167,10 @@
 	}
 }
 
-// compareSaved orders records as their queues do, then by digest.
+// compareSaved orders records as in their queues, then by digest.
 func compareSaved(a, b savedRecord) int {
 	if c := cmp.Compare(a.Revision, b.Revision); c != 0 {
 		return c
 	}
-	return bytes.Compare(a.At[:], b.At[:])
+	return bytes.Compare(a.Digest[:], b.Digest[:])
 }
--- a/core/tackledger/state.go
+++ b/core/tackledger/state.go
@@ -1,12 +1,12 @@
-// Package tackledger keeps the records that make a request with an
-// idempotency key run at most once.
+// Package tackledger keeps the records that ensure that a request with an
+// idempotency key runs at most once.
 //
-// A State is driven by the replicated log: every peer applies the same
-// changes in the same order and holds the same records. The peer that takes a
-// request proposes a Begin and dispatches only once the applied change
-// returned Mine; afterwards it proposes a Finish. Of two peers that race for a
-// key, the log puts one first. A record that was begun and never finished
-// counts as unknown, and stays so: its work is never dispatched again.
+// A State is a state machine driven by the replicated log: every peer applies the
+// same changes in the same order and holds the same records. The peer that
+// receives a request proposes a Begin, and dispatches the request only after the
+// applied change returned Mine. Afterwards it proposes a Finish. If two peers race
+// for a key, the one whose Begin is first in the log gets it. A record without a
+// Finish becomes unknown and stays so: its request is never dispatched again.
 package tackledger
 
 import (
@@ -23,17 +23,18 @@
 	defaultReleasedAge = 10 * tackclock.Minute
 	defaultRecords     = 300_000
 	defaultBytes       = 32 << 20
-	teamShare          = 2 // a team holds at most one in teamShare of the records
+	teamDivisor        = 2 // a team has at most Limits.Records/teamDivisor records
 )
 
 type (
-	// Limits bounds a State. The zero value takes the defaults. They must be
-	// the same on every peer, since they decide what Apply does.
+	// Limits are the limits of a State. A zero field takes its default. They
+	// must be the same on every peer, since the effect of Apply depends on
+	// them.
 	Limits struct {
-		Age         tackclock.Duration // records end this long after their Begin; 24 h
-		ReleasedAge tackclock.Duration // releases are remembered this long; 10 min
-		Records     int                // records held at most; 300,000
-		Bytes       int                // headers and bodies of answers held at most; 32 MiB
+		Age         tackclock.Duration // time after its Begin at which a record expires; default 24 h
+		ReleasedAge tackclock.Duration // time for which releases are remembered; default 10 min
+		Records     int                // maximum number of records; default 300,000
+		Bytes       int                // maximum size of the headers and bodies of answers; default 32 MiB
 	}
 
 	// State holds the records. The zero value is empty and ready to use. It
@@ -47,18 +48,18 @@
 		teams    map[tackid.Team]int
 		lives    map[tackid.Peer]Life
 		bytes    int
-		begun    queue // every record, by its Begin
-		released queue // records that were released, by their release
-		answered queue // records that hold an answer, by their Finish
+		begun    queue // all records, in the order of Begin
+		released queue // released records, in the order of release
+		answered queue // records with an answer, in the order of Finish
 	}
 
-	// digest is the beginning of a SHA-256. Records hold digests in place of
-	// names, which are several times as long; there are hundreds of thousands
-	// of records, on every peer.
+	// digest is a truncated SHA-256 hash. Records hold digests instead of
+	// names, which are several times as long, since every peer holds hundreds
+	// of thousands of records.
 	digest [16]byte
 
-	// record is what is known about one key. It stands under the digest of
-	// its ID.
+	// record is the record of one key. It is stored under the digest of its
+	// ID.
 	record struct {
 		team        unique.Handle[tackid.Team]
 		peer        unique.Handle[tackid.Peer]
@@ -67,23 +68,23 @@
 		life        Life
 		begun       tackclock.Time
 		until       tackclock.Time
-		ended       tackclock.Time  // when the outcome came
+		ended       tackclock.Time  // time of the outcome
 		revision    tackid.Revision // of the change that last queued the record
-		finished    tackid.Revision // of the change that brought the outcome
+		finished    tackid.Revision // of the change with the outcome
 		outcome     Outcome         // zero while running
 		answer      *Answer
 	}
 
-	// entry is a record's place in a queue. It is void once the record has
+	// entry refers to a record from a queue. It is stale once the record has
 	// another revision.
 	entry struct {
-		at       digest
+		digest   digest
 		revision tackid.Revision
 		time     tackclock.Time
 	}
 )
 
-// withDefaults returns the limits with the zero fields filled in.
+// withDefaults returns the limits with zero fields replaced by the defaults.
 func (l Limits) withDefaults() Limits {
 	if l.Age <= 0 {
 		l.Age = defaultAge
@@ -100,9 +101,9 @@
 	return l
 }
 
-// Apply carries out the change at revision rev. Now is the time that the log
-// entry carries; it must be the same on every peer. For a Begin it returns the
-// verdict; for a Finish the zero Claim.
+// Apply applies the change at revision rev. Now is the time in the log entry,
+// which must be the same on every peer. For a Begin it returns the claim, for a
+// Finish the zero Claim.
 func (s *State) Apply(rev tackid.Revision, now tackclock.Time, c Change) Claim {
 	s.advance(rev, now)
 	switch {
@@ -114,13 +115,13 @@
 	return Claim{}
 }
 
-// Lookup returns what a Begin of this request would be told now, without
-// claiming anything, and Mine where the key is free. Only Recorded and
-// Mismatch are final: the other verdicts may have changed in entries of the
-// log that this peer has not applied yet.
+// Lookup returns the claim that a Begin of the request would get now, without
+// claiming the key; it is Mine if the key is free. Only Recorded and Mismatch are
+// final. Other results may have been changed by log entries that this peer has
+// not applied yet.
 func (s *State) Lookup(now tackclock.Time, id ID, print Fingerprint) Claim {
 	r := s.records[id.digest()]
-	if r == nil || r.outcome == OutcomeDidNotRun || s.ended(r, now) {
+	if r == nil || r.outcome == OutcomeDidNotRun || s.expired(r, now) {
 		return Claim{Kind: Mine}
 	}
 	return s.verdict(r, print, max(now, s.now))
@@ -131,19 +132,19 @@
 	return s.revision
 }
 
-// Len returns the number of records held.
+// Len returns the number of records.
 func (s *State) Len() int {
 	return len(s.records)
 }
 
-// Bytes returns the size of the answers held.
+// Bytes returns the total size of the recorded answers.
 func (s *State) Bytes() int {
 	return s.bytes
 }
 
-// advance moves the state's time forward and drops what has ended by then.
-// Leaders' clocks differ, so the time of a later entry may be earlier; time
-// then stands still, lest a record that has ended come back.
+// advance advances the time of the state and drops the records that have expired.
+// The clocks of leaders differ, so a later entry may have an earlier time. The
+// time of the state then does not change, so that no expired record reappears.
 func (s *State) advance(rev tackid.Revision, now tackclock.Time) {
 	s.revision = rev
 	s.now = max(s.now, now)
@@ -157,7 +158,7 @@
 	s.drop(&s.released, limits.ReleasedAge)
 }
 
-// drop removes the records at the queue's head that are older than age.
+// drop removes the records at the head of the queue that have reached the age.
 func (s *State) drop(q *queue, age tackclock.Duration) {
 	for {
 		e, ok := q.head()
@@ -165,20 +166,20 @@
 			return
 		}
 		q.pop()
-		if r := s.records[e.at]; r != nil && r.revision == e.revision {
-			s.remove(e.at, r)
+		if r := s.records[e.digest]; r != nil && r.revision == e.revision {
+			s.remove(e.digest, r)
 		}
 	}
 }
 
-func (s *State) remove(at digest, r *record) {
+func (s *State) remove(d digest, r *record) {
 	s.forgetAnswer(r)
 	team := r.team.Value()
 	s.teams[team]--
 	if s.teams[team] == 0 {
 		delete(s.teams, team)
 	}
-	delete(s.records, at)
+	delete(s.records, d)
 }
 
 func (s *State) forgetAnswer(r *record) {
@@ -190,14 +191,14 @@
 
 // begin decides on a claim.
 func (s *State) begin(b *Begin) Claim {
-	// A peer that comes back with another life will never finish what its
-	// earlier life began. Seen as: repeats of a key are told "running" long
-	// after the peer died. The life makes them unknown at once.
+	// A restarted peer will never finish what its earlier process began. The
+	// new life makes those records unknown at once. Otherwise repeats of a key
+	// would get Running long after the process died.
 	s.lives[b.Peer] = b.Life
-	at := b.ID.digest()
-	r := s.records[at]
+	d := b.ID.digest()
+	r := s.records[d]
 	if r == nil {
-		return s.claim(at, b)
+		return s.claim(d, b)
 	}
 	if r.request == digestOf(string(b.Request)) {
 		return Claim{Kind: s.repeated(r)}
@@ -205,12 +206,12 @@
 	if r.outcome != OutcomeDidNotRun {
 		return s.verdict(r, b.Fingerprint, s.now)
 	}
-	s.remove(at, r)
-	return s.claim(at, b)
+	s.remove(d, r)
+	return s.claim(d, b)
 }
 
-// repeated decides on a Begin that the log carries twice, because the answer
-// to its proposal was lost and the peer proposed it again.
+// repeated decides on a Begin that is in the log twice, because the answer to the
+// proposal was lost and the peer proposed it again.
 func (s *State) repeated(r *record) ClaimKind {
 	switch {
 	case r.outcome == OutcomeDidNotRun:
@@ -221,12 +222,13 @@
 	return Unknown
 }
 
-// claim makes a new record where the limits allow one.
-func (s *State) claim(at digest, b *Begin) Claim {
-	// Forgetting a key early would let a repeat run a second time. So a full
-	// ledger refuses new keys, and one team can't fill it for all the others.
+// claim adds a new record if the limits allow it.
+func (s *State) claim(d digest, b *Begin) Claim {
+	// A key that is forgotten early could run a second time when the request
+	// is repeated. So a full ledger refuses new keys instead, and no team can
+	// fill it alone.
 	limits := s.Limits.withDefaults()
-	if len(s.records) >= limits.Records || s.teams[b.ID.Team] >= max(1, limits.Records/teamShare) {
+	if len(s.records) >= limits.Records || s.teams[b.ID.Team] >= max(1, limits.Records/teamDivisor) {
 		return Claim{Kind: Full}
 	}
 	r := &record{
@@ -238,18 +240,18 @@
 		begun:       s.now,
 		until:       s.now.Add(min(b.Within, limits.Age)),
 	}
-	s.insert(at, r)
-	s.begun.push(entry{at, r.revision, s.now})
+	s.insert(d, r)
+	s.begun.push(entry{d, r.revision, s.now})
 	return Claim{Kind: Mine}
 }
 
-func (s *State) insert(at digest, r *record) {
+func (s *State) insert(d digest, r *record) {
 	r.revision = s.revision
-	s.records[at] = r
+	s.records[d] = r
 	s.teams[r.team.Value()]++
 }
 
-// verdict tells another request what stands under its key.
+// verdict returns the claim of another request with the key of the record.
 func (s *State) verdict(r *record, print Fingerprint, now tackclock.Time) Claim {
 	switch {
 	case r.fingerprint != digest(print[:]):
@@ -264,77 +266,77 @@
 	return Claim{Kind: Unknown}
 }
 
-// running reports whether the record's dispatch may still be going on.
+// running reports whether the dispatch of the record may still be in progress.
 func (s *State) running(r *record, now tackclock.Time) bool {
 	return r.outcome == 0 && s.lives[r.peer.Value()] == r.life && !now.After(r.until)
 }
 
-func (s *State) ended(r *record, now tackclock.Time) bool {
+func (s *State) expired(r *record, now tackclock.Time) bool {
 	return now.Sub(r.begun) >= s.Limits.withDefaults().Age
 }
 
-// finish notes the outcome of a dispatch.
+// finish records the outcome of a dispatch.
 func (s *State) finish(f *Finish) {
-	at := f.ID.digest()
-	r := s.records[at]
+	d := f.ID.digest()
+	r := s.records[d]
 	switch {
 	case r == nil && f.Outcome == OutcomeDidNotRun:
-		s.releaseAhead(at, f)
+		s.releaseAhead(d, f)
 	case r == nil || r.request != digestOf(string(f.Request)) || r.outcome == OutcomeAnswered:
 	case f.Outcome == OutcomeDidNotRun:
-		s.release(at, r)
+		s.release(d, r)
 	case f.Outcome == OutcomeAnswered:
-		s.answer(at, r, f.Answer)
+		s.answer(d, r, f.Answer)
 	default:
-		s.end(r, OutcomeUnknown)
+		s.setOutcome(r, OutcomeUnknown)
 	}
 }
 
-func (s *State) end(r *record, o Outcome) {
+func (s *State) setOutcome(r *record, o Outcome) {
 	r.outcome, r.ended, r.finished = o, s.now, s.revision
 }
 
 // release frees the record's key.
-func (s *State) release(at digest, r *record) {
-	s.end(r, OutcomeDidNotRun)
+func (s *State) release(d digest, r *record) {
+	s.setOutcome(r, OutcomeDidNotRun)
 	r.revision = s.revision
-	s.released.push(entry{at, r.revision, s.now})
+	s.released.push(entry{d, r.revision, s.now})
 }
 
-// releaseAhead remembers the release of a claim that has not been applied. A
-// peer that gives up on a proposal can't know whether it was lost or is only
-// late. If a late Begin were recorded, nobody would ever finish it and the key
-// would be stuck at unknown, though its caller was told did_not_run.
-func (s *State) releaseAhead(at digest, f *Finish) {
+// releaseAhead records the release of a claim that has not been applied. A peer
+// that stops waiting for a proposal can't know whether it was lost or is late. If
+// a late Begin were recorded, no peer would ever finish it and the key would stay
+// unknown, although its caller got did_not_run.
+func (s *State) releaseAhead(d digest, f *Finish) {
 	r := &record{
 		team:    unique.Make(f.ID.Team),
 		peer:    unique.Make(tackid.Peer("")),
 		request: digestOf(string(f.Request)),
 		begun:   s.now,
 	}
-	s.insert(at, r)
-	s.release(at, r)
+	s.insert(d, r)
+	s.release(d, r)
 }
 
-// answer keeps the answer, and gives up the oldest ones beyond the limit.
-func (s *State) answer(at digest, r *record, a Answer) {
-	s.end(r, OutcomeAnswered)
+// answer records the answer, and drops the oldest answers beyond the limit.
+func (s *State) answer(d digest, r *record, a Answer) {
+	s.setOutcome(r, OutcomeAnswered)
 	r.answer = &a
 	s.bytes += a.size()
-	s.answered.push(entry{at, r.revision, s.now})
+	s.answered.push(entry{d, r.revision, s.now})
 	for limit := s.Limits.withDefaults().Bytes; s.bytes > limit; {
 		e, ok := s.answered.head()
 		if !ok {
 			return
 		}
 		s.answered.pop()
-		if old := s.records[e.at]; old != nil && old.revision == e.revision {
+		if old := s.records[e.digest]; old != nil && old.revision == e.revision {
 			s.forgetAnswer(old)
 		}
 	}
 }
 
-// digest returns where the record of id stands.
+// digest returns the digest under which the record of id is stored.
 func (id ID) digest() digest {
 	buf := make([]byte, 0, 128)
 	for _, part := range [...]string{string(id.Service), string(id.Team), string(id.Key)} {
--- a/core/tackledger/state_test.go
+++ b/core/tackledger/state_test.go
@@ -28,14 +28,14 @@
 		Answer: Answer{Status: 200, Body: []byte(body)}}}
 }
 
-// log applies changes one after another.
-type log struct {
+// testLog applies changes one after another.
+type testLog struct {
 	State
 	rev tackid.Revision
 	now tackclock.Time
 }
 
-func (l *log) do(c Change) Claim {
+func (l *testLog) apply(c Change) Claim {
 	l.rev++
 	return l.Apply(l.rev, l.now, c)
 }
@@ -57,83 +57,79 @@
 		"answered, then freed": {[]Change{begin("k", "r1"), finish("k", "r1", OutcomeAnswered, "x"), finish("k", "r1", OutcomeDidNotRun, "")}, Recorded},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var l log
+			var l testLog
 			for _, c := range test.changes {
-				l.do(c)
+				l.apply(c)
 			}
 			assertClaim(t, &l, begin("k", "r2"), test.want)
 		})
 	}
 }
 
-func assertClaim(t *testing.T, l *log, c Change, want ClaimKind) {
+func assertClaim(t *testing.T, l *testLog, c Change, want ClaimKind) {
 	t.Helper()
-	if got := l.do(c).Kind; got != want {
+	if got := l.apply(c).Kind; got != want {
 		t.Errorf("claim is %v, want %v", got, want)
 	}
 }
 
-// Symptom: a key can't be used for a day, though its caller was told that the
-// request did not run.
-// Sequence: an entry VM proposes a claim and gives up waiting; it answers
-// did_not_run and proposes the release; the release is applied first.
-// Cause: the late claim was recorded, and nobody was left to finish it.
+// A release that is applied before its claim must cancel the claim. An entry VM
+// proposes a claim, stops waiting for it, answers did_not_run and proposes the
+// release. When the late claim was recorded, no peer finished it, and the key
+// could not be used for a day.
 func TestReleaseOvertakesClaim(t *testing.T) {
 	convey.Convey("After a release that came before its claim", t, func() {
-		var l log
-		l.do(finish("k", "r1", OutcomeDidNotRun, ""))
-		convey.So(l.do(begin("k", "r1")).Kind, convey.ShouldEqual, Released)
-		convey.So(l.do(begin("k", "r2")).Kind, convey.ShouldEqual, Mine)
-		convey.So(l.do(begin("k", "r1")).Kind, convey.ShouldEqual, Running)
-		convey.Convey("the release itself is forgotten soon", func() {
-			l.do(finish("other", "r3", OutcomeDidNotRun, ""))
+		var l testLog
+		l.apply(finish("k", "r1", OutcomeDidNotRun, ""))
+		convey.So(l.apply(begin("k", "r1")).Kind, convey.ShouldEqual, Released)
+		convey.So(l.apply(begin("k", "r2")).Kind, convey.ShouldEqual, Mine)
+		convey.So(l.apply(begin("k", "r1")).Kind, convey.ShouldEqual, Running)
+		convey.Convey("the release itself expires early", func() {
+			l.apply(finish("other", "r3", OutcomeDidNotRun, ""))
 			l.now = l.now.Add(10 * tackclock.Minute)
-			l.do(finish("k", "r2", OutcomeAnswered, ""))
+			l.apply(finish("k", "r2", OutcomeAnswered, ""))
 			convey.So(l.Len(), convey.ShouldEqual, 1)
 		})
 	})
 }
 
-// Symptom: repeats are told for ever that the key's work is running.
-// Sequence: an entry VM claims a key, dispatches and dies; a caller repeats the
-// request through another one.
-// Cause: only the dead process could have finished the record.
+// A claim must become unknown when its peer dies after the dispatch, since only
+// that process could have finished the record. Otherwise a caller that repeats
+// the request through another peer is told for ever that it is running.
 func TestClaimOfDeadPeerIsUnknown(t *testing.T) {
 	convey.Convey("With a claim whose peer died", t, func() {
-		var l log
-		l.do(begin("k", "r1"))
-		convey.Convey("it is unknown once its time has run out", func() {
+		var l testLog
+		l.apply(begin("k", "r1"))
+		convey.Convey("it is unknown once its time has passed", func() {
 			l.now = l.now.Add(tackclock.Minute + 1)
-			convey.So(l.do(begin("k", "r2")).Kind, convey.ShouldEqual, Unknown)
+			convey.So(l.apply(begin("k", "r2")).Kind, convey.ShouldEqual, Unknown)
 		})
-		convey.Convey("it is unknown once the peer is seen with another life", func() {
+		convey.Convey("it is unknown once the peer is known to have restarted", func() {
 			other := begin("other", "r2")
 			other.Begin.Life = 2
-			l.do(other)
+			l.apply(other)
 			repeat := begin("k", "r3")
 			repeat.Begin.Peer = "b"
-			convey.So(l.do(repeat).Kind, convey.ShouldEqual, Unknown)
+			convey.So(l.apply(repeat).Kind, convey.ShouldEqual, Unknown)
 		})
 	})
 }
 
-// Symptom: a repeat runs a second time.
-// Sequence: more keys are claimed than there is room for; an old one is
-// repeated within its age.
-// Cause: the oldest record was forgotten to make room.
+// A full ledger must refuse new keys. If it dropped the oldest record to make
+// room, a repeat of that request within its age would run a second time.
 func TestFullLedgerForgetsNothing(t *testing.T) {
 	convey.Convey("With room for 8 records", t, func() {
-		l := log{State: State{Limits: Limits{Records: 8}}}
+		l := testLog{State: State{Limits: Limits{Records: 8}}}
 		for i := range 4 {
-			convey.So(l.do(begin(fmt.Sprint(i), fmt.Sprint(i))).Kind, convey.ShouldEqual, Mine)
+			convey.So(l.apply(begin(fmt.Sprint(i), fmt.Sprint(i))).Kind, convey.ShouldEqual, Mine)
 		}
-		convey.Convey("a team gets half, and then no new key", func() {
-			convey.So(l.do(begin("4", "4")).Kind, convey.ShouldEqual, Full)
-			convey.So(l.do(begin("0", "r")).Kind, convey.ShouldEqual, Running)
+		convey.Convey("a team gets half of it, and no new key after that", func() {
+			convey.So(l.apply(begin("4", "4")).Kind, convey.ShouldEqual, Full)
+			convey.So(l.apply(begin("0", "r")).Kind, convey.ShouldEqual, Running)
 		})
-		convey.Convey("records end by age", func() {
+		convey.Convey("records expire by age", func() {
 			l.now = l.now.Add(tackclock.Day)
-			convey.So(l.do(begin("0", "r")).Kind, convey.ShouldEqual, Mine)
+			convey.So(l.apply(begin("0", "r")).Kind, convey.ShouldEqual, Mine)
 			convey.So(l.Len(), convey.ShouldEqual, 1)
 		})
 	})
@@ -141,16 +137,16 @@
 
 func TestOldestAnswersAreGivenUpFirst(t *testing.T) {
 	convey.Convey("With room for 10 bytes of answers", t, func() {
-		l := log{State: State{Limits: Limits{Bytes: 10}}}
+		l := testLog{State: State{Limits: Limits{Bytes: 10}}}
 		for _, k := range []string{"a", "b", "c"} {
-			l.do(begin(k, k))
-			l.do(finish(k, k, OutcomeAnswered, "12345"))
+			l.apply(begin(k, k))
+			l.apply(finish(k, k, OutcomeAnswered, "12345"))
 		}
 		convey.So(l.Bytes(), convey.ShouldEqual, 10)
-		old := l.do(begin("a", "r"))
+		old := l.apply(begin("a", "r"))
 		convey.So(old.Kind, convey.ShouldEqual, Recorded)
 		convey.So(old.Answer.Truncated, convey.ShouldBeTrue)
-		convey.So(string(l.do(begin("c", "r")).Answer.Body), convey.ShouldEqual, "12345")
+		convey.So(string(l.apply(begin("c", "r")).Answer.Body), convey.ShouldEqual, "12345")
 	})
 }
 
@@ -165,22 +161,21 @@
 	}
 }
 
-// model is what the ledger must keep to, told without limits or snapshots: for
-// each key the requests that were allowed to run and did not say that they
-// didn't.
+// model is a model of the ledger without limits or snapshots. For each key it
+// holds the requests that were allowed to run and not reported as not run.
 type model struct {
-	log     log
-	ran     map[string][]string       // key: requests that were told Mine and ran
-	since   map[string]tackclock.Time // key: when the first of them did
+	log     testLog
+	ran     map[string][]string       // key: requests that got Mine and ran
+	since   map[string]tackclock.Time // key: when the first of them ran
 	claimed map[string]string         // request: its key, while it may still finish
 	lives   map[tackid.Peer]Life
 	peers   map[string]tackid.Peer // of the requests
 	next    int
 }
 
-// TestOneExecutionPerKey lets peers claim, finish, die and come back in any
-// order, with proposals doubled, late or overtaken, and the state snapshotted
-// in between. Within the age no key may run twice, and an answer never changes.
+// TestOneExecutionPerKey lets peers claim, finish and restart in any order, with
+// duplicated, late and reordered proposals and with snapshots in between. Within
+// the age no key may run twice, and a recorded answer must not change.
 func TestOneExecutionPerKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := model{ran: map[string][]string{}, since: map[string]tackclock.Time{}, claimed: map[string]string{},
@@ -191,7 +186,7 @@
 			"claim": func(t *rapid.T) {
 				c := m.newBegin(t)
 				if rapid.IntRange(0, 4).Draw(t, "fate") == 0 {
-					late = append(late, c) // the peer gives up: it won't dispatch
+					late = append(late, c) // the peer stops waiting and won't dispatch
 					late = append(late, releaseOf(c))
 					delete(m.claimed, string(c.Begin.Request))
 					return
@@ -203,7 +198,7 @@
 					return
 				}
 				i := rapid.IntRange(0, len(late)-1).Draw(t, "which")
-				m.log.do(late[i])
+				m.log.apply(late[i])
 				late = slices.Delete(late, i, i+1)
 			},
 			"finish": func(t *rapid.T) { m.finish(t) },
@@ -239,19 +234,19 @@
 	return Change{Finish: &Finish{ID: c.Begin.ID, Request: c.Begin.Request, Outcome: OutcomeDidNotRun}}
 }
 
-// claim applies a Begin, sometimes twice, and runs it if it is told Mine.
+// claim applies a Begin, sometimes twice, and records a run if it gets Mine.
 func (m *model) claim(t *rapid.T, c Change) {
 	request := string(c.Begin.Request)
 	k := m.claimed[request]
 	before := m.log.Lookup(m.log.now, c.Begin.ID, c.Begin.Fingerprint)
-	got := m.log.do(c)
+	got := m.log.apply(c)
 	if rapid.Bool().Draw(t, "twice") {
-		if again := m.log.do(c); got.Kind == Mine && again.Kind != Mine {
-			t.Fatalf("proposed twice, the claim is %v", again.Kind)
+		if again := m.log.apply(c); got.Kind == Mine && again.Kind != Mine {
+			t.Fatalf("the second proposal of a claim that got Mine returned %v", again.Kind)
 		}
 	}
 	if before.Kind == Recorded && (got.Kind != Recorded || string(got.Answer.Body) != string(before.Answer.Body)) {
-		t.Fatalf("a recorded answer became %v %q", got.Kind, got.Answer.Body)
+		t.Fatalf("a recorded answer changed to %v %q", got.Kind, got.Answer.Body)
 	}
 	if got.Kind != Mine {
 		delete(m.claimed, request)
@@ -265,11 +260,11 @@
 	}
 	m.ran[k] = append(m.ran[k], request)
 	if len(m.ran[k]) > 1 {
-		t.Fatalf("key %s runs for %v", k, m.ran[k])
+		t.Fatalf("key %s ran more than once, for requests %v", k, m.ran[k])
 	}
 }
 
-// finish ends a claimed request in one of the ways that a handler does.
+// finish finishes a claimed request with one of the outcomes.
 func (m *model) finish(t *rapid.T) {
 	requests := make([]string, 0, len(m.claimed))
 	for request := range m.claimed {
@@ -283,14 +278,14 @@
 	k := m.claimed[request]
 	f := finish(k, request, Outcome(rapid.IntRange(1, 3).Draw(t, "outcome")), "answer of "+request)
 	f.Finish.ID.Team = tackid.Team(k)
-	m.log.do(f)
+	m.log.apply(f)
 	if f.Finish.Outcome == OutcomeDidNotRun {
 		m.ran[k] = slices.DeleteFunc(m.ran[k], func(r string) bool { return r == request })
 		delete(m.claimed, request)
 	}
 }
 
-// snapshot restores the state from its own snapshot, and compares.
+// snapshot restores the state from its own snapshot and compares the two.
 func (m *model) snapshot(t *rapid.T) {
 	before, err := m.log.Snapshot()
 	if err != nil {
@@ -305,7 +300,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(before, after) {
-		t.Fatalf("a restored state differs")
+		t.Fatalf("the restored state has a different snapshot")
 	}
 	m.log.State = restored
 }
@@ -319,15 +314,15 @@
 
 func BenchmarkClaimAndFinish(b *testing.B) {
 	before := heapBytes()
-	l := log{State: State{Limits: Limits{Records: 1 << 20, Age: 11 * tackclock.Hour}}}
+	l := testLog{State: State{Limits: Limits{Records: 1 << 20, Age: 11 * tackclock.Hour}}}
 	b.ReportAllocs()
 	for i := range b.N {
 		name := fmt.Sprint(i)
 		l.now = l.now.Add(100)
 		c := begin(name, name)
 		c.Begin.ID.Team = tackid.Team(fmt.Sprint("team", i%45))
-		l.do(c)
-		l.do(finish(name, name, OutcomeAnswered, "{}"))
+		l.apply(c)
+		l.apply(finish(name, name, OutcomeAnswered, "{}"))
 	}
 	data, err := l.Snapshot()
 	if err != nil {
