--- a/core/tackbudget/budget.go
+++ b/core/tackbudget/budget.go
@@ -1,32 +1,35 @@
-// Package tackbudget decides whether availability budgets leave room to take
-// VMs out of service. It works on counts alone, so that the state machine,
-// the planner and an explanation to an operator all use the same rule.
+// Package tackbudget decides whether availability budgets allow VMs to be taken
+// out of service. It works on counts alone, so that the state machine, the
+// planner and the explanations to operators use the same rule.
 package tackbudget
 
 import "strconv"
 
 type (
-	// Budget is a minimum of available VMs, as a number or as a percentage of
-	// the pool rounded up. The zero value asks for nothing.
+	// Budget is a minimum number of available VMs, either absolute or as a
+	// percentage of the pool, rounded up. The zero value requires none.
 	Budget struct {
 		MinAvailable int  `cbor:"1,keyasint,omitempty"`
 		Percent      bool `cbor:"2,keyasint,omitempty"`
 	}
 
-	// Standing is how one VM of a pool stands towards the pool's budgets.
+	// Standing is the state of one VM with regard to the budgets of its pool.
 	Standing struct {
-		// Available says that the VM may get work and is known to serve.
+		// Available reports whether the VM may get work and is known to
+		// serve requests.
 		Available bool
-		// Settling says that the VM came back from maintenance a short while
-		// ago: it serves, but nothing may be stopped on the strength of it.
+		// Settling reports whether the VM returned from maintenance only a
+		// short while ago. It serves requests, but doesn't count as a
+		// replacement for another VM yet.
 		Settling bool
-		// Taken says that the VM is to be taken out of service.
+		// Taken reports whether the VM is to be taken out of service.
 		Taken bool
 	}
 
-	// Count is how many VMs a pool has, how many of them would be available,
-	// and how many of those would be proven, once the taken ones are out.
-	// Down, draining, moving, lost and unknown VMs are in Total only.
+	// Count is the number of VMs of a pool, the number that would be available
+	// without the taken ones, and the number of those that would not be
+	// settling. Down, draining, moving, lost and unknown VMs count in Total
+	// only.
 	Count struct {
 		Total     int
 		Available int
@@ -34,7 +37,7 @@
 	}
 )
 
-// String returns the budget as it is set, such as 3 or 80%.
+// String returns the budget as written in settings, such as 3 or 80%.
 func (b Budget) String() string {
 	if b.Percent {
 		return strconv.Itoa(b.MinAvailable) + "%"
@@ -42,7 +45,7 @@
 	return strconv.Itoa(b.MinAvailable)
 }
 
-// Add counts one more VM of the pool.
+// Add adds a VM of the pool to the count.
 func (c *Count) Add(s Standing) {
 	c.Total++
 	if !s.Available || s.Taken {
@@ -54,9 +57,9 @@
 	}
 }
 
-// Required returns how many of total VMs the budget wants available. A number
-// above total is returned as it stands: such a budget can't be met, and
-// nothing may be taken out under it.
+// Required returns how many of total VMs the budget requires to be available. The
+// result may exceed total: such a budget can't be met, and allows no VM to be
+// taken out.
 func Required(b Budget, total int) int {
 	if !b.Percent {
 		return b.MinAvailable
@@ -64,13 +67,13 @@
 	return (b.MinAvailable*total + 99) / 100
 }
 
-// Short returns how many proven VMs are missing for the budget to hold once
-// the taken VMs are out; 0 means that they may be taken.
+// Short returns how many proven VMs are missing to meet the budget without the
+// taken VMs; 0 means that those may be taken out.
 func Short(b Budget, c Count) int {
 	return max(0, Required(b, c.Total)-c.Proven)
 }
 
-// Free returns how many more VMs may be taken out at once under the budget.
+// Free returns how many more VMs the budget allows to be taken out at once.
 func Free(b Budget, c Count) int {
 	return max(0, c.Proven-Required(b, c.Total))
 }
--- a/core/tackbudget/example_test.go
+++ b/core/tackbudget/example_test.go
@@ -6,8 +6,8 @@
 	"auburntack/core/tackbudget"
 )
 
-// Ten VMs, one of them lost and one settling, under a budget of 80%: taking
-// one more would leave seven proven VMs where eight are asked for.
+// Of ten VMs one is lost and one is settling. With a budget of 80%, taking out
+// another one would leave seven proven VMs of the eight required.
 func ExampleShort() {
 	var count tackbudget.Count
 	for i := range 10 {
