--- a/core/tackburn/bench_test.go
+++ b/core/tackburn/bench_test.go
@@ -11,7 +11,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// fullState is a month of samples every ten minutes at 45 teams, 50 services.
+// fullState returns a state with samples every ten minutes for 28 days, of 45
+// teams and 50 services.
 func fullState() (*State, tackclock.Time) {
 	s := new(State)
 	now := noon
@@ -26,9 +27,10 @@
 	return s, now
 }
 
-// Symptom: snapshots and samples take the links of small VMs for themselves.
-// Sequence: 45 teams and 50 services have traffic through 12 peers.
-// Cause: the account grew with teams times services, or with time.
+// Snapshots and samples must stay small, so that they don't use up the network
+// links of small VMs when 45 teams and 50 services have traffic through 12 peers.
+// They did when the state grew with the product of teams and services, or over
+// time.
 func TestSizesAreBounded(t *testing.T) {
 	s, _ := fullState()
 	snapshot, err := s.Snapshot()
@@ -42,12 +44,12 @@
 	quiet := quietBytes()
 	t.Logf("a sample is %d bytes, %d a minute while nothing is bad, a snapshot %d", len(sample), quiet, len(snapshot))
 	if quiet > 700 || len(sample) > 4<<10 || len(snapshot) > 256<<10 {
-		t.Errorf("want at most 700 bytes a quiet minute, 4 KB a sample and 256 KB a snapshot")
+		t.Errorf("want at most 700 bytes per minute without bad requests, 4 KB per sample and 256 KB per snapshot")
 	}
 }
 
-// quietBytes returns the bytes a minute of one peer's samples while every
-// request of 50 services and 45 teams is good.
+// quietBytes returns the size per minute of the samples of one peer while all
+// requests of 50 services and 45 teams are good.
 func quietBytes() int {
 	const minutes = 20
 	var m Meter
--- a/core/tackburn/meter.go
+++ b/core/tackburn/meter.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// OutcomeGood is a whole answer on time.
+	// OutcomeGood is a complete answer in time.
 	OutcomeGood Outcome = iota
-	// OutcomeLate is a whole answer after the time that was allowed.
+	// OutcomeLate is a complete answer after the time that was allowed.
 	OutcomeLate
 	// OutcomeRefused is a refusal by auburntack.
 	OutcomeRefused
-	// OutcomeLost is no answer, or a part of one.
+	// OutcomeLost is no answer or an incomplete one.
 	OutcomeLost
-	// OutcomeWave is any but a good one that a maintenance wave caused.
+	// OutcomeWave is a bad outcome caused by a maintenance wave.
 	OutcomeWave
 )
 
-// goodEvery is how many samples apart names without a bad request are told.
-const goodEvery = 5
+// goodInterval is the interval, in samples, at which names without a bad request
+// are reported.
+const goodInterval = 5
 
 type (
-	// Outcome is what came of one request.
+	// Outcome is the outcome of a request.
 	Outcome uint8
 
-	// Request is a request that has come to its end. Latency counts for
-	// answered ones only.
+	// Request is a request that has ended. Latency is used for answered
+	// requests only.
 	Request struct {
 		Service tackid.Service
 		Team    tackid.Team
@@ -37,48 +38,49 @@
 		Latency tackclock.Duration
 	}
 
-	// Meter gathers what came of requests until the next sample. Its zero
+	// Meter collects the outcomes of requests until the next sample. Its zero
 	// value is empty. It is not safe for concurrent use.
 	Meter struct {
-		takes    int
-		services map[tackid.Service]*gathered
-		teams    map[tackid.Team]*gathered
-		labels   map[Label]*gathered
+		samples  int
+		services map[tackid.Service]*pendingCounts
+		teams    map[tackid.Team]*pendingCounts
+		labels   map[Label]*pendingCounts
 	}
 
-	// gathered is what was counted under a name since it was last told.
-	gathered struct {
+	// pendingCounts holds the counts of a name since it was last reported.
+	pendingCounts struct {
 		Counts
-		told bool
+		reported bool
 	}
 )
 
-// Count counts one request, also under the labels given.
+// Count counts a request for its service, its team and the given labels.
 func (m *Meter) Count(r Request, labels ...Label) {
 	c := r.counts()
 	if m.services == nil {
-		m.services = make(map[tackid.Service]*gathered)
-		m.teams = make(map[tackid.Team]*gathered)
-		m.labels = make(map[Label]*gathered)
+		m.services = make(map[tackid.Service]*pendingCounts)
+		m.teams = make(map[tackid.Team]*pendingCounts)
+		m.labels = make(map[Label]*pendingCounts)
 	}
-	gather(m.services, r.Service, c)
-	gather(m.teams, r.Team, c)
+	collect(m.services, r.Service, c)
+	collect(m.teams, r.Team, c)
 	for _, l := range labels {
-		gather(m.labels, l, c)
+		collect(m.labels, l, c)
 	}
 }
 
-// Take moves what is due into a sample. Names that are new or had a bad request
-// are due each time, the others each fifth time: the log carries every sample to every
-// peer, and at 12 peers a row of each name a minute would take a third of the
-// bytes that the leader may send. It returns false when nothing is due.
+// Take moves the counts that are due into a sample. Names that are new or had a
+// bad request are due each time, the others every fifth time. The reason is that
+// the log carries every sample to every peer: with 12 peers, a row for each name
+// every minute would take a third of the bytes that the leader may send. Take
+// returns false if nothing is due.
 func (m *Meter) Take(peer tackid.Peer, sequence uint64) (Sample, bool) {
-	m.takes++
-	return m.take(peer, sequence, m.takes%goodEvery == 0)
+	m.samples++
+	return m.take(peer, sequence, m.samples%goodInterval == 0)
 }
 
-// TakeAll moves everything into a sample, for the end of a process. It returns
-// false when there is nothing.
+// TakeAll moves all counts into a sample. It is used when a process ends. It
+// returns false if there are no counts.
 func (m *Meter) TakeAll(peer tackid.Peer, sequence uint64) (Sample, bool) {
 	return m.take(peer, sequence, true)
 }
@@ -97,7 +99,7 @@
 	return s, len(s.Services)+len(s.Teams)+len(s.Labels) > 0
 }
 
-// counts returns the request as counts of one.
+// counts returns the counts of this one request.
 func (r Request) counts() Counts {
 	var c Counts
 	switch r.Outcome {
@@ -118,8 +120,8 @@
 	return c
 }
 
-// gather adds c under name, or under Other when there are names enough.
-func gather[N ~string](t map[N]*gathered, name N, c Counts) {
+// collect adds c under name, or under Other if there are MaxNames names already.
+func collect[N ~string](t map[N]*pendingCounts, name N, c Counts) {
 	if name == "" {
 		return
 	}
@@ -127,14 +129,14 @@
 		name = Other
 	}
 	if t[name] == nil {
-		t[name] = new(gathered)
+		t[name] = new(pendingCounts)
 	}
 	t[name].Add(c)
 }
 
-// due returns, sorted, the names of t that are new or had a bad request, or
-// all that had any. With all, names that had none are forgotten.
-func due[N cmp.Ordered](t map[N]*gathered, all bool) []N {
+// due returns the sorted names of t that are new or had a bad request. If all is
+// set, it returns every name that had a request, and deletes the others.
+func due[N cmp.Ordered](t map[N]*pendingCounts, all bool) []N {
 	var names []N
 	for n, g := range t {
 		switch {
@@ -142,7 +144,7 @@
 			if all {
 				delete(t, n)
 			}
-		case all || !g.told || g.Bad() > 0:
+		case all || !g.reported || g.Bad() > 0:
 			names = append(names, n)
 		}
 	}
@@ -150,9 +152,9 @@
 	return names
 }
 
-// take returns what is counted under name and begins anew.
-func take[N ~string](t map[N]*gathered, name N) Counts {
+// take returns the counts of name and resets them.
+func take[N ~string](t map[N]*pendingCounts, name N) Counts {
 	c := t[name].Counts
-	*t[name] = gathered{told: true}
+	*t[name] = pendingCounts{reported: true}
 	return c
 }
--- a/core/tackburn/report.go
+++ b/core/tackburn/report.go
@@ -10,33 +10,36 @@
 )
 
 const (
-	// DefaultObjective is the objective, in per cent, where none is set.
+	// DefaultObjective is the objective, in per cent, if none is set.
 	DefaultObjective = 99.9
-	// MaxObjective is the highest objective; a higher one would leave no
-	// budget to account for.
+	// MaxObjective is the highest objective. A higher one would leave no error
+	// budget.
 	MaxObjective = 99.999
 )
 
 const (
-	// AlertNone is the alert of a budget that lasts.
+	// AlertNone means that the error budget lasts for the period.
 	AlertNone Alert = ""
-	// AlertTicket says that the budget will run out before the period ends.
+	// AlertTicket means that the error budget will be exhausted before the end
+	// of the period.
 	AlertTicket Alert = "ticket"
-	// AlertPage says that a large part of the budget goes within hours.
+	// AlertPage means that a large part of the error budget is being used up
+	// within hours.
 	AlertPage Alert = "page"
 )
 
-// Burn rates at which an alert is given. At 14.4 a fiftieth of 28 days'
-// budget goes in an hour, at 6 a twentieth in six hours. A shorter window must
-// burn as well, so that an alert ends soon after its cause.
+// Burn rates from which an alert is raised. At 14.4 a fiftieth of the budget for
+// 28 days is used up in one hour, at 6 a twentieth in six hours. The rate must be
+// exceeded in a shorter window too, so that an alert ends soon after its cause.
 const (
-	burnHour = 14.4
-	burnSix  = 6
-	burnDays = 1
+	pageBurnHour     = 14.4
+	pageBurnSixHours = 6
+	ticketBurn       = 1
 )
 
 type (
-	// Report is the account at one moment. All lists are sorted by name.
+	// Report is the state of the service levels at one time. All lists are
+	// sorted by name.
 	Report struct {
 		Time     tackclock.Time `json:"time_ms"`
 		Services []Line         `json:"services"`
@@ -44,12 +47,12 @@
 		Labels   []Line         `json:"labels"`
 	}
 
-	// Line is the account of one service, team or label. BudgetLeft is the
-	// share of the error budget of Period that is left, negative when
-	// overspent. TimeLeft is how long it lasts at the burn rate of the last
-	// hour; Lasting is true where that is longer than a period. Days and
-	// Quarters are what was counted day by day over the period and by six
-	// hours over three days.
+	// Line is the report on one service, team or label. BudgetLeft is the
+	// remaining part of the error budget for Period, negative if it is
+	// overspent. TimeLeft is how long it will last at the burn rate of the
+	// last hour; Lasting is true if that is longer than a period. Days holds
+	// the counts by day over the period, Quarters those by quarter of a day
+	// over three days.
 	Line struct {
 		Name       string             `json:"name"`
 		Objective  float64            `json:"objective_percent"`
@@ -63,26 +66,26 @@
 		Quarters   []Point            `json:"quarters"`
 	}
 
-	// Window is the account of the last Span. Burn is the rate at which the
-	// error budget is used: 1 uses it up exactly in one period.
+	// Window holds the counts of the last Span. Burn is the rate at which the
+	// error budget is used: at 1 it is used up in exactly one period.
 	Window struct {
 		Span   tackclock.Duration `json:"span_ms"`
 		Counts Counts             `json:"counts"`
 		Burn   float64            `json:"burn"`
 	}
 
-	// Point is what was counted in the Width that begins at Start.
+	// Point holds the counts of an interval of length Width from Start.
 	Point struct {
 		Start  tackclock.Time     `json:"start_ms"`
 		Width  tackclock.Duration `json:"width_ms"`
 		Counts Counts             `json:"counts"`
 	}
 
-	// Alert says whether somebody should look, and how soon.
+	// Alert is the urgency of an alert.
 	Alert string
 )
 
-// Report returns the account as it stands at now.
+// Report returns the report at the time now.
 func (s *State) Report(now tackclock.Time, cfg Settings) Report {
 	fallback := objective(cfg.Default, DefaultObjective)
 	return Report{
@@ -95,7 +98,7 @@
 	}
 }
 
-// objective returns o if it is one, and the fallback otherwise.
+// objective returns o, limited to MaxObjective, or the fallback if o is not set.
 func objective(o, fallback float64) float64 {
 	if !(o > 0) {
 		return fallback
@@ -116,7 +119,7 @@
 	return list
 }
 
-// line returns the account of one series.
+// line returns the report on one series.
 func (s *series) line(now tackclock.Time, objective float64) Line {
 	l := Line{
 		Objective: objective,
@@ -134,8 +137,8 @@
 	return l
 }
 
-// Burn returns how much faster than allowed by an objective in per cent
-// requests went bad: 1 is just as many as allowed.
+// Burn returns the number of bad requests relative to the number allowed by an
+// objective in per cent: 1 is exactly as many as allowed.
 func (c Counts) Burn(objective float64) float64 {
 	allowed := float64(c.Total()) * (100 - objective) / 100
 	if allowed <= 0 {
@@ -144,8 +147,8 @@
 	return float64(c.Bad()) / allowed
 }
 
-// timeLeft returns how long what is left of the budget lasts at a burn rate.
-func timeLeft(left, burn float64) (left28 tackclock.Duration, lasting bool) {
+// timeLeft returns how long the remaining part of the budget lasts at a burn rate.
+func timeLeft(left, burn float64) (lasts tackclock.Duration, lasting bool) {
 	if left <= 0 {
 		return 0, false
 	}
@@ -156,11 +159,11 @@
 }
 
 func alert(w []Window) Alert {
-	minutes, hour, six, days := w[ringMinute].Burn, w[ringFiveMinutes].Burn, w[ringHalfHour].Burn, w[ringQuarterDay].Burn
+	fiveMinutes, hour, sixHours, threeDays := w[ringMinute].Burn, w[ringFiveMinutes].Burn, w[ringHalfHour].Burn, w[ringQuarterDay].Burn
 	switch {
-	case hour >= burnHour && minutes >= burnHour, six >= burnSix && hour >= burnSix:
+	case hour >= pageBurnHour && fiveMinutes >= pageBurnHour, sixHours >= pageBurnSixHours && hour >= pageBurnSixHours:
 		return AlertPage
-	case days >= burnDays && six >= burnDays:
+	case threeDays >= ticketBurn && sixHours >= ticketBurn:
 		return AlertTicket
 	}
 	return AlertNone
--- a/core/tackburn/ring.go
+++ b/core/tackburn/ring.go
@@ -4,24 +4,25 @@
 	"auburntack/core/tackclock"
 )
 
-// Period is what an error budget is for: four whole weeks, so that each holds
-// the same days of the week.
+// Period is the period of an error budget: four whole weeks, so that each period
+// has the same days of the week.
 const Period = 28 * tackclock.Day
 
-// The rings of a series; each serves one window, the last one the period.
+// The rings of a series, named by the width of their buckets. Each ring is used
+// for one window, the last one for the period.
 const (
 	ringMinute = iota
 	ringFiveMinutes
 	ringHalfHour
 	ringQuarterDay
 	ringDay
-	rings
+	numRings
 )
 
-// ringShapes gives the width of a ring's buckets and the span that it covers.
-// A window is summed from the ring of its own, so its edge is off by less than
-// a bucket, which is a fifth of the shortest window and a twelfth of others.
-var ringShapes = [rings]struct{ width, span tackclock.Duration }{
+// ringShapes holds the width of each ring's buckets and the span that it covers.
+// Each window is the sum of a ring of its own, so its edge is accurate to within
+// one bucket, which is a fifth of the shortest window and a twelfth of the others.
+var ringShapes = [numRings]struct{ width, span tackclock.Duration }{
 	ringMinute:      {tackclock.Minute, 5 * tackclock.Minute},
 	ringFiveMinutes: {5 * tackclock.Minute, tackclock.Hour},
 	ringHalfHour:    {30 * tackclock.Minute, 6 * tackclock.Hour},
@@ -30,21 +31,21 @@
 }
 
 type (
-	// series is the account of one service, team or label.
+	// series holds the counts of one service, team or label.
 	series struct {
-		last  tackclock.Time // of the last sample
-		rings [rings][]bucket
+		last  tackclock.Time // time of the last sample
+		rings [numRings][]bucket
 	}
 
-	// bucket counts what came in one stretch of time. Its number is the time
-	// at which it starts, in widths of its ring.
+	// bucket holds the counts of one interval. Its number is the start of the
+	// interval divided by the width of its ring.
 	bucket struct {
 		number int64
 		counts Counts
 	}
 )
 
-// add counts c at now in every ring.
+// add adds c to every ring at the time now.
 func (s *series) add(now tackclock.Time, c Counts) {
 	s.last = now
 	for i := range s.rings {
@@ -52,8 +53,8 @@
 	}
 }
 
-// bucket returns the bucket of ring i that now falls into, cleared if it was
-// last used one turn of the ring ago.
+// bucket returns the bucket of ring i that contains now. It is cleared if it was
+// last used in an earlier revolution of the ring.
 func (s *series) bucket(i int, now tackclock.Time) *bucket {
 	if s.rings[i] == nil {
 		s.rings[i] = make([]bucket, ringSize(i))
@@ -66,12 +67,13 @@
 	return b
 }
 
-// ringSize returns how many buckets cover the span of ring i at any moment.
+// ringSize returns the number of buckets needed to cover the span of ring i at any
+// time.
 func ringSize(i int) int {
 	return int(ringShapes[i].span/ringShapes[i].width) + 1
 }
 
-// sum returns what was counted in the span of ring i up to now.
+// sum returns the sum of the counts in the span of ring i up to now.
 func (s *series) sum(i int, now tackclock.Time) Counts {
 	var c Counts
 	for _, b := range s.points(i, now) {
@@ -80,8 +82,8 @@
 	return c
 }
 
-// points returns the buckets of ring i that hold something and that reach into
-// its span up to now, the oldest first.
+// points returns the nonempty buckets of ring i that overlap its span up to now,
+// oldest first.
 func (s *series) points(i int, now tackclock.Time) []Point {
 	if s.rings[i] == nil {
 		return nil
--- a/core/tackburn/sample.go
+++ b/core/tackburn/sample.go
@@ -3,15 +3,15 @@
 import "auburntack/core/tackid"
 
 type (
-	// Label names a window that an operator has configured, such as a prayer
-	// or a batch run, so that service can be counted for it.
+	// Label is the name of a daily window that an operator has configured,
+	// such as a prayer or a batch run, and for which requests are counted.
 	Label string
 
-	// Counts is what came of a number of requests. Each request counts once:
-	// Good was answered whole and on time, Late whole and too late, Refused
-	// got a refusal, Lost got no whole answer, and Wave went wrong in one of
-	// these ways because of a maintenance wave. LatencyMS is the sum of the
-	// answered requests' times in milliseconds.
+	// Counts holds numbers of requests by outcome. Each request counts once:
+	// Good was answered completely and in time, Late completely but too late,
+	// Refused was refused, Lost got no complete answer, and Wave had one of
+	// these bad outcomes because of a maintenance wave. LatencyMS is the sum
+	// of the latencies of the answered requests in milliseconds.
 	Counts struct {
 		Good      uint64 `cbor:"1,keyasint,omitempty" json:"good"`
 		Late      uint64 `cbor:"2,keyasint,omitempty" json:"late"`
@@ -21,11 +21,11 @@
 		LatencyMS uint64 `cbor:"6,keyasint,omitempty" json:"latency_ms"`
 	}
 
-	// Sample is what one peer counted since its last sample. The same
-	// requests are counted by service, by team and by label. Sequence rises
-	// with each sample of a peer, also through restarts (its clock does), so
-	// that a sample that was proposed again after a lost answer counts once;
-	// 0 counts always.
+	// Sample holds what one peer counted since its last sample. The same
+	// requests are counted by service, by team and by label. Sequence increases
+	// with each sample of a peer, also across restarts, since it is taken from
+	// the clock. So a sample that is proposed again after a lost answer counts
+	// only once. A sample with sequence 0 always counts.
 	Sample struct {
 		Peer     tackid.Peer     `cbor:"1,keyasint,omitempty"`
 		Services []ServiceCounts `cbor:"2,keyasint,omitempty"`
@@ -34,26 +34,26 @@
 		Sequence uint64          `cbor:"5,keyasint,omitempty"`
 	}
 
-	// ServiceCounts is what came of one service's requests.
+	// ServiceCounts holds the counts of one service.
 	ServiceCounts struct {
 		Service tackid.Service `cbor:"1,keyasint"`
 		Counts  Counts         `cbor:"2,keyasint"`
 	}
 
-	// TeamCounts is what came of one team's requests.
+	// TeamCounts holds the counts of one team.
 	TeamCounts struct {
 		Team   tackid.Team `cbor:"1,keyasint"`
 		Counts Counts      `cbor:"2,keyasint"`
 	}
 
-	// LabelCounts is what came of the requests of one labelled window.
+	// LabelCounts holds the counts of one label.
 	LabelCounts struct {
 		Label  Label  `cbor:"1,keyasint"`
 		Counts Counts `cbor:"2,keyasint"`
 	}
 )
 
-// Add adds what came of further requests.
+// Add adds further counts.
 func (c *Counts) Add(o Counts) {
 	c.Good += o.Good
 	c.Late += o.Late
@@ -63,12 +63,13 @@
 	c.LatencyMS += o.LatencyMS
 }
 
-// Bad returns how many requests were not answered whole and on time.
+// Bad returns the number of requests that were not answered completely and in
+// time.
 func (c Counts) Bad() uint64 {
 	return c.Late + c.Refused + c.Lost + c.Wave
 }
 
-// Total returns how many requests were counted.
+// Total returns the number of requests counted.
 func (c Counts) Total() uint64 {
 	return c.Good + c.Bad()
 }
--- a/core/tackburn/settings.go
+++ b/core/tackburn/settings.go
@@ -9,48 +9,47 @@
 	"auburntack/core/tackid"
 )
 
-// The keys of the configuration that the account depends on. SERVICE and
-// LABEL are names.
+// Configuration keys. SERVICE and LABEL stand for names.
 const (
 	// KeyObjective sets the default objective, as in "99.9".
 	KeyObjective = "burn.objective"
-	// KeyObjectiveOf and a SERVICE set one service's objective.
-	KeyObjectiveOf = "burn.objective."
+	// KeyObjectivePrefix followed by a SERVICE sets the objective of that service.
+	KeyObjectivePrefix = "burn.objective."
 	// KeyLate sets the time in milliseconds from which an answer is late.
 	KeyLate = "burn.late_ms"
-	// KeyLateOf and a SERVICE set it for one service.
-	KeyLateOf = "burn.late_ms."
-	// KeyLabel and a LABEL set when requests are counted under the label:
-	// "04:10-05:30", in UTC or with a zone as in "04:10-05:30+08:00", for all
-	// services or, after a space, for the one that is named.
-	KeyLabel = "burn.label."
+	// KeyLatePrefix followed by a SERVICE sets that time for the service.
+	KeyLatePrefix = "burn.late_ms."
+	// KeyLabelPrefix followed by a LABEL sets when requests are counted under the
+	// label: "04:10-05:30" in UTC, or "04:10-05:30+08:00" with a zone. The
+	// window applies to all services, or to one whose name follows after a
+	// space.
+	KeyLabelPrefix = "burn.label."
 )
 
 type (
-	// Settings holds the objectives, in per cent of requests answered whole
-	// and on time. Default is used for services that have none of their own,
-	// teams and labels; its zero value means DefaultObjective. An answer is
-	// late after Late, and where that is 0 only when its caller's own time
-	// has run out.
+	// Settings holds the objectives, in per cent of requests answered
+	// completely and in time. Default is used for teams, labels and services
+	// without an objective of their own; zero means DefaultObjective. An
+	// answer is late after Late or, if that is 0, only after the caller's own
+	// deadline.
 	Settings struct {
-		Default  float64
-		Services map[tackid.Service]float64
-		Late     tackclock.Duration
-		LateOf   map[tackid.Service]tackclock.Duration
-		Labels   []LabelWindow
+		Default       float64
+		Services      map[tackid.Service]float64
+		Late          tackclock.Duration
+		LateByService map[tackid.Service]tackclock.Duration
+		Labels        []LabelWindow
 	}
 
-	// LabelWindow says when, each day, requests are counted under a label.
-	// From and To are since midnight UTC; To may lie past midnight. An empty
-	// Service means all.
+	// LabelWindow is the daily window in which requests are counted under a
+	// label. From and To are times since midnight UTC; To may be past the next
+	// midnight. An empty Service means all services.
 	LabelWindow struct {
 		Label    Label
 		Service  tackid.Service
 		From, To tackclock.Duration
 	}
 
-	// SettingError reports a value that a key of the configuration cannot
-	// have.
+	// SettingError reports an invalid value of a configuration key.
 	SettingError struct {
 		Key   string
 		Value string
@@ -63,34 +62,35 @@
 	return fmt.Sprintf("tackburn: %s is %q, want %s", e.Key, e.Value, e.Want)
 }
 
-// Set takes over one key of the configuration; keys that the account does not
-// depend on are passed over. The error is a *SettingError.
+// Set sets the setting of a configuration key, and ignores keys that are not
+// listed above. The error is a *SettingError.
 func (s *Settings) Set(key, value string) error {
 	switch {
 	case key == KeyObjective:
 		return s.setObjective(key, "", value)
-	case strings.HasPrefix(key, KeyObjectiveOf):
-		return s.setObjective(key, tackid.Service(key[len(KeyObjectiveOf):]), value)
+	case strings.HasPrefix(key, KeyObjectivePrefix):
+		return s.setObjective(key, tackid.Service(key[len(KeyObjectivePrefix):]), value)
 	case key == KeyLate:
 		return s.setLate(key, "", value)
-	case strings.HasPrefix(key, KeyLateOf):
-		return s.setLate(key, tackid.Service(key[len(KeyLateOf):]), value)
-	case strings.HasPrefix(key, KeyLabel):
+	case strings.HasPrefix(key, KeyLatePrefix):
+		return s.setLate(key, tackid.Service(key[len(KeyLatePrefix):]), value)
+	case strings.HasPrefix(key, KeyLabelPrefix):
 		return s.setLabel(key, value)
 	}
 	return nil
 }
 
-// IsLate reports whether an answer of a service after d is late.
+// IsLate reports whether an answer of the service is late after d.
 func (s *Settings) IsLate(service tackid.Service, d tackclock.Duration) bool {
-	limit, ok := s.LateOf[service]
+	limit, ok := s.LateByService[service]
 	if !ok {
 		limit = s.Late
 	}
 	return limit > 0 && d > limit
 }
 
-// LabelsAt returns the labels under which a service's requests count at now.
+// LabelsAt returns the labels under which requests of the service are counted at
+// the time now.
 func (s *Settings) LabelsAt(now tackclock.Time, service tackid.Service) []Label {
 	var list []Label
 	at := tackclock.Duration(now) % tackclock.Day
@@ -130,16 +130,16 @@
 		s.Late = tackclock.Duration(ms)
 		return nil
 	}
-	if s.LateOf == nil {
-		s.LateOf = make(map[tackid.Service]tackclock.Duration)
+	if s.LateByService == nil {
+		s.LateByService = make(map[tackid.Service]tackclock.Duration)
 	}
-	s.LateOf[service] = tackclock.Duration(ms)
+	s.LateByService[service] = tackclock.Duration(ms)
 	return nil
 }
 
 func (s *Settings) setLabel(key, value string) error {
 	span, service, _ := strings.Cut(strings.TrimSpace(value), " ")
-	w := LabelWindow{Label: Label(key[len(KeyLabel):]), Service: tackid.Service(strings.TrimSpace(service))}
+	w := LabelWindow{Label: Label(key[len(KeyLabelPrefix):]), Service: tackid.Service(strings.TrimSpace(service))}
 	var ok bool
 	if w.From, w.To, ok = parseSpan(span); !ok {
 		return &SettingError{Key: key, Value: value, Want: "HH:MM-HH:MM, a zone as in +08:00 or none, and a service or none"}
@@ -148,8 +148,8 @@
 	return nil
 }
 
-// parseSpan reads "04:10-05:30+08:00" as a span since midnight UTC. The end
-// lies after the start, past midnight if need be.
+// parseSpan parses a span such as "04:10-05:30+08:00" into times since midnight
+// UTC. The end is after the start, past the next midnight if necessary.
 func parseSpan(text string) (from, to tackclock.Duration, ok bool) {
 	start, rest, found := strings.Cut(text, "-")
 	if !found || len(rest) != 5 && len(rest) != 11 {
@@ -169,7 +169,7 @@
 	return from, from + length, true
 }
 
-// parseZone reads "+08:00" or "-03:30"; the empty text is UTC.
+// parseZone parses a zone such as "+08:00" or "-03:30"; the empty string is UTC.
 func parseZone(text string) (tackclock.Duration, bool) {
 	if text == "" {
 		return 0, true
@@ -186,7 +186,7 @@
 	return 0, false
 }
 
-// parseClock reads "04:10" as the time since midnight.
+// parseClock parses a time of day such as "04:10" into the time since midnight.
 func parseClock(text string) (tackclock.Duration, bool) {
 	if len(text) != 5 || text[2] != ':' {
 		return 0, false
--- a/core/tackburn/settings_test.go
+++ b/core/tackburn/settings_test.go
@@ -10,9 +10,9 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-// Symptom: a prayer's requests are counted a day's half off, or not at all.
-// Sequence: the window is given in local time, and lies past midnight UTC.
-// Cause: the zone was left out, or a window that ends after midnight was empty.
+// Windows in local time and windows past midnight UTC must count the right
+// requests. When the zone was ignored, the requests of a prayer were counted half
+// a day off; when a window that ends after midnight was empty, not at all.
 func TestLabelWindows(t *testing.T) {
 	cases := []struct {
 		value, at string
@@ -58,14 +58,14 @@
 	}
 }
 
-// Symptom: each peer's sample fills the log each minute, or a service without
-// failures is never reported.
-// Sequence: one service has bad requests, another has only good ones.
-// Cause: all names were told each time, or the good ones never.
+// Names with bad requests must be in every sample, and names with only good
+// requests at intervals. When all names were in every sample, the samples filled
+// the log; when good ones were left out, services without failures were never
+// reported.
 func TestMeterTellsBadAtOnceAndGoodInTime(t *testing.T) {
 	var m Meter
 	var dawn, eid []uint64
-	for n := range uint64(2*goodEvery + 1) {
+	for n := range uint64(2*goodInterval + 1) {
 		for i := range 2 * MaxNames {
 			m.Count(Request{Service: "dawn-svc", Team: tackid.Team(fmt.Sprint("team-", i)), Outcome: Outcome(i % 5)}, "fajr")
 		}
@@ -85,6 +85,6 @@
 	s, _ := m.TakeAll("cotabato-hall-1", 99)
 	eid = append(eid, s.Services[0].Counts.Good)
 	if got := fmt.Sprint(len(dawn), eid); got != "11 [1 4 5 1]" {
-		t.Errorf("samples of the bad one, counts of the good one: %s, want 11 [1 4 5 1]", got)
+		t.Errorf("samples with the bad service, counts of the good one: %s, want 11 [1 4 5 1]", got)
 	}
 }
--- a/core/tackburn/snapshot.go
+++ b/core/tackburn/snapshot.go
@@ -15,7 +15,7 @@
 const snapshotVersion = 1
 
 type (
-	// VersionError reports a snapshot of a version that Restore cannot read.
+	// VersionError reports a snapshot version that Restore can't read.
 	VersionError struct {
 		Version int
 	}
@@ -40,8 +40,8 @@
 		Buckets []bucketSnapshot `cbor:"3,keyasint"`
 	}
 
-	// bucketSnapshot names its ring by the width, so that a later version may
-	// keep other rings and passes over those that it does not know.
+	// bucketSnapshot identifies its ring by the width, so that a later version
+	// can have other rings and skip the buckets of unknown ones.
 	bucketSnapshot struct {
 		_      struct{} `cbor:",toarray"`
 		Width  tackclock.Duration
@@ -60,7 +60,7 @@
 	return fmt.Sprintf("tackburn: snapshot of version %d, want %d", e.Version, snapshotVersion)
 }
 
-// Snapshot returns the state in CBOR. Equal states give equal bytes.
+// Snapshot returns the state as CBOR. Equal states have equal encodings.
 func (s *State) Snapshot() ([]byte, error) {
 	data, err := cbor.Marshal(snapshot{
 		Version:  snapshotVersion,
@@ -76,8 +76,8 @@
 	return data, nil
 }
 
-// Restore replaces the state by one that Snapshot returned. On an error, a
-// *VersionError among others, the state stays as it was.
+// Restore replaces the state by that of a snapshot. The error is a *VersionError
+// if the snapshot has another version. On an error the state is unchanged.
 func (s *State) Restore(data []byte) error {
 	var snap snapshot
 	if err := cbor.Unmarshal(data, &snap); err != nil {
@@ -131,8 +131,8 @@
 	}
 }
 
-// snapshot returns the buckets that are still of use at the last sample, in
-// an order that does not depend on where the rings began.
+// snapshot returns the buckets that are current at the time of the last sample,
+// in an order that does not depend on their positions in the rings.
 func (s *series) snapshot() []bucketSnapshot {
 	var list []bucketSnapshot
 	for i := range s.rings {
--- a/core/tackburn/state.go
+++ b/core/tackburn/state.go
@@ -1,9 +1,9 @@
-// Package tackburn keeps account of service levels: how many requests were
-// answered whole and on time, and how fast the error budget of each service
-// is used up. It is a state machine that the replicated log drives.
+// Package tackburn tracks service levels: how many requests were answered
+// completely and in time, and how fast the error budget of each service is used
+// up. It is a state machine that is driven by the replicated log.
 //
-// Counts are kept in rings of buckets, the finer the shorter the window, so
-// the state's size depends on the number of services, teams and labels only.
+// Counts are kept in rings of buckets, with finer buckets for shorter windows, so
+// the size of the state depends only on the number of services, teams and labels.
 package tackburn
 
 import (
@@ -12,32 +12,33 @@
 )
 
 const (
-	// MaxNames is how many services, how many teams and how many labels are
-	// accounted for by name.
+	// MaxNames is the maximum number of services, of teams and of labels that
+	// are counted by name.
 	MaxNames = 256
 
-	// Other takes the counts of further names. A caller chooses its team's
-	// name, and could fill the memory of every peer with new ones.
+	// Other is the name under which all further names are counted. Callers
+	// choose the names of their teams, so without a limit a caller could fill
+	// the memory of every peer with new names.
 	Other = "(other)"
 )
 
 type (
-	// State is the account. Its zero value is empty. It is not safe for
-	// concurrent use.
+	// State holds the counts of all services, teams and labels. Its zero value
+	// is empty. It is not safe for concurrent use.
 	State struct {
 		services table[tackid.Service]
 		teams    table[tackid.Team]
 		labels   table[Label]
-		peers    map[tackid.Peer]uint64 // the newest sequence of each
-		day      int64                  // the last on which idle series were dropped
+		peers    map[tackid.Peer]uint64 // highest sequence by peer
+		day      int64                  // last day on which idle series were dropped
 	}
 
 	// table holds the series of one kind of name.
 	table[N ~string] map[N]*series
 )
 
-// Apply takes in a sample at the time of its log entry, unless it or a later
-// one of the same peer has been.
+// Apply adds a sample at the time of its log entry, unless the same or a later
+// sample of the peer was already applied.
 func (s *State) Apply(now tackclock.Time, sample Sample) {
 	s.dropIdle(now)
 	if s.repeated(sample) {
@@ -54,7 +55,8 @@
 	}
 }
 
-// repeated notes the sample's sequence and reports whether it has passed.
+// repeated records the sequence of the sample and reports whether the sample was
+// already applied.
 func (s *State) repeated(sample Sample) bool {
 	if sample.Sequence == 0 {
 		return false
@@ -72,7 +74,7 @@
 	return false
 }
 
-// dropIdle drops, once a day, what had no sample for a whole period.
+// dropIdle drops, once a day, the series that had no sample for a whole period.
 func (s *State) dropIdle(now tackclock.Time) {
 	day := int64(now) / int64(tackclock.Day)
 	if day == s.day {
--- a/core/tackburn/state_test.go
+++ b/core/tackburn/state_test.go
@@ -29,11 +29,10 @@
 	})
 }
 
-// Symptom: an outage is still reported long after, or gone at once.
-// Sequence: 10 requests are lost in one minute; the report is read as each
-// window passes.
-// Cause: buckets of a ring were not cleared when their turn came again, or
-// were counted in windows that they had left.
+// 10 requests lost in one minute must be reported in each window until it has
+// passed, and no longer. An outage was reported for too long, or too short, when
+// buckets of a ring were not cleared before reuse, or were counted in windows that
+// they had left.
 func TestWindowsForget(t *testing.T) {
 	var s State
 	s.Apply(noon, sampleOf(Counts{Good: 9990, Lost: 10}))
@@ -93,10 +92,9 @@
 	}
 }
 
-// Symptom: an outage counts twice.
-// Sequence: a peer proposes a sample, loses the answer, and proposes it again;
-// the first proposal is applied after all, behind a later sample.
-// Cause: samples bore no sequence.
+// A sample that a peer proposes again because the answer was lost must count only
+// once, even if the first proposal is applied after a later sample. It counted
+// twice when samples had no sequence.
 func TestSampleProposedTwiceCountsOnce(t *testing.T) {
 	var s State
 	first := sampleOf(Counts{Good: 10, Lost: 1})
@@ -115,9 +113,8 @@
 	assertWindows(t, restored.Report(noon, Settings{}).Services[0], 2, 2, 2, 2)
 }
 
-// Symptom: the daemon's memory grows without end.
-// Sequence: a caller sends each request under a team's name of its own.
-// Cause: every name got an account.
+// Memory use must stay bounded when a caller sends each request with another team
+// name. It grew without limit when every name got a series.
 func TestNamesAreBounded(t *testing.T) {
 	var s State
 	for i := range 3 * MaxNames {
@@ -133,11 +130,10 @@
 	}
 }
 
-// Symptom: after a restart a service's burn is lower than before, or two peers
-// report different figures.
-// Sequence: samples at any times; a peer restores a snapshot taken at any
-// moment and goes on with the rest.
-// Cause: something of the state was left out of the snapshot.
+// A peer that restores a snapshot taken at any time and applies the remaining
+// samples must have the same state as one that was never restarted. If the
+// snapshot lacks part of the state, the burn rate of a service drops at a restart,
+// or two peers report different figures.
 func TestWindowsSurviveRestart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var whole, restarted State
@@ -189,11 +185,11 @@
 		t.Fatalf("got %v, want a version error", err)
 	}
 	if err := s.Restore([]byte{0xff}); err == nil || len(s.services) != 1 {
-		t.Fatalf("nonsense: error %v, %d services", err, len(s.services))
+		t.Fatalf("invalid snapshot: error %v, %d services", err, len(s.services))
 	}
 }
 
-// fullSample is what a busy peer counts in a minute at 45 teams, 50 services.
+// fullSample returns the sample of a busy peer with 45 teams and 50 services.
 func fullSample() Sample {
 	var s Sample
 	c := Counts{Good: 12345, Late: 12, Refused: 3, Lost: 1, Wave: 2, LatencyMS: 98765432}
