--- a/core/tackburn/settings_test.go
+++ b/core/tackburn/settings_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestSettingsRefuseNonsense(t *testing.T) {
+func TestSettingsRejectInvalidValues(t *testing.T) {
 	cases := []struct{ key, value string }{
 		{"burn.objective", "100"}, {"burn.objective", "NaN"}, {"burn.objective.dawn-svc", "-1"},
 		{"burn.late_ms", "2s"}, {"burn.late_ms.dawn-svc", "-5"},
@@ -62,7 +62,7 @@
 // requests at intervals. When all names were in every sample, the samples filled
 // the log; when good ones were left out, services without failures were never
 // reported.
-func TestMeterTellsBadAtOnceAndGoodInTime(t *testing.T) {
+func TestMeterReportsBadAtOnceAndGoodAtIntervals(t *testing.T) {
 	var m Meter
 	var dawn, eid []uint64
 	for n := range uint64(2*goodInterval + 1) {
--- a/core/tackledger/state_test.go
+++ b/core/tackledger/state_test.go
@@ -135,7 +135,7 @@
 	})
 }
 
-func TestOldestAnswersAreGivenUpFirst(t *testing.T) {
+func TestOldestAnswersAreDroppedFirst(t *testing.T) {
 	convey.Convey("With room for 10 bytes of answers", t, func() {
 		l := testLog{State: State{Limits: Limits{Bytes: 10}}}
 		for _, k := range []string{"a", "b", "c"} {
--- a/core/tacklimit/reserve.go
+++ b/core/tacklimit/reserve.go
@@ -6,8 +6,7 @@
 )
 
 const (
-	// minReserveDivisor gives the part of the slots that each reserve has at
-	// least; no reserve has less than one slot.
+	// minReserveDivisor gives the least part of the slots in each reserve.
 	minReserveDivisor = 64
 	// maxReserveDivisor gives the part of the slots that the reserve for
 	// urgent requests never exceeds.
--- a/core/tackroute/chooser_test.go
+++ b/core/tackroute/chooser_test.go
@@ -49,7 +49,7 @@
 // later incarnation, and a request to the new incarnation ends first. Counted by
 // name alone, the older request seemed to have ended, and its VM was rebooted
 // while it still ran there.
-func TestInFlightCountsByLife(t *testing.T) {
+func TestInFlightCountsByIncarnation(t *testing.T) {
 	convey.Convey("After a backend server moved with a request in flight", t, func() {
 		var c tackroute.Chooser
 		table := candidates(here, 1)
--- a/core/tackshare/holding.go
+++ b/core/tackshare/holding.go
@@ -33,7 +33,7 @@
 	// granted reports whether the owner has answered in this session.
 	granted bool
 	// fixed reports whether the slots held are the fixed part, rather than
-	// granted ones.
+	// slots claimed from an earlier session.
 	fixed bool
 	bound int
 	lots  map[tackroute.Lot]*count
