--- a/core/tackdispatch/admit.go
+++ b/core/tackdispatch/admit.go
@@ -8,14 +8,13 @@
 )
 
 const (
-	// shortestComeBack is the least time after which a refused caller is
-	// asked to come back.
-	shortestComeBack = 500 * tackclock.Millisecond
-	// capComeBack is when to come back with what no cap allows: an operator must have
-	// raised it.
-	capComeBack = tackclock.Minute
-	// defaultAdmitPercent is above 100 since idle VMs of other pools come within
-	// two seconds, so the backlog is done sooner than the pool's cores say.
+	// minRetryAfter is the shortest delay after which a refused caller is asked to retry.
+	minRetryAfter = 500 * tackclock.Millisecond
+	// capRetryAfter is the delay before retrying a job that the workspace's cap can never
+	// hold: an operator has to raise the cap first.
+	capRetryAfter = tackclock.Minute
+	// defaultAdmitPercent is above 100 because idle VMs of other pools arrive within two
+	// seconds, so the backlog is done sooner than the pool's present cores suggest.
 	defaultAdmitPercent = 160
 )
 
@@ -23,25 +22,26 @@
 	// Admission says whether a job is accepted.
 	Admission struct {
 		Accepted bool
-		// ComeBack is when a refused caller should come back, Reason why he is refused.
+		// ComeBack is the delay after which a refused caller should retry, and Reason
+		// says why the job was refused.
 		ComeBack tackclock.Duration
 		Reason   string
 	}
 )
 
-// Admit decides whether a job is accepted that is handed in for a workspace.
+// Admit decides whether to accept a job that is submitted for a workspace.
 //
-// Load pattern: a queue asks five times its mean for some seconds, more than
-// its pool holds, or a workspace more than its cap allows it. A job that waits
-// behind more work than is done within the job's own objective would only be
-// late and make those behind it late too. So the end is predicted from the work
-// that is accepted and not done.
+// Load pattern: for some seconds a queue submits five times its mean rate, more than its
+// pool can run, or a workspace submits more than its cap allows. A job that waits behind
+// more work than can be done within the job's own objective would only finish late and
+// delay the jobs behind it. Admit therefore predicts the job's end from the work that is
+// accepted and not done.
 func (d *Dispatcher) Admit(now tackclock.Time, q *tackcatalog.Queue, spec *tackjob.Spec, workspace tackid.Workspace) Admission {
 	account := d.quota.Account(workspace)
 	for i := range spec.Steps {
-		// Its members start together or not at all, so it would wait for good.
+		// All members start together or not at all, so the gang would wait forever.
 		if s := &spec.Steps[i]; s.Gang && !account.Holds(s.Room.Times(s.Count)) {
-			return Admission{ComeBack: capComeBack, Reason: "a gang wider than the cap of its workspace"}
+			return Admission{ComeBack: capRetryAfter, Reason: "a gang wider than the cap of its workspace"}
 		}
 	}
 	if spec.LongRunning() || spec.Repeats > 0 {
@@ -51,29 +51,31 @@
 	chain := spec.Chain()
 	allowed := tackclock.Duration(q.Stretch*float64(chain)) + q.Objective
 	who := owner{service: q.Service, workspace: workspace}
-	work := d.owed.of(who).plus(d.proposed.of(who))
-	cores := d.coresOf(now, q.Service)
+	work := d.outstanding.ahead(who).plus(d.proposed.ahead(who))
+	cores := d.poolCores(now, q.Service)
 	takes := timeFor(work.pool, cores) + chain
-	// What a workspace's share of the pool does in time need not wait for what others sent.
+	// Work that the workspace's share of the pool can finish in time need not wait for
+	// the work of others.
 	share := int(float64(cores) * account.Share())
 	byShare := share > 0 && timeFor(work.both, share)+chain <= allowed
 	if takes*100 > allowed*tackclock.Duration(d.cfg.AdmitPercent) && !byShare {
-		p.arrived(now, spec, true)
-		earliest := now.Add(max(takes-allowed, shortestComeBack))
-		at := p.comeBack.assign(now, spec, earliest, cores+p.coming)
+		p.recordArrival(now, spec, true)
+		earliest := now.Add(max(takes-allowed, minRetryAfter))
+		at := p.retryTimes.assign(now, spec, earliest, cores+p.coming)
 		return Admission{ComeBack: at.Sub(now), Reason: "would end too late"}
 	}
-	// A pool may get VMs of others. A cap stays what it is.
+	// A pool may gain VMs from other pools; a cap does not grow.
 	if takes := timeFor(work.workspace, account.Cap().MilliCores) + chain; takes > allowed {
-		return Admission{ComeBack: max(takes-allowed, shortestComeBack), Reason: "would end too late by the cap of its workspace"}
+		return Admission{ComeBack: max(takes-allowed, minRetryAfter), Reason: "would end too late by the cap of its workspace"}
 	}
-	p.arrived(now, spec, false)
-	p.comeBack.drop(spec.ID)
+	p.recordArrival(now, spec, false)
+	p.retryTimes.drop(spec.ID)
 	return Admission{Accepted: true}
 }
 
-// timeFor is how long so many thousandths of a core take for the work; nothing where
-// there are none, since nothing is known then.
+// timeFor returns how long the given millicores need for the work, in
+// millicore-milliseconds. It returns 0 if there are no cores, since nothing can be
+// predicted then.
 func timeFor(work int64, milliCores int) tackclock.Duration {
 	if milliCores == 0 {
 		return 0
--- a/core/tackdispatch/admit_test.go
+++ b/core/tackdispatch/admit_test.go
@@ -126,7 +126,7 @@
 		}
 	})
 	w.run(8 * tackclock.Second)
-	if got := w.d.coresOf(w.now, "names-api"); got != 16*16_000 {
+	if got := w.d.poolCores(w.now, "names-api"); got != 16*16_000 {
 		t.Errorf("the pool has %d thousandths of a core in the end, want those of its workers", got)
 	}
 }
@@ -134,7 +134,7 @@
 // Guards against callers who are told to come back together, and against
 // later callers who are told to wait for those that came early, or never.
 func TestComeBackTimes(t *testing.T) {
-	var x comeBackTimes
+	var x retryTimes
 	const cores = 16_000
 	spec := func(n int) *tackjob.Spec { // one second of all cores
 		return &tackjob.Spec{ID: job(n), Steps: []tackjob.Step{batch(8, 2, tackclock.Second)}}
@@ -158,8 +158,8 @@
 			for n := range 100 {
 				told(10 + n)
 			}
-		}, 5, latestComeBack},
-		{"after all of them stayed away", func() { now = now.Add(latestComeBack + 2*comeBackKept) }, 6, 2000},
+		}, 5, maxRetryAfter},
+		{"after all of them stayed away", func() { now = now.Add(maxRetryAfter + 2*retryTimeKept) }, 6, 2000},
 		{"and that one again, after its time", func() { now = now.Add(2001) }, 6, 2000},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -205,7 +205,7 @@
 	if !admits(200) {
 		t.Error("refused after the other half never will be")
 	}
-	if w.d.proposed.of(owner{service: "names-api"}) != (owed{}) || len(w.d.proposals) != 0 {
+	if w.d.proposed.ahead(owner{service: "names-api"}) != (workAhead{}) || len(w.d.proposals) != 0 {
 		t.Errorf("%v is left of what was proposed", w.d.proposed)
 	}
 }
--- a/core/tackdispatch/advice.go
+++ b/core/tackdispatch/advice.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// adviseWorkers is how many workers one call names. Each costs time, and
-	// the platform's own measure of a job counts thirty.
-	adviseWorkers = 30
-	// adviseAgain is after which time a call that failed, or that allowed no
-	// worker with room, is made again.
-	adviseAgain = 500 * tackclock.Millisecond
-	// ticketSlack is how long before its end a ticket is not used any more.
-	ticketSlack = 300 * tackclock.Millisecond
+	// maxAdviceWorkers is the number of workers that one call names. Each adds latency,
+	// and the platform's own estimate of a job counts thirty.
+	maxAdviceWorkers = 30
+	// adviceRetryDelay is the delay before a call is repeated that failed or that allowed
+	// no worker with room.
+	adviceRetryDelay = 500 * tackclock.Millisecond
+	// ticketMargin is how long before its expiry a ticket is no longer used.
+	ticketMargin = 300 * tackclock.Millisecond
 )
 
 type (
-	// AdviceRequest asks which of the workers may run a step.
+	// AdviceRequest asks the placement advisor which of the workers may run a step.
 	AdviceRequest struct {
 		Job        tackjob.ID
 		Occurrence int32
@@ -28,45 +28,46 @@
 		Workers    []WorkerID
 	}
 
-	// Ticket allows a worker to run a step.
+	// Ticket is the advisor's permission for a worker to run a step.
 	Ticket struct {
 		Worker WorkerID
 		Text   string
 	}
 
-	// advice is what is known of who may run a step.
+	// advice holds a step's tickets and the state of the call for them.
 	advice struct {
 		tickets map[WorkerID]string
 		until   tackclock.Time
-		asked   bool
-		askAt   tackclock.Time
+		pending bool
+		retryAt tackclock.Time
 	}
 )
 
-// AdviceWanted returns the next call to make, for the step that waits longest
-// in rank and has no ticket that is valid; false if there is none.
+// AdviceWanted returns the next call to make, for the first step by rank that has no
+// valid ticket, or false if there is none.
 func (d *Dispatcher) AdviceWanted(now tackclock.Time) (AdviceRequest, bool) {
 	for _, p := range d.pools {
 		for s := range p.steps.All() {
-			if !s.job.Advised || len(s.waiting) == 0 || s.advice.asked || now < s.advice.askAt || s.advice.valid(now) {
+			if !s.job.Advised || len(s.waiting) == 0 || s.advice.pending || now < s.advice.retryAt || s.advice.valid(now) {
 				continue
 			}
-			workers := d.likely(now, p, s)
+			workers := d.adviceCandidates(now, p, s)
 			if len(workers) == 0 {
 				continue
 			}
-			s.advice.asked = true
-			return AdviceRequest{Job: s.job.ID, Occurrence: s.occ, Step: s.number, Workers: workers}, true
+			s.advice.pending = true
+			return AdviceRequest{Job: s.job.ID, Occurrence: s.occurrence, Step: s.number, Workers: workers}, true
 		}
 	}
 	return AdviceRequest{}, false
 }
 
-// likely names the workers that could run the step, those with most room first.
-func (d *Dispatcher) likely(now tackclock.Time, p *pool, s *openStep) []WorkerID {
+// adviceCandidates returns the workers that could run the step, those with the most room
+// first.
+func (d *Dispatcher) adviceCandidates(now tackclock.Time, p *pool, s *openStep) []WorkerID {
 	var fit []*worker
 	for _, w := range p.workers {
-		if w.takesNew(now) && !w.silent(now) && w.has(s.Requires) && w.capacity.Fits(s.Takes()) {
+		if w.acceptsItems(now) && !w.silent(now) && w.hasLabel(s.Requires) && w.capacity.Fits(s.Takes()) {
 			fit = append(fit, w)
 		}
 	}
@@ -74,21 +75,21 @@
 		return cmp.Or(cmp.Compare(b.room().MilliCores, a.room().MilliCores), cmp.Compare(a.id, b.id))
 	})
 	var ids []WorkerID
-	for _, w := range fit[:min(len(fit), adviseWorkers)] {
+	for _, w := range fit[:min(len(fit), maxAdviceWorkers)] {
 		ids = append(ids, w.id)
 	}
 	return ids
 }
 
-// Advised takes in the answer to a call. With ok false the call failed. Tickets for
-// workers that were not asked about are passed over.
+// Advised records the answer to a call; ok is false if the call failed. Tickets for
+// workers that were not asked about are ignored.
 func (d *Dispatcher) Advised(now tackclock.Time, r AdviceRequest, tickets []Ticket, valid tackclock.Duration, ok bool) {
 	s := d.stepOf(stepKey{job: r.Job, occurrence: r.Occurrence, step: r.Step})
 	if s == nil {
 		return
 	}
 	a := &s.advice
-	a.asked, a.askAt = false, now.Add(adviseAgain)
+	a.pending, a.retryAt = false, now.Add(adviceRetryDelay)
 	if !ok {
 		return
 	}
@@ -98,15 +99,15 @@
 			a.tickets[t.Worker] = t.Text
 		}
 	}
-	a.until = now.Add(valid - ticketSlack)
+	a.until = now.Add(valid - ticketMargin)
 }
 
 func (a *advice) valid(now tackclock.Time) bool {
 	return now < a.until && len(a.tickets) > 0
 }
 
-// ticketed reports whether the worker may run the step's items now.
-func (s *openStep) ticketed(now tackclock.Time, w *worker) bool {
+// hasTicket reports whether the worker may run the step's items now.
+func (s *openStep) hasTicket(now tackclock.Time, w *worker) bool {
 	if !s.job.Advised {
 		return true
 	}
--- a/core/tackdispatch/copy.go
+++ b/core/tackdispatch/copy.go
@@ -8,75 +8,78 @@
 )
 
 const (
-	// defaultCopyAfter is two of the heartbeats that even a busy worker sends.
+	// defaultCopyAfter is two heartbeat intervals of a busy worker.
 	//
-	// Load pattern: a rack goes dark under load. What ran there waits for the end
-	// of its workers' leases, 3.7 s, of the five that a job has.
+	// Load pattern: a rack becomes unreachable under load. Without copies, what ran there
+	// waits 3.7 s for the end of its workers' leases, of the five seconds that a job has.
 	defaultCopyAfter = 900 * tackclock.Millisecond
-	// silentReason is why a run is copied whose worker may yet come back.
-	silentReason = "worker is silent"
+	// copyReasonSilent is the reason for copying a run whose worker may still report
+	// again.
+	copyReasonSilent = "worker is silent"
 )
 
-// copySilent has what may run in copies start elsewhere if the worker is silent.
-func (d *Dispatcher) copySilent(now tackclock.Time, w *worker) {
+// copyIfSilent starts copies of the worker's speculative items elsewhere if the worker is
+// silent.
+func (d *Dispatcher) copyIfSilent(now tackclock.Time, w *worker) {
 	if now.Sub(w.heardAt) < d.cfg.CopyAfter {
 		return
 	}
-	for _, r := range w.inOrder() {
-		d.copy(now, r, silentReason)
+	for _, r := range w.runsInOrder() {
+		d.copy(now, r, copyReasonSilent)
 	}
 }
 
-// othersBlamed reports whether a worker crashed under another run of the item, or may
-// have. A copy of what crashes workers crashes the next one while the first is away, and
-// the item would go through the pool before its first VM is back.
-func (r *run) othersBlamed() bool {
+// crashedElsewhere reports whether a worker crashed under another run of the item, or may
+// have. If the item crashes its workers, a copy would crash another one while the first
+// is still down, and the item would crash the whole pool before its first VM is back.
+func (r *run) crashedElsewhere() bool {
 	own := 0
 	if r.doubted {
 		own = 1
 	}
-	return r.step.blamed[r.item.Index] > own || len(r.step.job.CrashesUnder(r.item).Crashes) > 0
+	return r.step.crashCounts[r.item.Index] > own || len(r.step.job.CrashesUnder(r.item).Crashes) > 0
 }
 
-// copy makes a run's item wait for a second run; false if it may not. The first
-// end counts, and the other run is stopped then.
+// copy queues the run's item for a second run and reports whether that is allowed. The
+// first run to end counts, and the other is stopped.
 func (d *Dispatcher) copy(now tackclock.Time, r *run, reason string) bool {
 	s := r.step
-	if !s.Speculative || s.Gang || s.LongRunning || s.job.closed || s.job.Done(r.item) || r.othersBlamed() {
+	if !s.Speculative || s.Gang || s.LongRunning || s.job.closed || s.job.Done(r.item) || r.crashedElsewhere() {
 		return false
 	}
-	if r.copied != "" || r.stopping || d.running[r.item] != r {
+	if r.copyReason != "" || r.stopping || d.running[r.item] != r {
 		return true
 	}
 	d.noteRun(now, EventCopied, r, reason)
 	delete(d.running, r.item)
 	s.running--
 	d.requeue(now, r)
-	r.copied = reason
+	r.copyReason = reason
 	s.copies = append(s.copies, r)
 	return true
 }
 
-// uncopy takes a run back whose worker was silent and whose copy has not begun.
-func (d *Dispatcher) uncopy(r *run) {
-	if r.copied != silentReason || d.running[r.item] != nil || !r.step.dropWaiting(r.item.Index) {
+// cancelCopy undoes the copy of a run whose worker was silent, if the copy has not
+// started.
+func (d *Dispatcher) cancelCopy(r *run) {
+	if r.copyReason != copyReasonSilent || d.running[r.item] != nil || !r.step.dropWaiting(r.item.Index) {
 		return
 	}
-	r.copied = ""
+	r.copyReason = ""
 	r.step.copies = slices.DeleteFunc(r.step.copies, func(o *run) bool { return o == r })
 	d.running[r.item] = r
 	r.step.running++
 }
 
-// stopOthers stops what else runs of an item that a run has done: copies of it, and runs
-// that began when that one was given up behind a partition.
-func (d *Dispatcher) stopOthers(now tackclock.Time, s *openStep, item tackjob.Item, done RunNumber) {
+// stopOtherRuns stops every other run of an item that a run has completed: copies of it,
+// and runs that started when that one was given up behind a partition.
+func (d *Dispatcher) stopOtherRuns(now tackclock.Time, s *openStep, item tackjob.Item, done RunNumber) {
 	if r := d.running[item]; r != nil && r.number != done {
-		d.stop(now, r, "another run is done")
+		d.stop(now, r, "another run of the item is done")
 	}
 	for _, r := range s.copies {
 		if r.item == item && r.number != done {
-			d.stop(now, r, "another run is done")
+			d.stop(now, r, "another run of the item is done")
 		}
 	}
 }
--- a/core/tackdispatch/copy_test.go
+++ b/core/tackdispatch/copy_test.go
@@ -112,10 +112,10 @@
 		first := tackjob.End{Item: tackjob.Item{Job: job(1)}, Run: 1, Failed: true}
 		second := tackjob.End{Item: first.Item, Run: 2}
 		known := w.d.workers[m.id]
-		known.ends.taken = 2
+		known.ends.highest = 2
 		known.ends.pending = map[uint64]tackjob.End{1: first, 2: second}
 		w.d.EndsNoted(m.id, []tackjob.End{first})
-		if n := known.ends.noted(); n != 1 {
+		if n := known.ends.loggedUpTo(); n != 1 {
 			t.Errorf("ends up to %d are noted, want 1", n)
 		}
 	})
--- a/core/tackdispatch/cost_test.go
+++ b/core/tackdispatch/cost_test.go
@@ -144,35 +144,35 @@
 func assertSums(t failer, d *Dispatcher, now tackclock.Time) {
 	t.Helper()
 	for _, p := range d.pools {
-		var want sums
+		var want totals
 		for at, w := range p.workers {
-			if w.at != at {
-				t.Fatalf("worker %s stands at %d, and says %d", w.id, at, w.at)
+			if w.index != at {
+				t.Fatalf("worker %s stands at %d, and says %d", w.id, at, w.index)
 			}
-			want.add(&w.counted)
-			if !w.draining && w.counted.capacity != w.capacity {
-				t.Fatalf("worker %s counts with %v of %v", w.id, w.counted.capacity, w.capacity)
+			want.add(&w.countedTotals)
+			if !w.draining && w.countedTotals.capacity != w.capacity {
+				t.Fatalf("worker %s counts with %v of %v", w.id, w.countedTotals.capacity, w.capacity)
 			}
-			if x := w.free; !x.indexed || p.free.bySize[x.size][x.at] != w {
+			if x := w.freePosition; !x.indexed || p.free.bySize[x.size][x.at] != w {
 				t.Fatalf("worker %s is not where the index of free cores has it", w.id)
 			}
 		}
-		if want != p.sums {
-			t.Fatalf("the pool's sums are %+v, its workers have %+v", p.sums, want)
+		if want != p.totals {
+			t.Fatalf("the pool's sums are %+v, its workers have %+v", p.totals, want)
 		}
 	}
-	var work owedWork
+	var work outstandingWork
 	for _, o := range d.jobs {
-		if o.ends() {
-			work.change(owner{service: o.Service, workspace: o.Workspace}, o.workLeft())
+		if o.isBatch() {
+			work.adjust(owner{service: o.Service, workspace: o.Workspace}, o.workLeft())
 		}
 	}
-	for service, left := range d.owed.services {
+	for service, left := range d.outstanding.services {
 		if work.services[service] != left {
 			t.Fatalf("%s is owed %d, its jobs %d", service, left, work.services[service])
 		}
 	}
-	for queue, n := range d.unbegun {
+	for queue, n := range d.unstarted {
 		for _, o := range d.jobs {
 			if o.Queue == queue && !o.started {
 				n--
--- a/core/tackdispatch/demand.go
+++ b/core/tackdispatch/demand.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// refusedMemory is how long refused work counts as asked for.
-	refusedMemory = 1500 * tackclock.Millisecond
-	// arrivalMemory is over which time the work that arrives is measured. A turn
-	// begins within a fraction of it.
-	arrivalMemory = tackclock.Second
-	// unplacedAfter is after which wait an item has no worker: all of the pool's
-	// workers have sent a heartbeat meanwhile.
+	// refusedWindow is how long refused work counts as demand.
+	refusedWindow = 1500 * tackclock.Millisecond
+	// arrivalWindow is the time over which the rate of arriving work is measured. A burst
+	// reaches its full rate within a fraction of it.
+	arrivalWindow = tackclock.Second
+	// unplacedAfter is how long an item must wait to count as unplaced: by then all of
+	// the pool's workers have sent a heartbeat.
 	unplacedAfter = 500 * tackclock.Millisecond
 )
 
-// arrival is a job that was handed in, and when.
+// arrival is a submitted job and the time of its submission.
 type arrival struct {
 	at      tackclock.Time
 	job     tackjob.ID
@@ -25,9 +25,9 @@
 	refused bool
 }
 
-// arrived remembers a job that was handed in. One that comes again after a
-// refusal is no further work.
-func (p *pool) arrived(now tackclock.Time, spec *tackjob.Spec, refused bool) {
+// recordArrival records a submitted job. A job that is submitted again after a refusal
+// does not count twice.
+func (p *pool) recordArrival(now tackclock.Time, spec *tackjob.Spec, refused bool) {
 	for i := range p.arrivals {
 		if a := &p.arrivals[i]; a.job == spec.ID {
 			a.refused = refused
@@ -40,36 +40,35 @@
 	p.arrivals = append(p.arrivals, arrival{at: now, job: spec.ID, work: spec.Work(), refused: refused})
 }
 
-// recent is the work that was refused lately, in milliseconds of thousandths of
-// a core, and the thousandths of a core that all work handed in lately keeps
-// busy.
-func (p *pool) recent(now tackclock.Time) (refused int64, arriving int) {
+// recentArrivals returns the work that was refused recently, in millicore-milliseconds,
+// and the millicores that all recently submitted work would keep busy.
+func (p *pool) recentArrivals(now tackclock.Time) (refused int64, arriving int) {
 	var work int64
 	kept := p.arrivals[:0]
 	for _, a := range p.arrivals {
 		age := now.Sub(a.at)
-		if age > refusedMemory {
+		if age > refusedWindow {
 			continue
 		}
 		kept = append(kept, a)
 		if a.refused {
 			refused += a.work
 		}
-		if age <= arrivalMemory {
+		if age <= arrivalWindow {
 			work += a.work
 		}
 	}
 	p.arrivals = kept
-	return refused, int(work / int64(arrivalMemory))
+	return refused, int(work / int64(arrivalWindow))
 }
 
-// demands is what the pool is to do: all of it first, then what only VMs with a
-// certain label, or of a certain size, can do.
+// demands returns the pool's demand: first for all of its work, then for what only VMs
+// with a certain label, or of a certain size, can run.
 func (d *Dispatcher) demands(now tackclock.Time, p *pool) []tackpool.Demand {
-	refused, arriving := p.recent(now)
+	refused, arriving := p.recentArrivals(now)
 	b := d.backlogOf(now, p)
 	list := []tackpool.Demand{{Backlog: b.inTime + refused, Pressing: b.pressing, Soon: refused, Late: b.late, Arriving: arriving}}
-	at := make(map[string]int) // of a label in list
+	at := make(map[string]int) // index in list, by label
 	for s := range p.steps.All() {
 		if len(s.waiting) == 0 {
 			continue
@@ -95,13 +94,13 @@
 		special.Soon = special.Backlog
 	}
 	for i := range list[1:] {
-		leaveOut(&list[0], p.beyond(&list[1+i]))
+		subtractWork(&list[0], p.unsharedBacklog(&list[1+i]))
 	}
 	return list
 }
 
-// leaveOut takes work out of a demand, and as much of what presses.
-func leaveOut(d *tackpool.Demand, work int64) {
+// subtractWork takes work out of a demand's backlog, and the same share of what presses.
+func subtractWork(d *tackpool.Demand, work int64) {
 	if work <= 0 || d.Backlog <= 0 {
 		return
 	}
@@ -110,13 +109,13 @@
 	d.Backlog = left
 }
 
-// beyond is the part of a demand's backlog that the pool's other workers cannot
-// help with. Counted for them, it held VMs in a pool that had nothing for them to
-// do, since the pool was behind.
-func (p *pool) beyond(special *tackpool.Demand) int64 {
+// unsharedBacklog returns the part of a demand's backlog that the pool's other workers
+// cannot help with. When it was counted for them too, the pool seemed to be behind and
+// kept VMs that had nothing to do.
+func (p *pool) unsharedBacklog(special *tackpool.Demand) int64 {
 	able := 0
 	for _, w := range p.workers {
-		if w.has(special.Label) {
+		if w.hasLabel(special.Label) {
 			able++
 		}
 	}
@@ -127,12 +126,12 @@
 	return special.Backlog * int64(n-able) / int64(n)
 }
 
-// unplaced is what of a step must have a worker at once, in thousandths of a
-// core: items that last and have waited for a while, and items for which no
-// worker of the pool will ever have room.
+// unplaced returns how many millicores of a step's items need a further worker now:
+// long-running items that have waited for a while, and items for which no worker of the
+// pool will ever have room.
 //
-// Without it such items wait for good: VMs come by the backlog, and a backlog
-// that the pool could do in time, had it the right VMs, calls for none.
+// Without this such items would wait forever: VMs are assigned by backlog, and a backlog
+// that the pool's cores could finish in time, if its VMs were suitable, asks for no more.
 func (d *Dispatcher) unplaced(now tackclock.Time, p *pool, s *openStep) int {
 	n := 0
 	for _, item := range s.waiting {
@@ -143,20 +142,20 @@
 	if n == 0 || !s.LongRunning && d.runnable(now, p, s) {
 		return 0
 	}
-	return max(n*max(s.MilliCores, 1), p.lacks(now, s, n))
+	return max(n*max(s.MilliCores, 1), p.missingCores(now, s, n))
 }
 
-// lacks is the thousandths of a core of the VMs that n items need beside those of
-// the pool, where few of the step's may run on one. By their own cores alone one
-// VM would be sent for many items, then the next one when it has come.
-func (p *pool) lacks(now tackclock.Time, s *openStep, n int) int {
+// missingCores returns the millicores of the VMs that n items of the step need beyond
+// those of the pool, where the step limits its items per worker. By the items' own cores,
+// a single VM would be sent for many of them, and the next one only after its arrival.
+func (p *pool) missingCores(now tackclock.Time, s *openStep, n int) int {
 	if s.MaxPerWorker == 0 {
 		return 0
 	}
 	size, room := 0, 0
 	for _, w := range p.workers {
 		size = max(size, w.capacity.MilliCores)
-		if w.takesNew(now) && !w.silent(now) && w.has(s.Requires) && w.forWork().Fits(s.Takes()) {
+		if w.acceptsItems(now) && !w.silent(now) && w.hasLabel(s.Requires) && w.batchRoom().Fits(s.Takes()) {
 			room += max(0, s.MaxPerWorker-w.steps[s.key()])
 		}
 	}
@@ -164,29 +163,30 @@
 	return (missing + s.MaxPerWorker - 1) / s.MaxPerWorker * size
 }
 
-// runnable reports whether any worker of the pool could run an item of the step
-// once what runs there now and does not last is through; of a gang, whether the
-// pool's workers could run all of it at once.
+// runnable reports whether any worker of the pool could run an item of the step once its
+// current batch items have ended or, for a gang, whether the pool's workers could run all
+// of it at once.
 func (d *Dispatcher) runnable(now tackclock.Time, p *pool, s *openStep) bool {
 	if s.Gang {
 		return d.fitsGang(now, p, s)
 	}
 	for _, w := range p.workers {
-		if !w.draining && !w.leaving && !d.cordon[w.vm] && !w.silent(now) && w.has(s.Requires) && w.forWork().Fits(s.Takes()) {
+		if !w.draining && !w.leaving && !d.cordon[w.vm] && !w.silent(now) && w.hasLabel(s.Requires) && w.batchRoom().Fits(s.Takes()) {
 			return true
 		}
 	}
 	return false
 }
 
-// fitsGang leaves out workers that are being emptied, like runnable, and asks for
-// no tickets: a call for advice names the workers that could get one.
+// fitsGang reports whether the pool's workers could run the whole gang. Like runnable it
+// excludes workers that are being emptied. It needs no tickets: a call for advice names
+// the workers that could get one.
 func (d *Dispatcher) fitsGang(now tackclock.Time, p *pool, s *openStep) bool {
 	var able []*worker
 	for _, w := range p.workers {
-		if d.hosts(now, w, s, false) {
+		if d.mayHost(now, w, s, false) {
 			able = append(able, w)
 		}
 	}
-	return fillHosts(s, able, (*worker).forWork) != nil
+	return fillHosts(s, able, (*worker).batchRoom) != nil
 }
--- a/core/tackdispatch/demand_test.go
+++ b/core/tackdispatch/demand_test.go
@@ -148,17 +148,17 @@
 		w := newWorld(t, 1)
 		p := w.d.pool("names-api")
 		spec := &tackjob.Spec{ID: job(1), Steps: []tackjob.Step{batch(10, 2, 500)}}
-		p.arrived(w.now, spec, true)
-		p.arrived(w.now.Add(300), spec, true)
-		refused, arriving := p.recent(w.now.Add(300))
+		p.recordArrival(w.now, spec, true)
+		p.recordArrival(w.now.Add(300), spec, true)
+		refused, arriving := p.recentArrivals(w.now.Add(300))
 		if refused != spec.Work() || arriving != int(spec.Work()/1000) {
 			t.Errorf("refused %d, arriving %d, want the job's work once", refused, arriving)
 		}
-		p.arrived(w.now.Add(600), spec, false)
-		if refused, _ := p.recent(w.now.Add(600)); refused != 0 {
+		p.recordArrival(w.now.Add(600), spec, false)
+		if refused, _ := p.recentArrivals(w.now.Add(600)); refused != 0 {
 			t.Errorf("refused %d after it was accepted", refused)
 		}
-		if _, arriving := p.recent(w.now.Add(5 * tackclock.Second)); arriving != 0 {
+		if _, arriving := p.recentArrivals(w.now.Add(5 * tackclock.Second)); arriving != 0 {
 			t.Errorf("arriving %d after five seconds without jobs", arriving)
 		}
 	})
--- a/core/tackdispatch/dispatch_test.go
+++ b/core/tackdispatch/dispatch_test.go
@@ -97,7 +97,7 @@
 	w.addWorker("m-other", 1)
 	w.run(5 * tackclock.Second)
 	w.receive(late)
-	if known, want := w.d.lives["m-0"].id, w.workers[1].id; known != want {
+	if known, want := w.d.workersByVM["m-0"].id, w.workers[1].id; known != want {
 		t.Errorf("dispatch takes %s for the life of the VM, want %s", known, want)
 	}
 	w.run(3 * tackclock.Second)
@@ -343,9 +343,9 @@
 	w.submit(job(2), batch(4, 4, 400))
 	w.submit(job(3), batch(4, 4, 400))
 	for _, s := range w.d.jobs[job(2)].steps {
-		w.d.pool("names-api").closeStep(s)
+		w.d.pool("names-api").dequeue(s)
 		s.rank.Priority = 1
-		w.d.open(w.now, w.d.pool("names-api"), s)
+		w.d.enqueue(w.now, w.d.pool("names-api"), s)
 	}
 	w.run(1300)
 	assertPhase(t, w, job(3), tackjob.Complete)
@@ -404,7 +404,7 @@
 	if o := w.receive(late); o.Hold != 0 {
 		t.Errorf("orders %+v for a life that is over", o)
 	}
-	if known := w.d.lives[m.vm].id; known != next.id {
+	if known := w.d.workersByVM[m.vm].id; known != next.id {
 		t.Errorf("dispatch takes %s for the life of the VM, want %s", known, next.id)
 	}
 	w.addWorker("m-other", 1)
--- a/core/tackdispatch/dispatcher.go
+++ b/core/tackdispatch/dispatcher.go
@@ -1,7 +1,6 @@
-// Package tackdispatch decides on the leader which item starts on which
-// worker, and when. Workers get their orders in the answers to their own
-// heartbeats. Nothing here is durable: a new leader learns what runs from the
-// workers' lists.
+// Package tackdispatch decides on the leader which item starts on which worker, and when.
+// Workers get their orders in the answers to their own heartbeats. Nothing here is
+// durable: a new leader learns from the workers' reports what runs.
 package tackdispatch
 
 import (
@@ -21,33 +20,35 @@
 )
 
 const (
-	// runBits is how many runs one leader can number within its term: a
-	// million, over an hour at the 300 starts a second of the largest site.
+	// runBits is the number of bits for the runs that one leader can number within its
+	// term: a million, enough for over an hour at the 300 starts per second of the
+	// largest site.
 	runBits = 20
-	// driftDivisor is the share of a lease by which a worker's clock may be
-	// slow: one part in fifty by the platform's contract.
+	// driftDivisor is the inverse of the rate by which a worker's clock may be slow: one
+	// part in fifty by the platform's contract.
 	driftDivisor = 50
-	// leaseSlack covers the rounding of both clocks to milliseconds and late
-	// timers on the worker.
+	// leaseSlack covers the rounding of both clocks to milliseconds and late timers on
+	// the worker.
 	leaseSlack = 100 * tackclock.Millisecond
-	// notSent stands for the heartbeat that was answered with a start which
-	// has not been sent yet: no heartbeat is later.
+	// notSent stands for the heartbeat that carried a start which has not been sent yet:
+	// no heartbeat has a higher sequence number.
 	notSent = math.MaxUint64
-	// lateFor is for how long late heartbeats of a life are told from new ones. What
-	// a partition holds up arrives within seconds of its end.
-	lateFor = tackclock.Minute
-	// forgetEvery spaces out the looks for lives that are to be forgotten.
+	// endedLifeKept is how long a life that is over is remembered, so that its late
+	// heartbeats are told from those of a new one. What a partition delays arrives within
+	// seconds of its end.
+	endedLifeKept = tackclock.Minute
+	// forgetEvery is the interval between cleanups of records of past lives.
 	forgetEvery = tackclock.Second
-	// measureEvery spaces out the sums over all workers.
+	// measureEvery is the interval between summations over all workers.
 	measureEvery = 250 * tackclock.Millisecond
-	// endsInReport is how many ends a worker lists at a time. A list of this
-	// length may leave some out.
-	endsInReport = 500
+	// maxEndsInReport is how many ends a worker lists at a time. A list of this length
+	// may be incomplete.
+	maxEndsInReport = 500
 
-	// defaultHold outlasts the loss of a leader: a second until another leads,
-	// one until a worker gives up its call to the former one, and one for a
-	// second try. All that is longer is time for which the work of a worker
-	// that fell silent, and of an earlier leader, waits.
+	// defaultHold outlasts the loss of a leader: a second until another leads, one until
+	// a worker gives up its call to the former leader, and one for a second attempt. A
+	// longer lease only delays the restart of work of silent workers and of earlier
+	// leaders.
 	defaultHold      = 3500 * tackclock.Millisecond
 	defaultUpkeep    = 2 * tackclock.Second
 	defaultMove      = 1500 * tackclock.Millisecond
@@ -57,28 +58,28 @@
 )
 
 type (
-	// Config is what dispatch goes by. Zero durations take the defaults.
+	// Config holds the parameters of a Dispatcher. Zero durations take the defaults.
 	Config struct {
-		// Hold is the lease that a heartbeat's answer gives.
+		// Hold is the duration of the lease that the answer to a heartbeat grants.
 		Hold tackclock.Duration
-		// Retry is when a worker with room is to ask again, RetryBusy when
-		// one without room is.
+		// Retry is the delay until the next heartbeat of a worker with room, and
+		// RetryBusy that of one without room.
 		Retry     tackclock.Duration
 		RetryBusy tackclock.Duration
 		// Upkeep is how long a VM is down for its upkeep.
 		Upkeep tackclock.Duration
-		// Move is how long a VM is on its way to another pool.
+		// Move is how long a VM takes to move to another pool.
 		Move tackclock.Duration
 		// GangWait is how long a worker waits for the other members of a gang.
 		GangWait tackclock.Duration
-		// AdmitPercent is up to which part of its objective a job may take by
+		// AdmitPercent is the part of its objective, in percent, that a job may take by
 		// the cores that its pool has now.
 		AdmitPercent int
-		// CopyAfter is after which silence of a worker items that may run in
-		// copies start elsewhere as well.
+		// CopyAfter is how long a worker must be silent for its speculative items to
+		// start elsewhere as well.
 		CopyAfter tackclock.Duration
-		// Listed says that the platform lists the VMs of workers, so that a new leader
-		// will soon know how many there are.
+		// Listed says that the platform lists the workers' VMs, so a new leader will soon
+		// know how many there are.
 		Listed bool
 	}
 
@@ -86,59 +87,63 @@
 	// It is not safe for concurrent use.
 	Dispatcher struct {
 		cfg Config
-		// quota is what workspaces have running.
+		// quota tracks what workspaces have running.
 		quota     tackquota.Book
-		measureAt tackclock.Time // when the room of all workers is added up again
+		measureAt tackclock.Time // when the room of all workers is next added up
 		term      tackreplica.Term
 		runs      uint64
-		// fresh is the term of jobs that were accepted before Reset and that nobody
-		// can have started; zero if there is none.
-		fresh tackreplica.Term
-		began tackclock.Time // the leadership
-		// sure is when nothing runs any more that an earlier leader started
+		// freshTerm is the term of jobs that were accepted before Reset and that nobody
+		// can have started yet; zero if there is none.
+		freshTerm tackreplica.Term
+		began     tackclock.Time // when the leadership began
+		// earlierLeasesEnd is when nothing runs any more that an earlier leader started
 		// and no worker has listed.
-		sure tackclock.Time
+		earlierLeasesEnd tackclock.Time
 
-		// table holds all jobs that the log knows, open and closed.
-		table   *tackjob.Table
-		workers map[WorkerID]*worker
-		lives   map[tackid.VM]*worker
-		names   map[string]*worker // by WorkerID.Name
-		over    map[WorkerID]tackclock.Time
-		// lapsed are workers whose lease ran out and whose life may go on.
-		lapsed  map[WorkerID]lapse
-		claims  map[WorkerID]claim
-		pools   map[tackid.Service]*pool
-		jobs    map[tackjob.ID]*openJob
-		running map[tackjob.Item]*run
-		// proposals are the jobs that are being handed to the log, proposed their work.
+		// table holds all jobs in the log, open and closed.
+		table         *tackjob.Table
+		workers       map[WorkerID]*worker
+		workersByVM   map[tackid.VM]*worker
+		workersByName map[string]*worker // by WorkerID.Name
+		endedLives    map[WorkerID]tackclock.Time
+		// lapsed holds the lives whose lease ran out and which may still go on.
+		lapsed       map[WorkerID]lapse
+		pendingLives map[WorkerID]pendingLife
+		pools        map[tackid.Service]*pool
+		jobs         map[tackjob.ID]*openJob
+		running      map[tackjob.Item]*run
+		// proposals are the jobs whose acceptance is being written to the log, and
+		// proposed is their total work.
 		proposals map[tackjob.ID]proposal
-		proposed  owedWork
-		// owed is the work of jobs, unbegun how many of each queue have not begun.
-		owed    owedWork
-		unbegun map[tackcatalog.QueueKey]int
-		// checks says when a worker may have fallen silent.
-		checks checks
-		// fellSilent is how many workers are silent.
-		fellSilent int
-		forgetAt   tackclock.Time
-		// looked counts the workers and jobs that decisions have passed.
-		looked uint64
-		// timed are jobs with occurrences that are not due yet.
-		timed   map[tackjob.ID]*openJob
-		cordon  map[tackid.VM]bool
-		upkeeps map[tackid.VM]*upkeepState
+		proposed  outstandingWork
+		// outstanding is the work of open jobs, and unstarted the number of jobs of each
+		// queue that have not started.
+		outstanding outstandingWork
+		unstarted   map[tackcatalog.QueueKey]int
+		// silenceChecks schedules the checks whether workers have fallen silent.
+		silenceChecks silenceChecks
+		// silentWorkers is the number of workers that are silent.
+		silentWorkers int
+		expireAt      tackclock.Time
+		// examined counts the workers and jobs that decisions have iterated over.
+		examined uint64
+		// scheduled are jobs with occurrences that are not due yet.
+		scheduled map[tackjob.ID]*openJob
+		cordon    map[tackid.VM]bool
+		upkeeps   map[tackid.VM]*upkeepState
 
-		// standby are VMs that send no heartbeats, moves those on their way. listed is the
-		// room of the former by the pool in which the platform has them.
+		// standby are VMs that send no heartbeats, and moves those on their way to
+		// another pool. listed is the room of the standby VMs by the pool in which the
+		// platform lists them.
 		standby map[tackid.VM]Machine
 		listed  map[tackid.Service]tackroom.Room
-		// unlisted says that the list has not been read since Reset.
+		// unlisted says that the platform's list has not been read since Reset.
 		unlisted bool
 		moves    map[tackid.VM]*moving
 
-		// findings wait for the log. orderedBefore tells whether a new life on a VM may
-		// follow from an earlier leader's order; nil if none can.
+		// findings have yet to be written to the log. orderedBefore reports whether an
+		// earlier leader's order may have ended the last life on a VM; it is nil if none
+		// can have.
 		findings      tackjob.Findings
 		orderedBefore func(tackclock.Time, tackid.VM) bool
 		silences      tacksilence.Watch
@@ -147,15 +152,15 @@
 		eventsLeft int
 	}
 
-	// Inherited is what a leader finds in its log.
+	// Inherited is the state that a new leader finds in its log.
 	Inherited struct {
-		// Jobs may be nil: nobody leads then.
+		// Jobs is nil if this replica does not lead.
 		Jobs       *tackjob.Table
 		Workspaces []tackworkspace.Workspace
 		Grants     tackquota.Grants
 	}
 
-	// lapse is when a worker's lease ran out, its VM, and its last heartbeat.
+	// lapse records when a worker's lease ran out, its VM, and its last heartbeat.
 	lapse struct {
 		at       tackclock.Time
 		vm       tackid.VM
@@ -169,32 +174,32 @@
 		worker *worker
 		step   *openStep
 		takes  tackroom.Room
-		// earlier says that another leader started it.
-		earlier    bool
-		started    tackclock.Time
-		sentIn     uint64 // the heartbeat that was answered with the start
-		listed     bool
-		listedAt   tackclock.Time // when it was first listed, at percent from
-		from       int
-		percent    int
-		movedAt    tackclock.Time // when percent last changed
-		checkpoint string
-		tail       int
-		pace       int
-		stopping   bool
-		// copied says why the item waits, or runs, elsewhere as well; empty if it
-		// does not.
-		copied string
-		// trial is for how long the worker must list the run before anything else may
-		// start there; suspected says that the log holds crashes under its item.
+		// byEarlierLeader says that another leader started the run.
+		byEarlierLeader bool
+		started         tackclock.Time
+		sentIn          uint64 // sequence number of the heartbeat whose answer carried the start
+		listed          bool
+		listedAt        tackclock.Time // when it was first listed, at startPercent
+		startPercent    int
+		percent         int
+		progressAt      tackclock.Time // when percent last changed
+		checkpoint      string
+		tailLatency     int
+		pace            int
+		stopping        bool
+		// copyReason says why the item waits, or runs, elsewhere as well; it is empty if
+		// it does not.
+		copyReason string
+		// trial is how long the worker must list the run before anything else may start
+		// there. suspected says that the log holds crashes under the run's item.
 		trial     tackclock.Duration
 		suspected bool
-		// doubted says that the log is to hold a doubt about the run, or holds it.
+		// doubted says that a doubt about the run is in the log, or on its way there.
 		doubted bool
 	}
 )
 
-// New returns a dispatcher that leads nothing yet.
+// New returns a dispatcher that does not lead yet.
 func New(cfg Config) *Dispatcher {
 	d := &Dispatcher{cfg: cfg.WithDefaults()}
 	d.Reset(0, 0, Inherited{})
@@ -214,40 +219,40 @@
 	return c
 }
 
-// leaseEnd is when a lease has surely run out on a worker whose heartbeat was
-// received at now.
+// leaseEnd returns when a lease is certain to have run out on a worker whose heartbeat
+// was received at now.
 func (d *Dispatcher) leaseEnd(now tackclock.Time) tackclock.Time {
 	return now.Add(d.cfg.Hold + d.cfg.Hold/driftDivisor + leaseSlack)
 }
 
-// Reset begins a leadership at now with what the log holds. What
-// earlier leaders started may run until their last answers' leases are over,
-// so until then only items of jobs start that nobody can have started: those
-// accepted in this term. A reset within a term has started some of those.
+// Reset begins a leadership at now with the contents of the log. Runs of earlier leaders
+// may go on until the last leases that those granted have ended. Until then only items of
+// jobs accepted in this term start, since nobody else can have started them. After a
+// Reset within a term some of those may have been started as well.
 func (d *Dispatcher) Reset(now tackclock.Time, term tackreplica.Term, log Inherited) {
-	// A worker counts its lease from when it sent the heartbeat, which was
-	// before the earlier leader's own lease ended.
-	d.began, d.sure, d.measureAt, d.forgetAt = now, d.leaseEnd(now), now, now
+	// A worker counts its lease from when it sent the heartbeat, which was before the
+	// earlier leader's own lease ended.
+	d.began, d.earlierLeasesEnd, d.measureAt, d.expireAt = now, d.leaseEnd(now), now, now
 	if term != d.term {
-		d.term, d.runs, d.fresh = term, 0, term
-		d.quota.Begin(d.sure, log.Workspaces, log.Grants)
+		d.term, d.runs, d.freshTerm = term, 0, term
+		d.quota.Begin(d.earlierLeasesEnd, log.Workspaces, log.Grants)
 	} else {
-		d.fresh = 0
-		d.quota.BeginAgain(d.sure, log.Workspaces, log.Grants)
+		d.freshTerm = 0
+		d.quota.BeginAgain(d.earlierLeasesEnd, log.Workspaces, log.Grants)
 	}
 	d.table = log.Jobs
 	d.workers = make(map[WorkerID]*worker)
-	d.lives = make(map[tackid.VM]*worker)
-	d.names = make(map[string]*worker)
-	d.over = make(map[WorkerID]tackclock.Time)
+	d.workersByVM = make(map[tackid.VM]*worker)
+	d.workersByName = make(map[string]*worker)
+	d.endedLives = make(map[WorkerID]tackclock.Time)
 	d.lapsed = make(map[WorkerID]lapse)
-	d.claims = make(map[WorkerID]claim)
+	d.pendingLives = make(map[WorkerID]pendingLife)
 	d.pools = make(map[tackid.Service]*pool)
 	d.jobs = make(map[tackjob.ID]*openJob)
 	d.running = make(map[tackjob.Item]*run)
-	d.owed, d.unbegun, d.checks, d.fellSilent = owedWork{}, make(map[tackcatalog.QueueKey]int), nil, 0
-	d.proposals, d.proposed = make(map[tackjob.ID]proposal), owedWork{}
-	d.timed = make(map[tackjob.ID]*openJob)
+	d.outstanding, d.unstarted, d.silenceChecks, d.silentWorkers = outstandingWork{}, make(map[tackcatalog.QueueKey]int), nil, 0
+	d.proposals, d.proposed = make(map[tackjob.ID]proposal), outstandingWork{}
+	d.scheduled = make(map[tackjob.ID]*openJob)
 	d.cordon = make(map[tackid.VM]bool)
 	d.upkeeps = make(map[tackid.VM]*upkeepState)
 	d.standby, d.listed = make(map[tackid.VM]Machine), make(map[tackid.Service]tackroom.Room)
@@ -259,42 +264,44 @@
 		return
 	}
 	log.Jobs.Each(func(j *tackjob.Job) {
-		d.accept(now, j, j.Term == d.fresh)
-		d.recall(now, j)
+		d.accept(now, j, j.Term == d.freshTerm)
+		d.restoreDoubts(now, j)
 	})
 }
 
-// Knows reports whether the worker has sent heartbeats that were taken in.
+// Knows reports whether a heartbeat of the worker has been accepted.
 func (d *Dispatcher) Knows(id WorkerID) bool {
 	return d.workers[id] != nil
 }
 
-// Workers is how many workers report.
+// Workers returns the number of workers that report.
 func (d *Dispatcher) Workers() int {
 	return len(d.workers)
 }
 
-// Grants returns what the log is to let workspaces have running, since the last call.
+// Grants returns the grants of running capacity to workspaces that are to be written to
+// the log, since the last call.
 func (d *Dispatcher) Grants(now tackclock.Time) []tackquota.Grant {
 	return d.quota.Wanted(now)
 }
 
-// Granted takes in that the log holds grants.
+// Granted records that the log holds grants.
 func (d *Dispatcher) Granted(list []tackquota.Grant) {
 	d.quota.Granted(list)
 }
 
-// Looked counts the steps, workers and jobs that decisions have passed since the start. It
-// shows what a heartbeat or a request costs, whatever the machine.
+// Looked returns the number of steps, workers and jobs that decisions have iterated over
+// since the start. It measures the cost of a heartbeat or a request independently of the
+// machine.
 func (d *Dispatcher) Looked() uint64 {
-	looked := d.looked
+	looked := d.examined
 	for _, p := range d.pools {
 		looked += p.steps.Looked
 	}
 	return looked
 }
 
-// Owes reports whether a job is owed by the service.
+// Owes reports whether the service has an open job.
 func (d *Dispatcher) Owes(service tackid.Service) bool {
 	for _, o := range d.jobs {
 		if o.Service == service {
@@ -304,9 +311,10 @@
 	return false
 }
 
-// Sure reports whether nothing can run that no worker has listed.
+// Sure reports whether all leases of earlier leaders have ended, so that nothing can run
+// that no worker has listed.
 func (d *Dispatcher) Sure(now tackclock.Time) bool {
-	return now >= d.sure
+	return now >= d.earlierLeasesEnd
 }
 
 func (d *Dispatcher) nextRun() RunNumber {
@@ -314,32 +322,33 @@
 	return RunNumber(uint64(d.term)<<runBits + d.runs)
 }
 
-// Tick moves time on: leases that ran out, occurrences that are due.
+// Tick handles what is due by time: leases that ran out, silent workers, and occurrences
+// of repeated jobs.
 func (d *Dispatcher) Tick(now tackclock.Time) {
-	silent := d.unheard(now)
-	// If most workers are silent, this VM was held up, or its network. Doubts about
-	// thousands of runs would follow, and as many dismissals.
-	most := 2*d.fellSilent > len(d.workers)
+	silent := d.overdueWorkers(now)
+	// If most workers are silent, the likely cause is this VM or its network. Recording
+	// doubts would write thousands of them to the log, and as many dismissals later.
+	most := 2*d.silentWorkers > len(d.workers)
 	for _, w := range silent {
 		if now >= w.leaseUntil {
-			d.doubt(now, w)
+			d.doubtRuns(now, w)
 			d.lapse(now, w)
 			continue
 		}
-		d.recount(now, w)
-		d.copySilent(now, w)
+		d.updateTotals(now, w)
+		d.copyIfSilent(now, w)
 		if !most && now.Sub(w.heardAt) >= doubtAfter {
-			d.doubt(now, w)
+			d.doubtRuns(now, w)
 		}
 	}
-	for _, j := range d.timed {
+	for _, j := range d.scheduled {
 		d.openDue(now, j)
 	}
-	d.forget(now)
+	d.expireLives(now)
 	d.measure(now)
 }
 
-// measure takes in the room of all workers together.
+// measure updates the total room of all workers.
 func (d *Dispatcher) measure(now tackclock.Time) {
 	if now < d.measureAt {
 		return
@@ -347,20 +356,20 @@
 	d.measureAt = now.Add(measureEvery)
 	var all tackroom.Room
 	for _, p := range d.pools {
-		all = all.Plus(p.sums.capacity)
+		all = all.Plus(p.totals.capacity)
 	}
 	d.quota.SetRoom(all)
 }
 
-// free takes a run off its worker.
-func (d *Dispatcher) free(now tackclock.Time, r *run) {
+// removeRun removes a run from its worker.
+func (d *Dispatcher) removeRun(now tackclock.Time, r *run) {
 	w := r.worker
-	r.step.job.account.End(r.step.Room, r.earlier)
+	r.step.job.account.End(r.step.Room, r.byEarlierLeader)
 	delete(w.runs, r.item)
-	w.idleFrom = now
+	w.idleSince = now
 	w.used = w.used.Minus(r.takes)
 	if r.step.LongRunning {
-		w.lasting = w.lasting.Minus(r.takes)
+		w.longRunningRoom = w.longRunningRoom.Minus(r.takes)
 	}
 	w.steps[r.step.key()]--
 	if w.steps[r.step.key()] <= 0 {
@@ -370,20 +379,20 @@
 		delete(d.running, r.item)
 		r.step.running--
 	}
-	if r.copied != "" {
+	if r.copyReason != "" {
 		r.step.copies = slices.DeleteFunc(r.step.copies, func(o *run) bool { return o == r })
 	}
-	d.recount(now, w)
+	d.updateTotals(now, w)
 }
 
-// requeue makes the item of a run that is over wait again.
+// requeue queues the item of a run that is over again.
 func (d *Dispatcher) requeue(now tackclock.Time, r *run) {
 	s := r.step
-	if r.copied != "" || s.job.closed || s.job.Done(r.item) {
+	if r.copyReason != "" || s.job.closed || s.job.Done(r.item) {
 		return
 	}
-	s.wait(now, r.item.Index, r.checkpoint)
-	d.open(now, d.pool(s.job.Service), s)
+	s.addWaiting(now, r.item.Index, r.checkpoint)
+	d.enqueue(now, d.pool(s.job.Service), s)
 }
 
 func (d *Dispatcher) pool(name tackid.Service) *pool {
--- a/core/tackdispatch/event.go
+++ b/core/tackdispatch/event.go
@@ -9,28 +9,29 @@
 const (
 	// EventJoined is the first heartbeat of a worker's life.
 	EventJoined EventKind = iota
-	// EventLost is the end of one.
+	// EventLost is the end of a worker's life, or of its lease.
 	EventLost
-	// EventDraining says that a worker takes nothing new.
+	// EventDraining says that a worker drains and accepts nothing new.
 	EventDraining
 	// EventStarted is an order to start.
 	EventStarted
 	// EventStopped is the decision to stop a run.
 	EventStopped
-	// EventEnded is an end that a worker listed.
+	// EventEnded is the end of a run, as listed by its worker.
 	EventEnded
-	// EventAdopted is a run of an earlier leader that was taken over.
+	// EventAdopted is the takeover of a run that an earlier leader started.
 	EventAdopted
-	// EventStrange is a run that is stopped because it is owed no more, or
-	// runs elsewhere.
+	// EventStrange is the order to stop a run whose item is no longer needed, or runs
+	// elsewhere.
 	EventStrange
-	// EventNotStarted is an order that did not arrive.
+	// EventNotStarted is an order to start that did not arrive.
 	EventNotStarted
 	// EventUpkeep is the decision to take a VM down.
 	EventUpkeep
 	// EventMove is the decision to send a VM to another pool.
 	EventMove
-	// EventSuspected says that a worker gets nothing new for a while.
+	// EventSuspected says that a worker is suspected to be faulty and gets nothing new
+	// for a while.
 	EventSuspected
 	// EventEmptied says that a worker gets nothing new, so that its VM can move.
 	EventEmptied
@@ -38,33 +39,33 @@
 	EventCopied
 	// EventRunLost is a run that ended with its worker.
 	EventRunLost
-	// EventItemDoubted says that a worker fell silent before it listed an item.
+	// EventItemDoubted says that a worker fell silent, and may have crashed under an
+	// item.
 	EventItemDoubted
 	// EventItemSuspected says that a worker crashed under an item.
 	EventItemSuspected
-	// EventItemGivenUp says that an item is not started any more, and its job failed.
+	// EventItemGivenUp says that an item is not started any more and its job has failed.
 	EventItemGivenUp
-	// EventItemForgiven says that a suspected item has run for long enough.
+	// EventItemForgiven says that a suspected item has run for long enough to be cleared.
 	EventItemForgiven
-	// EventHeld says that items wait, since their workspace has all running that it
-	// may.
+	// EventHeld says that items wait because their workspace has reached its cap.
 	EventHeld
 )
 
 const (
-	// maxEvents bounds what is kept between two looks at the events.
+	// maxEvents is the number of events that are kept between two calls of Events.
 	maxEvents = 4096
-	// heldEvery spaces out what is noted of items of one step that their workspace's cap
-	// holds back.
+	// heldEvery is the least interval between two events about items of one step that
+	// their workspace's cap holds back.
 	heldEvery = tackclock.Second
 )
 
 type (
-	// EventKind says what was decided or learnt.
+	// EventKind is the kind of an event.
 	EventKind uint8
 
-	// Event is one decision, or one change of what dispatch believes, with
-	// what decided it. Age is how old the input is that decided it.
+	// Event is a decision, or a change in what the dispatcher knows, with its reason. Age
+	// is the age of the input that led to it.
 	Event struct {
 		Kind   EventKind
 		At     tackclock.Time
@@ -74,8 +75,8 @@
 		Run    RunNumber
 		Reason string
 		Age    tackclock.Duration
-		// Ran is for how long a lost run had been listed by its worker, zero if it
-		// never was, and Beside how many others were lost with it.
+		// Ran is how long the worker had listed a lost run, zero if it never did, and
+		// Beside how many other runs were lost with it.
 		Ran    tackclock.Duration
 		Beside int
 	}
@@ -87,13 +88,13 @@
 	"run lost", "item in doubt", "item suspected", "item given up", "item forgiven", "items held",
 }
 
-// String names the event in logs.
+// String returns the event's log message.
 func (k EventKind) String() string {
 	return eventNames[k]
 }
 
-// Events returns what happened since the last call, and how many events were
-// left out because nobody took them.
+// Events returns the events since the last call, and how many were dropped because the
+// buffer was full.
 func (d *Dispatcher) Events() (events []Event, left int) {
 	events, left = d.events, d.eventsLeft
 	d.events, d.eventsLeft = nil, 0
@@ -115,21 +116,21 @@
 	})
 }
 
-// noteHeld notes that the items of a step wait for what their workspace has running.
+// noteHeld records that the items of a step wait because of their workspace's cap.
 func (d *Dispatcher) noteHeld(now tackclock.Time, s *openStep) {
-	if now < s.heldAgain {
+	if now < s.heldNoteAt {
 		return
 	}
-	s.heldAgain = now.Add(heldEvery)
+	s.heldNoteAt = now.Add(heldEvery)
 	d.note(Event{
 		Kind: EventHeld, At: now, Item: s.item(s.waiting[len(s.waiting)-1].index), Age: now.Sub(s.waiting[len(s.waiting)-1].since),
 		Reason: s.job.account.String(),
 	})
 }
 
-// noteLost notes a run that its worker took with it. Without the line a run that was
-// lost is told from one that was never ordered only by its number, and which others
-// were lost with it cannot be told at all.
+// noteLost records a run that was lost with its worker. Without this event a lost run
+// could be told from one that was never ordered only by its number, and it could not be
+// seen which others were lost with it.
 func (d *Dispatcher) noteLost(now tackclock.Time, r *run, reason string) {
 	w := r.worker
 	e := Event{
--- a/core/tackdispatch/foreign.go
+++ b/core/tackdispatch/foreign.go
@@ -6,11 +6,11 @@
 	"auburntack/core/tackclock"
 )
 
-// sequenceSlack is how many heartbeats a worker may have sent at once beside one a
-// millisecond. Each waits for the answer to the one before.
+// sequenceSlack is how many more heartbeats than one per millisecond a worker may have
+// sent. Each waits for the answer to the one before.
 const sequenceSlack = 1000
 
-// ForeignError reports a heartbeat that the worker which it names cannot have sent.
+// ForeignError reports a heartbeat that cannot come from the worker that it names.
 type ForeignError struct {
 	Worker  WorkerID
 	Problem string
@@ -21,13 +21,14 @@
 	return fmt.Sprintf("worker %s: %s", e.Worker, e.Problem)
 }
 
-// check returns a *ForeignError if the report cannot be of the worker that it names.
-// A life keeps its service and its VM. Were a report with others, or with a sequence
-// number far ahead, believed, the worker's own heartbeats would count as late.
-func (d *Dispatcher) check(now tackclock.Time, r *Report) error {
+// checkReport returns a *ForeignError if the report cannot come from the worker that it
+// names. The service and the VM of a life do not change. If a report with others, or with
+// a sequence number far ahead, were accepted, the worker's own heartbeats would be
+// rejected as late.
+func (d *Dispatcher) checkReport(now tackclock.Time, r *Report) error {
 	w := d.workers[r.Worker]
 	if w == nil {
-		return d.checkBorn(r.Worker)
+		return d.checkStartTime(r.Worker)
 	}
 	switch {
 	case w.service != r.Service:
@@ -40,11 +41,11 @@
 	return nil
 }
 
-// checkBorn returns a *ForeignError if the id does not say when its life began and the
-// worker of that name does, in all that it sends.
-func (d *Dispatcher) checkBorn(id WorkerID) error {
-	if w := d.names[id.Name()]; w != nil && id.Born() == 0 && w.id.Born() != 0 {
-		return &ForeignError{Worker: id, Problem: "does not say when it began"}
+// checkStartTime returns a *ForeignError if the id lacks the start time of the life while
+// the known worker of that name always sends one.
+func (d *Dispatcher) checkStartTime(id WorkerID) error {
+	if w := d.workersByName[id.Name()]; w != nil && id.Born() == 0 && w.id.Born() != 0 {
+		return &ForeignError{Worker: id, Problem: "id lacks the start time of the process"}
 	}
 	return nil
 }
--- a/core/tackdispatch/free.go
+++ b/core/tackdispatch/free.go
@@ -7,46 +7,46 @@
 )
 
 type (
-	// freeIndex has workers by the cores that they have free, so that those without
-	// room need not be looked at. Its zero value is empty.
+	// freeIndex indexes workers by their free cores, so that those without room need not
+	// be examined. Its zero value is empty.
 	freeIndex struct {
 		bySize [tackqueue.Sizes][]*worker
 	}
 
-	// freePlace is where a worker stands in the index.
-	freePlace struct {
+	// freePosition is the position of a worker in the index.
+	freePosition struct {
 		indexed bool
 		size    int
 		at      int
 	}
 )
 
-// put has the worker where it belongs now.
-func (x *freeIndex) put(w *worker) {
+// update moves the worker to the list for its present free cores.
+func (x *freeIndex) update(w *worker) {
 	size := tackqueue.Size(max(w.room().MilliCores, 0))
-	if w.free.indexed && w.free.size == size {
+	if w.freePosition.indexed && w.freePosition.size == size {
 		return
 	}
 	x.remove(w)
-	w.free = freePlace{indexed: true, size: size, at: len(x.bySize[size])}
+	w.freePosition = freePosition{indexed: true, size: size, at: len(x.bySize[size])}
 	x.bySize[size] = append(x.bySize[size], w)
 }
 
-// remove takes the worker out. The last one of its size takes its place.
+// remove removes the worker and moves the last one of its size to its position.
 func (x *freeIndex) remove(w *worker) {
-	if !w.free.indexed {
+	if !w.freePosition.indexed {
 		return
 	}
-	list := x.bySize[w.free.size]
+	list := x.bySize[w.freePosition.size]
 	last := list[len(list)-1]
-	list[w.free.at], last.free.at = last, w.free.at
+	list[w.freePosition.at], last.freePosition.at = last, w.freePosition.at
 	list[len(list)-1] = nil
-	x.bySize[w.free.size] = list[:len(list)-1]
-	w.free = freePlace{}
+	x.bySize[w.freePosition.size] = list[:len(list)-1]
+	w.freePosition = freePosition{}
 }
 
-// atLeast returns the workers that may have so many thousandths of a core free, those with
-// less of it first.
+// atLeast returns the workers that may have the given millicores free, those with less
+// room first.
 func (x *freeIndex) atLeast(milliCores int) iter.Seq[*worker] {
 	return func(yield func(*worker) bool) {
 		for _, list := range x.bySize[tackqueue.Size(milliCores):] {
--- a/core/tackdispatch/gang.go
+++ b/core/tackdispatch/gang.go
@@ -11,41 +11,42 @@
 )
 
 const (
-	// rackPatience is how long a gang waits for one rack that holds it whole
-	// before it is spread over several.
+	// rackPatience is how long a gang waits for one rack with room for all of it before
+	// it is spread over several.
 	rackPatience = 800 * tackclock.Millisecond
-	// gangHoldPercent is the part of the time that members wait for each other
-	// for which a worker's room is kept for one. Workers with room send heartbeats
-	// several times a second; a member that comes later would find the others gone.
+	// gangHoldPercent is the part of GangWait for which a worker's room is kept for a
+	// member. Workers with room send heartbeats several times a second; a member that
+	// starts later would find the others gone.
 	gangHoldPercent = 66
-	// gangsEvery spaces out the looks for room of a pool's gangs, and gangTries
-	// bounds for how many of them one look is; the others follow in later ones,
-	// after tryAgain. With a hundred gangs that wait, a heartbeat of 48 workers
-	// took 0.86 ms and one of 349 took 7.8 ms when each looked at every gang; it
-	// takes 0.015 and 0.076 ms (BenchmarkRoundWithGangs).
-	gangsEvery = 25 * tackclock.Millisecond
-	gangTries  = 8
-	tryAgain   = 150 * tackclock.Millisecond
-	// reserveAfter is how long a gang waits before workers are kept free for it.
+	// gangsEvery is the interval between placement attempts for a pool's gangs, and
+	// maxGangTries the number of gangs that one attempt covers; the others follow in
+	// later ones, each after gangRetryDelay. With a hundred gangs waiting, a heartbeat of
+	// 48 workers took 0.86 ms and one of 349 took 7.8 ms when each looked at every gang;
+	// it takes 0.015 and 0.076 ms (BenchmarkRoundWithGangs).
+	gangsEvery     = 25 * tackclock.Millisecond
+	maxGangTries   = 8
+	gangRetryDelay = 150 * tackclock.Millisecond
+	// reserveAfter is how long a gang waits before workers are reserved for it.
 	reserveAfter = 300 * tackclock.Millisecond
-	// reserveFor bounds for how long: items run for one to three seconds.
+	// reserveFor is the longest time for which workers are reserved: items run for one to
+	// three seconds.
 	reserveFor = 4 * tackclock.Second
 )
 
 type (
-	// planned is a start that waits for its worker's next heartbeat, and for the log if
-	// it is a trial.
+	// planned is a start that waits for its worker's next heartbeat and, if it is a
+	// trial, for the log.
 	planned struct {
 		run      *run
 		until    tackclock.Time
 		unlogged bool
 	}
 
-	// reservation is workers that start nothing else until a gang has its room.
+	// reservation holds workers that start nothing else until a gang has its room.
 	//
-	// Load pattern: a busy pool whose workers never have room for more than an
-	// item or two at a time. What becomes free goes to single items at once, so a
-	// gang would wait until the queue is empty.
+	// Load pattern: a busy pool whose workers never have room for more than one or two
+	// items at a time. Without a reservation, room that becomes free goes to single items
+	// at once, and a gang waits until the queue is empty.
 	reservation struct {
 		gang    *openStep
 		workers map[*worker]bool
@@ -53,24 +54,24 @@
 	}
 )
 
-// holds reports whether the worker is to start nothing else.
+// holds reports whether the worker is reserved.
 func (r *reservation) holds(now tackclock.Time, w *worker) bool {
-	return r.taken(now) && r.workers[w]
+	return r.active(now) && r.workers[w]
 }
 
-// taken reports whether workers are kept free for a gang that still waits.
-func (r *reservation) taken(now tackclock.Time) bool {
+// active reports whether workers are reserved for a gang that still waits.
+func (r *reservation) active(now tackclock.Time) bool {
 	return r.gang != nil && now < r.until && len(r.gang.waiting) > 0
 }
 
-// reserve chooses the workers that are kept free for a gang: as few as will hold
-// it once what runs there is through. Only one gang of a pool has its turn.
+// reserve chooses the workers to reserve for a gang: as few as will hold it once their
+// current batch items have ended. A pool has one reservation at a time.
 func (d *Dispatcher) reserve(now tackclock.Time, p *pool, s *openStep) {
 	r := &p.reserved
-	if r.taken(now) || now.Sub(s.waiting[0].since) < reserveAfter {
+	if r.active(now) || now.Sub(s.waiting[0].since) < reserveAfter {
 		return
 	}
-	hosts := d.hostsFor(now, p, s, slices.Values(p.workers), (*worker).forWork)
+	hosts := d.hostsFor(now, p, s, slices.Values(p.workers), (*worker).batchRoom)
 	if hosts == nil {
 		return
 	}
@@ -80,9 +81,9 @@
 	}
 }
 
-// placeGangs finds room for gangs whose turn it is, all members at once. Their
-// starts go out with their workers' next heartbeats. The gang for which workers
-// are kept free comes first.
+// placeGangs places the gangs that are due, all members of one at once. Their starts are
+// sent in the answers to their workers' next heartbeats. The gang that has a reservation
+// comes first.
 func (d *Dispatcher) placeGangs(now tackclock.Time, p *pool) {
 	if now < p.gangsAt {
 		return
@@ -92,14 +93,14 @@
 		d.tryGang(now, p, s)
 	}
 	tries := 0
-	for s := range p.steps.Fitting(math.MaxInt, func(shelf int) bool { return shelf&shelfGang != 0 }) {
-		if tries == gangTries {
+	for s := range p.steps.Fitting(math.MaxInt, func(shelf int) bool { return shelf&partitionGang != 0 }) {
+		if tries == maxGangTries {
 			return
 		}
-		if s == p.reserved.gang || now < s.tryAt || !d.gangWaits(now, s) {
+		if s == p.reserved.gang || now < s.retryAt || !d.gangWaits(now, s) {
 			continue
 		}
-		s.tryAt = now.Add(tryAgain)
+		s.retryAt = now.Add(gangRetryDelay)
 		tries++
 		d.tryGang(now, p, s)
 	}
@@ -112,21 +113,22 @@
 	return !slices.ContainsFunc(s.waiting, func(i waitingItem) bool { return !s.startable(now, i.index) })
 }
 
-// mustBeAlone reports whether a gang may start only on workers that run nothing else.
-func (d *Dispatcher) mustBeAlone(now tackclock.Time, s *openStep) bool {
+// needsIdleWorkers reports whether a gang may start only on workers that run nothing
+// else.
+func (d *Dispatcher) needsIdleWorkers(now tackclock.Time, s *openStep) bool {
 	return slices.ContainsFunc(s.waiting, func(i waitingItem) bool { return s.restraints[i.index].alone }) &&
-		now.Sub(max(s.waiting[0].since, d.sure)) <= trialPatience
+		now.Sub(max(s.waiting[0].since, d.earlierLeasesEnd)) <= trialPatience
 }
 
-// tryGang starts the gang if there is room for all of it, and has workers kept
-// free for it otherwise.
+// tryGang starts the gang if there is room for all of it, and reserves workers for it
+// otherwise.
 func (d *Dispatcher) tryGang(now tackclock.Time, p *pool, s *openStep) {
 	if !d.withinCap(now, s, len(s.waiting)) {
 		return
 	}
 	room := (*worker).room
-	if d.mustBeAlone(now, s) {
-		room = (*worker).roomAlone
+	if d.needsIdleWorkers(now, s) {
+		room = (*worker).roomIfIdle
 	}
 	if hosts := d.hostsFor(now, p, s, p.free.atLeast(s.Takes().MilliCores), room); hosts != nil {
 		d.planGang(now, s, hosts)
@@ -136,8 +138,7 @@
 }
 
 // hostsFor returns one of the given workers for each waiting item of the gang, or nil if
-// the room that they have by the given measure does not do. Workers of one rack are taken
-// first.
+// their room by the given measure is not enough. It prefers workers of one rack.
 func (d *Dispatcher) hostsFor(
 	now tackclock.Time, p *pool, s *openStep, workers iter.Seq[*worker], room func(*worker) tackroom.Room,
 ) []*worker {
@@ -145,8 +146,8 @@
 	var all []*worker
 	stranded := d.stranded(now, p, s)
 	for w := range workers {
-		d.looked++
-		if !d.hosts(now, w, s, stranded) || !s.ticketed(now, w) {
+		d.examined++
+		if !d.mayHost(now, w, s, stranded) || !s.hasTicket(now, w) {
 			continue
 		}
 		all = append(all, w)
@@ -163,15 +164,15 @@
 	return fillHosts(s, all, room)
 }
 
-// hosts reports whether members of a gang may start on the worker. Those of a
-// stranded gang also may on one that is being emptied.
-func (d *Dispatcher) hosts(now tackclock.Time, w *worker, s *openStep, stranded bool) bool {
-	return w.takesNew(now) && !w.silent(now) && (stranded || !d.cordon[w.vm]) && w.has(s.Requires)
+// mayHost reports whether members of a gang may start on the worker. Those of a stranded
+// gang may also start on a worker that is being emptied.
+func (d *Dispatcher) mayHost(now tackclock.Time, w *worker, s *openStep, stranded bool) bool {
+	return w.acceptsItems(now) && !w.silent(now) && (stranded || !d.cordon[w.vm]) && w.hasLabel(s.Requires)
 }
 
-// roomAlone is the worker's room if it runs nothing.
-func (w *worker) roomAlone() tackroom.Room {
-	if !w.runsNothing() {
+// roomIfIdle returns the worker's room if it runs nothing, and negative room otherwise.
+func (w *worker) roomIfIdle() tackroom.Room {
+	if !w.idle() {
 		return tackroom.Room{MilliCores: -1, MemoryMB: -1, GPUs: -1}
 	}
 	return w.room()
@@ -194,8 +195,8 @@
 	return names
 }
 
-// fillHosts puts the waiting items on workers in turn, and returns nil if not
-// all of them fit.
+// fillHosts assigns the waiting items to workers, filling one after the other, and
+// returns nil if not all of them fit.
 func fillHosts(s *openStep, workers []*worker, roomOf func(*worker) tackroom.Room) []*worker {
 	var hosts []*worker
 	takes := s.Takes()
@@ -214,26 +215,26 @@
 	return hosts
 }
 
-// planGang keeps the room. All members of a gang carry one run number and one
-// checkpoint.
+// planGang reserves the room and plans the starts. All members of a gang share one run
+// number and one checkpoint.
 func (d *Dispatcher) planGang(now tackclock.Time, s *openStep, hosts []*worker) {
 	number := d.nextRun()
 	checkpoint := s.waiting[0].checkpoint
 	for i, item := range s.waiting {
 		r := &run{
 			item: s.item(item.index), number: number, worker: hosts[i], step: s, takes: s.Takes(),
-			started: now, movedAt: now, sentIn: notSent, checkpoint: checkpoint, pace: fullPace,
+			started: now, progressAt: now, sentIn: notSent, checkpoint: checkpoint, pace: fullPace,
 		}
-		d.place(now, r)
-		unlogged := d.try(now, r)
+		d.addRun(now, r)
+		unlogged := d.putOnTrial(now, r)
 		hosts[i].planned = append(hosts[i].planned, planned{run: r, until: now.Add(d.cfg.GangWait * gangHoldPercent / 100), unlogged: unlogged})
 	}
 	s.waiting = s.waiting[:0]
 	clear(s.restraints)
 }
 
-// sendPlanned puts the starts that wait for this worker into its answer. A
-// start that has waited too long is given up.
+// sendPlanned adds the starts planned for this worker to its answer. A start that has
+// waited too long is given up.
 func (d *Dispatcher) sendPlanned(now tackclock.Time, w *worker, sequence uint64, o *Orders) {
 	waiting := w.planned
 	w.planned = nil
@@ -242,28 +243,29 @@
 		if w.runs[r.item] != r {
 			continue
 		}
-		// A worker's room may have shrunk since the start was planned, and one that does
-		// not guard its room would run what does not fit. So may a workspace's cap.
+		// A worker's room may have shrunk since the start was planned, and a worker that
+		// does not enforce its limits would run what does not fit. A workspace's cap may
+		// have shrunk as well.
 		if now > p.until || r.stopping || !w.room().Fits(tackroom.Room{}) || !r.step.job.account.Keeps(now, r.step.Room) {
-			d.free(now, r)
+			d.removeRun(now, r)
 			d.requeue(now, r)
-			d.undoubt(r)
+			d.withdrawDoubt(r)
 			continue
 		}
 		if p.unlogged {
 			w.planned = append(w.planned, p)
 			continue
 		}
-		r.sentIn, r.started, r.movedAt = sequence, now, now
-		d.noteRun(now, EventStarted, r, r.plannedFor())
+		r.sentIn, r.started, r.progressAt = sequence, now, now
+		d.noteRun(now, EventStarted, r, r.planReason())
 		o.Start = append(o.Start, Start{
 			Item: r.item, Run: r.number, Text: r.step.job.Text, Checkpoint: r.checkpoint, Ticket: r.step.ticket(w),
 		})
 	}
 }
 
-// plannedFor is why a start was planned, for the log.
-func (r *run) plannedFor() string {
+// planReason returns the reason for which a start was planned, for its event.
+func (r *run) planReason() string {
 	if r.trial > 0 {
 		return "on trial"
 	}
--- a/core/tackdispatch/life.go
+++ b/core/tackdispatch/life.go
@@ -8,95 +8,99 @@
 )
 
 const (
-	// bornMark parts a worker's name from the start of its life.
-	bornMark = "@"
-	// freshSequence is the sequence number up to which a report is surely one of the
-	// first of its life.
-	freshSequence = 3
-	// insistFor is for how long a life must go on to report before it is believed against
-	// its own word that it began earlier than the one that is known. What a partition
-	// held up arrives within a moment.
-	insistFor = tackclock.Second
+	// startSeparator separates a worker's name from the start time of its life.
+	startSeparator = "@"
+	// maxFirstSequence is the highest sequence number by which a report is certain to be
+	// one of the first of its life.
+	maxFirstSequence = 3
+	// confirmAfter is how long a life must go on reporting before it replaces the known
+	// one although it says that it began earlier. What a partition delays arrives within
+	// a moment of its end.
+	confirmAfter = tackclock.Second
 )
 
 type (
-	// WorkerID names one life of a worker: the worker's name, and when the life began
-	// where the worker says so. A worker may start again under the name that it had. It
-	// runs nothing then and counts anew, so it is another worker in all but its name.
+	// WorkerID identifies one life of a worker, that is, one run of its process: by the
+	// worker's name and, if the worker reports it, when the life began. A worker may
+	// restart under the same name. It runs nothing then and numbers its heartbeats anew,
+	// so it counts as another worker.
 	WorkerID string
 
-	// claim is a life that is not believed yet, by its first report.
-	claim struct {
+	// pendingLife is a life that is not accepted yet, by its first report.
+	pendingLife struct {
 		since    tackclock.Time
 		sequence uint64
 	}
 )
 
-// NewWorkerID returns the id of a life. born is by the worker's own clock; zero stands
-// for a worker that does not say. A name that holds the mark has none.
+// NewWorkerID returns the id of a life. born is by the worker's own clock, or zero if the
+// worker does not report it. The result is false if the name contains the separator.
 func NewWorkerID(name string, born tackclock.Time) (WorkerID, bool) {
-	if strings.Contains(name, bornMark) {
+	if strings.Contains(name, startSeparator) {
 		return "", false
 	}
 	if born == 0 {
 		return WorkerID(name), true
 	}
-	return WorkerID(name + bornMark + strconv.FormatInt(int64(born), 10)), true
+	return WorkerID(name + startSeparator + strconv.FormatInt(int64(born), 10)), true
 }
 
-// Name is the worker's name, which its lives share.
+// Name returns the worker's name, which its lives share.
 func (id WorkerID) Name() string {
-	name, _, _ := strings.Cut(string(id), bornMark)
+	name, _, _ := strings.Cut(string(id), startSeparator)
 	return name
 }
 
-// Born is when the life began by the worker's own clock; zero if it does not say.
+// Born returns when the life began by the worker's own clock, or zero if the worker does
+// not report it.
 func (id WorkerID) Born() tackclock.Time {
-	_, text, _ := strings.Cut(string(id), bornMark)
-	born, _ := strconv.ParseInt(text, 10, 64) // empty for a worker that does not say
+	_, text, _ := strings.Cut(string(id), startSeparator)
+	born, _ := strconv.ParseInt(text, 10, 64) // empty if the worker does not report it
 	return tackclock.Time(born)
 }
 
-// rival is the life that is over if the report's life is believed: one on the same VM, or
-// of the same name.
-func (d *Dispatcher) rival(r *Report) *worker {
-	if w := d.names[r.Worker.Name()]; w != nil {
+// conflictingWorker returns the worker that is over if the report's life is accepted: one
+// of the same name or on the same VM.
+func (d *Dispatcher) conflictingWorker(r *Report) *worker {
+	if w := d.workersByName[r.Worker.Name()]; w != nil {
 		return w
 	}
 	if r.VM == "" {
 		return nil
 	}
-	return d.lives[r.VM]
+	return d.workersByVM[r.VM]
 }
 
-// believes reports whether a report of a life that is not known is one of a life that
-// goes on.
+// acceptsLife reports whether a report of an unknown life should be accepted as one of a
+// life that goes on.
 //
-// A heartbeat that a partition held up may arrive after its sender crashed and began
-// another life, at a leader that never heard of the former one. Were it taken for a new
-// life, the one that runs would be taken for over, and its items would start elsewhere
-// beside it. A new life is told by its first numbers; if those are lost it is believed
-// once the other is silent. Of two lives of one name the later start tells as well, but
-// for a worker's clock that was set back in between: such a life must insist.
-func (d *Dispatcher) believes(now tackclock.Time, r *Report) bool {
+// A heartbeat that a partition delayed may arrive after its sender crashed and began
+// another life, at a leader that never knew the former one. If it were accepted as a new
+// life, the one that runs would be declared over, and its items would start elsewhere a
+// second time. A new life is recognised by its first sequence numbers; if those
+// heartbeats are lost, it is accepted once the other life is silent. Of two lives of one
+// name the later start time decides as well, except that a worker's clock may have been
+// set back in between: such a life must keep reporting for a while.
+func (d *Dispatcher) acceptsLife(now tackclock.Time, r *Report) bool {
 	if r.Sequence <= d.lapsed[r.Worker].sequence {
 		return false
 	}
-	other := d.rival(r)
+	other := d.conflictingWorker(r)
 	if other == nil {
-		return !d.lapsedAfter(r.Worker) || d.insists(now, r, nil)
+		return !d.laterLifeLapsed(r.Worker) || d.keepsReporting(now, r, nil)
 	}
 	switch name := other.id.Name(); {
 	case name == r.Worker.Name() && r.Worker.Born() < other.id.Born():
-		return d.insists(now, r, other)
+		return d.keepsReporting(now, r, other)
 	case name == r.Worker.Name() && other.id.Born() == 0:
-		return true // the other was no worker that says when it began
+		return true // the other worker did not report when it began
 	}
-	return r.Sequence <= freshSequence || other.silent(now)
+	return r.Sequence <= maxFirstSequence || other.silent(now)
 }
 
-// lapsedAfter reports whether a later life of the same name fell silent a while ago.
-func (d *Dispatcher) lapsedAfter(id WorkerID) bool {
+// laterLifeLapsed reports whether the lease of a later life of the same name ran out
+// recently.
+func (d *Dispatcher) laterLifeLapsed(id WorkerID) bool {
 	for l := range d.lapsed {
 		if l.Name() == id.Name() && id.Born() < l.Born() {
 			return true
@@ -105,12 +109,13 @@
 	return false
 }
 
-// insists reports whether a life has gone on to report for a while, and the other has not.
-func (d *Dispatcher) insists(now tackclock.Time, r *Report, other *worker) bool {
-	c, known := d.claims[r.Worker]
+// keepsReporting reports whether a life has gone on reporting for a while and the other
+// has not.
+func (d *Dispatcher) keepsReporting(now tackclock.Time, r *Report, other *worker) bool {
+	c, known := d.pendingLives[r.Worker]
 	if !known || other != nil && other.heardAt > c.since {
-		d.claims[r.Worker] = claim{since: now, sequence: r.Sequence}
+		d.pendingLives[r.Worker] = pendingLife{since: now, sequence: r.Sequence}
 		return false
 	}
-	return r.Sequence > c.sequence && now.Sub(c.since) >= insistFor && (other == nil || other.silent(now))
+	return r.Sequence > c.sequence && now.Sub(c.since) >= confirmAfter && (other == nil || other.silent(now))
 }
--- a/core/tackdispatch/message.go
+++ b/core/tackdispatch/message.go
@@ -8,46 +8,46 @@
 )
 
 const (
-	// EndDone is the end of an item that is through.
+	// EndDone is the end of an item that completed.
 	EndDone How = iota
-	// EndFailed counts as an attempt.
+	// EndFailed is a failure, which counts as an attempt.
 	EndFailed
-	// EndStopped follows an order.
+	// EndStopped is the end of a run that was ordered to stop.
 	EndStopped
 	// EndLapsed means that the worker's lease ran out.
 	EndLapsed
 	// EndBroken means that another item of the gang ended.
 	EndBroken
-	// EndAlone means that the others of the gang did not come in time.
+	// EndAlone means that the other members of the gang did not start in time.
 	EndAlone
-	// EndRefused means that the worker did not start it.
+	// EndRefused means that the worker did not start the item.
 	EndRefused
 )
 
 type (
-	// RunNumber counts the starts of an item. It rises across leaders, since
-	// its upper digits are the leader's term.
+	// RunNumber numbers the starts of items. It rises across leaders, since its upper
+	// bits are the leader's term.
 	RunNumber uint64
 
 	// How says how a run ended.
 	How uint8
 
-	// Report is a heartbeat of a worker. Control VMs pass it on to each other in CBOR.
+	// Report is a worker's heartbeat. Control VMs forward it to each other in CBOR.
 	Report struct {
 		Worker WorkerID  `cbor:"1,keyasint,omitempty"`
 		VM     tackid.VM `cbor:"2,keyasint,omitempty"`
-		// Fixed says that the platform gives the worker's VM no name, so that nobody
-		// can order it about. VM is the worker's address then: another life that
-		// reports from there shows that the one before is over.
+		// Fixed says that the platform gives the worker's VM no name, so it can be
+		// neither moved nor taken down. VM is the worker's address then: another life
+		// that reports from there shows that the previous one is over.
 		Fixed    bool              `cbor:"3,keyasint,omitempty"`
 		Service  tackid.Service    `cbor:"4,keyasint,omitempty"`
 		Zone     tackid.DataCentre `cbor:"5,keyasint,omitempty"`
 		Labels   []string          `cbor:"6,keyasint,omitempty"`
 		Capacity tackroom.Room     `cbor:"7,keyasint,omitempty"`
-		// Sequence rises with every heartbeat of one life.
+		// Sequence increases with every heartbeat of one life.
 		Sequence uint64 `cbor:"8,keyasint,omitempty"`
 		Draining bool   `cbor:"9,keyasint,omitempty"`
-		// Remaining is how long a draining worker stays at least.
+		// Remaining is how long a draining worker stays at the least.
 		Remaining tackclock.Duration `cbor:"10,keyasint,omitempty"`
 		Running   []Running          `cbor:"11,keyasint,omitempty"`
 		Ended     []Ended            `cbor:"12,keyasint,omitempty"`
@@ -58,15 +58,15 @@
 		Item       tackjob.Item `cbor:"1,keyasint,omitempty"`
 		Run        RunNumber    `cbor:"2,keyasint,omitempty"`
 		Checkpoint string       `cbor:"3,keyasint,omitempty"`
-		// Percent is how far the run is; of an item that lasts, 100 says that
-		// it is at work.
+		// Percent is the run's progress; for a long-running item, 100 says that it is
+		// serving.
 		Percent int `cbor:"4,keyasint,omitempty"`
-		// Tail is the tail latency in milliseconds of an item that serves;
-		// for others the worker gives the processor in use here.
+		// Tail is the tail latency of a serving item in milliseconds; for other items the
+		// worker reports its processor use here.
 		Tail int `cbor:"5,keyasint,omitempty"`
 	}
 
-	// Ended is a run that is over. Number rises within one life of a worker.
+	// Ended is a run that is over. Number increases within one life of a worker.
 	Ended struct {
 		Number     uint64       `cbor:"1,keyasint,omitempty"`
 		Item       tackjob.Item `cbor:"2,keyasint,omitempty"`
@@ -75,11 +75,11 @@
 		Checkpoint string       `cbor:"5,keyasint,omitempty"`
 	}
 
-	// Orders answer a heartbeat. Without a Hold the worker's lease is not
+	// Orders is the answer to a heartbeat. Without a Hold the worker's lease is not
 	// extended and nothing is started.
 	Orders struct {
 		Hold tackclock.Duration `cbor:"1,keyasint,omitempty"`
-		// Noted is the highest number up to which the worker may forget ends.
+		// Noted is the number up to which the worker may forget ends.
 		Noted uint64  `cbor:"2,keyasint,omitempty"`
 		Fence uint64  `cbor:"3,keyasint,omitempty"`
 		Start []Start `cbor:"4,keyasint,omitempty"`
@@ -95,7 +95,7 @@
 		Run        RunNumber    `cbor:"2,keyasint,omitempty"`
 		Text       string       `cbor:"3,keyasint,omitempty"`
 		Checkpoint string       `cbor:"4,keyasint,omitempty"`
-		// Ticket is the placement advisor's leave, where the queue needs one.
+		// Ticket is the placement advisor's permission, where the queue needs one.
 		Ticket string `cbor:"5,keyasint,omitempty"`
 	}
 
@@ -105,7 +105,7 @@
 		Run  RunNumber    `cbor:"2,keyasint,omitempty"`
 	}
 
-	// Pace lets an item that fills work at a share of its speed, in percent.
+	// Pace limits a backfill item to a part of its full speed, in percent.
 	Pace struct {
 		Item    tackjob.Item `cbor:"1,keyasint,omitempty"`
 		Run     RunNumber    `cbor:"2,keyasint,omitempty"`
@@ -113,19 +113,19 @@
 	}
 )
 
-var howNames = [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone", "refused"}
+var endKindNames = [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone", "refused"}
 
-// String returns the name of the end.
+// String returns the name of the kind of end.
 func (h How) String() string {
-	if int(h) < len(howNames) {
-		return howNames[h]
+	if int(h) < len(endKindNames) {
+		return endKindNames[h]
 	}
 	return "unknown"
 }
 
-// ParseHow returns the end of that name, and false if there is none.
+// ParseHow returns the kind of end with that name, or false if there is none.
 func ParseHow(text string) (How, bool) {
-	for h, name := range howNames {
+	for h, name := range endKindNames {
 		if name == text {
 			return How(h), true
 		}
--- a/core/tackdispatch/open.go
+++ b/core/tackdispatch/open.go
@@ -11,20 +11,21 @@
 )
 
 type (
-	// openJob is a job that is owed.
+	// openJob is a job that is accepted and neither done nor cancelled.
 	openJob struct {
 		*tackjob.Job
 		account *tackquota.Account
 		steps   map[stepKey]*openStep
-		// opened are the occurrences that are due.
+		// opened is the number of occurrences that have become due.
 		opened  int
 		started bool
 		closed  bool
-		// owedTo and owedWork are what owedWork.add has taken in of it.
-		owedTo   owner
-		owedWork int64
-		fresh    bool // nobody before this dispatcher can have started any of it
-		// deadline is when the job should be through to be of full worth.
+		// countedOwner and countedWork are what outstandingWork.add has counted of the
+		// job.
+		countedOwner owner
+		countedWork  int64
+		fresh        bool // no earlier leader can have started any of it
+		// deadline is when the job must be done to have its full value.
 		deadline tackclock.Time
 	}
 
@@ -34,30 +35,32 @@
 		step       int32
 	}
 
-	// openStep is a step whose turn has come.
+	// openStep is a step that waits for no other step any more.
 	openStep struct {
 		*tackjob.Step
-		job     *openJob
-		occ     int32
-		number  int32
-		waiting []waitingItem
-		running int
-		ending  int    // ends that are not in the log yet
-		copies  []*run // runs whose items wait, or run, elsewhere as well
-		pooled  bool
-		advice  advice
-		tryAt   tackclock.Time // when room is looked for again, for a gang
-		// heldAgain is when it is next noted that the workspace's cap holds items back.
-		heldAgain tackclock.Time
-		rank      tackqueue.Rank
-		// shelf is where it stands in its pool's queue.
-		shelf int
-		// restraints are those of the waiting items that may not start like the others.
+		job        *openJob
+		occurrence int32
+		number     int32
+		waiting    []waitingItem
+		running    int
+		ending     int    // number of ends that are not in the log yet
+		copies     []*run // runs whose items wait, or run, elsewhere as well
+		queued     bool
+		advice     advice
+		retryAt    tackclock.Time // when placement is next attempted, for a gang
+		// heldNoteAt is when the next event may say that the workspace's cap holds items
+		// back.
+		heldNoteAt tackclock.Time
+		rank       tackqueue.Rank
+		// partition is the partition of its pool's queue that holds the step.
+		partition int
+		// restraints holds the restraints of waiting items that may not start like the
+		// others.
 		restraints map[int32]restraint
-		// blamed counts the workers that crashed under each item, or may have, as far as
-		// this leader found out.
-		blamed map[int32]int
-		// quickest is the item that was done in the shortest time.
+		// crashCounts counts the workers that crashed under each item, or may have, as
+		// far as this leader knows.
+		crashCounts map[int32]int
+		// quickest is the sample of the item that took the shortest time.
 		quickest sample
 	}
 
@@ -70,24 +73,25 @@
 
 // QueueKey implements tackqueue.Entry.
 func (s *openStep) QueueKey() tackqueue.Key {
-	return tackqueue.Key{Rank: s.rank, MilliCores: s.Takes().MilliCores, Shelf: s.shelf}
+	return tackqueue.Key{Rank: s.rank, MilliCores: s.Takes().MilliCores, Shelf: s.partition}
 }
 
 func (s *openStep) key() stepKey {
-	return stepKey{job: s.job.ID, occurrence: s.occ, step: s.number}
+	return stepKey{job: s.job.ID, occurrence: s.occurrence, step: s.number}
 }
 
 func (s *openStep) item(index int32) tackjob.Item {
-	return tackjob.Item{Job: s.job.ID, Occurrence: s.occ, Step: s.number, Index: index}
+	return tackjob.Item{Job: s.job.ID, Occurrence: s.occurrence, Step: s.number, Index: index}
 }
 
-// wait puts an item back. It is taken first, since it has waited longest.
-func (s *openStep) wait(now tackclock.Time, index int32, checkpoint string) {
+// addWaiting queues an item at the end of waiting, which is taken first.
+func (s *openStep) addWaiting(now tackclock.Time, index int32, checkpoint string) {
 	s.waiting = append(s.waiting, waitingItem{index: index, checkpoint: checkpoint, since: now})
-	s.restrain(index, s.restraintOf(now, index))
+	s.setRestraint(index, s.restraintOf(now, index))
 }
 
-// dropWaiting reports whether the item waited; it does not any more.
+// dropWaiting removes an item from those that wait, and reports whether it was one of
+// them.
 func (s *openStep) dropWaiting(index int32) bool {
 	before := len(s.waiting)
 	s.waiting = slices.DeleteFunc(s.waiting, func(w waitingItem) bool { return w.index == index })
@@ -95,13 +99,12 @@
 	return len(s.waiting) < before
 }
 
-// Accepted takes in a job that the log has accepted, or holds since an earlier
-// leader.
+// Accepted adds a job that the log has accepted.
 func (d *Dispatcher) Accepted(now tackclock.Time, j *tackjob.Job) {
 	d.accept(now, j, true)
 }
 
-// accept takes in a job; fresh says that nobody can have started any of it.
+// accept adds a job; fresh says that no earlier leader can have started any of it.
 func (d *Dispatcher) accept(now tackclock.Time, j *tackjob.Job, fresh bool) {
 	d.Decided(j.ID)
 	if j.Phase != tackjob.Open || d.jobs[j.ID] != nil {
@@ -112,47 +115,47 @@
 	o.deadline = j.Accepted.Add(tackclock.Duration(j.Stretch*float64(chain)) + j.Objective)
 	o.started = len(j.Progress) > 0
 	if !o.started {
-		d.unbegun[o.Queue]++
+		d.unstarted[o.Queue]++
 	}
 	d.jobs[j.ID] = o
-	d.owed.add(o)
+	d.outstanding.add(o)
 	d.openDue(now, o)
 }
 
-// openDue opens the occurrences whose time has come.
+// openDue opens the occurrences that have become due.
 func (d *Dispatcher) openDue(now tackclock.Time, o *openJob) {
 	for o.opened < o.Occurrences() && o.Due(int32(o.opened)) <= now {
 		o.opened++
 		d.openReady(now, o, int32(o.opened-1))
 	}
 	if o.opened < o.Occurrences() {
-		d.timed[o.ID] = o
+		d.scheduled[o.ID] = o
 		return
 	}
-	delete(d.timed, o.ID)
+	delete(d.scheduled, o.ID)
 }
 
-// openReady opens the steps of an occurrence that wait for nothing any more.
+// openReady opens the steps of an occurrence that wait for no other step any more.
 func (d *Dispatcher) openReady(now tackclock.Time, o *openJob, occurrence int32) {
 	for number := range o.Steps {
 		key := stepKey{job: o.ID, occurrence: occurrence, step: int32(number)}
 		if o.steps[key] != nil || o.StepDone(occurrence, int32(number)) || !o.Ready(occurrence, int32(number)) {
 			continue
 		}
-		s := &openStep{Step: &o.Steps[number], job: o, occ: occurrence, number: int32(number)}
-		s.rank = s.makeRank()
+		s := &openStep{Step: &o.Steps[number], job: o, occurrence: occurrence, number: int32(number)}
+		s.rank = s.newRank()
 		for i := s.Count - 1; i >= 0; i-- {
 			if !o.Done(s.item(int32(i))) {
-				s.wait(now, int32(i), "")
+				s.addWaiting(now, int32(i), "")
 			}
 		}
 		o.steps[key] = s
 		o.account.Expect(now, s.Room.Times(len(s.waiting)))
-		d.open(now, d.pool(o.Service), s)
+		d.enqueue(now, d.pool(o.Service), s)
 	}
 }
 
-func (s *openStep) makeRank() tackqueue.Rank {
+func (s *openStep) newRank() tackqueue.Rank {
 	r := tackqueue.Rank{Class: tackqueue.Batch, Priority: s.job.Priority, Deadline: s.job.deadline, Job: s.job.ID}
 	switch {
 	case s.Fills:
@@ -163,29 +166,29 @@
 	return r
 }
 
-// begin takes in that something of a job has begun.
-func (d *Dispatcher) begin(o *openJob) {
+// markStarted records that an item of the job has started.
+func (d *Dispatcher) markStarted(o *openJob) {
 	if !o.started {
 		o.started = true
-		d.unbegun[o.Queue]--
+		d.unstarted[o.Queue]--
 	}
 }
 
-// Closed takes in that a job is not owed any more. What runs of it is stopped
-// with the next heartbeats of its workers.
+// Closed removes a job that is no longer to be run. Its runs are stopped with the next
+// heartbeats of their workers.
 func (d *Dispatcher) Closed(now tackclock.Time, id tackjob.ID) {
 	o := d.jobs[id]
 	if o == nil {
 		return
 	}
 	o.closed = true
-	d.owed.take(o)
-	d.begin(o) // it waits no more
+	d.outstanding.remove(o)
+	d.markStarted(o) // no longer counted as unstarted
 	delete(d.jobs, id)
-	delete(d.timed, id)
+	delete(d.scheduled, id)
 	for _, s := range o.steps {
 		s.waiting = nil
-		d.pool(o.Service).closeStep(s)
+		d.pool(o.Service).dequeue(s)
 		for i := range s.Count {
 			if r := d.running[s.item(int32(i))]; r != nil {
 				d.stop(now, r, "job closed")
@@ -197,7 +200,7 @@
 	}
 }
 
-// Taken takes in that the log holds an end. Steps that waited for it open, and
+// Taken handles an end that the log now holds. Steps that waited for it are opened, and
 // an item that failed waits for its next attempt.
 func (d *Dispatcher) Taken(now tackclock.Time, e tackjob.End) {
 	o := d.jobs[e.Item.Job]
@@ -215,22 +218,22 @@
 	if s.ending > 0 {
 		s.ending--
 	}
-	d.owed.take(o)
-	d.owed.add(o)
+	d.outstanding.remove(o)
+	d.outstanding.add(o)
 	if e.Failed {
 		if d.running[e.Item] == nil && !o.Done(e.Item) {
 			s.dropWaiting(e.Item.Index)
-			s.wait(now, e.Item.Index, "")
-			d.open(now, d.pool(o.Service), s)
+			s.addWaiting(now, e.Item.Index, "")
+			d.enqueue(now, d.pool(o.Service), s)
 		}
 		return
 	}
 	s.dropWaiting(e.Item.Index)
-	d.stopOthers(now, s, e.Item, RunNumber(e.Run))
+	d.stopOtherRuns(now, s, e.Item, RunNumber(e.Run))
 	if e.Gang { // one end stands for all members
 		s.waiting = nil
 		for i := range s.Count {
-			d.stopOthers(now, s, s.item(int32(i)), RunNumber(e.Run))
+			d.stopOtherRuns(now, s, s.item(int32(i)), RunNumber(e.Run))
 		}
 	}
 	if o.StepDone(e.Item.Occurrence, e.Item.Step) {
@@ -238,13 +241,13 @@
 	}
 }
 
-// Started reports whether any item of the job has begun.
+// Started reports whether any item of the job has started.
 func (d *Dispatcher) Started(id tackjob.ID) bool {
 	o := d.jobs[id]
 	return o != nil && o.started
 }
 
-// Pending counts the jobs of a queue of which nothing has begun.
+// Pending returns the number of open jobs of a queue of which nothing has started.
 func (d *Dispatcher) Pending(queue tackcatalog.QueueKey) int {
-	return d.unbegun[queue]
+	return d.unstarted[queue]
 }
--- a/core/tackdispatch/owed.go
+++ b/core/tackdispatch/owed.go
@@ -7,51 +7,52 @@
 )
 
 type (
-	// owedWork is the accepted work that ends and is not done, in milliseconds of
-	// thousandths of a core, by its estimates. It is kept up with each job, so that a
-	// request does not look at all of them. Its zero value owes nothing.
-	owedWork struct {
+	// outstandingWork is the estimated work of batch jobs that is accepted and not done,
+	// in millicore-milliseconds. It is updated with each job, so that a request need not
+	// examine all of them. Its zero value is empty.
+	outstandingWork struct {
 		services   map[tackid.Service]int64
 		workspaces map[tackid.Workspace]int64
 		both       map[owner]int64
 	}
 
-	// owner is whose work it is.
+	// owner identifies the service and the workspace of some work.
 	owner struct {
 		service   tackid.Service
 		workspace tackid.Workspace
 	}
 
-	// proposal is the work of a job that is being handed to the log, and whose it is.
+	// proposal is the work of a job whose acceptance is being written to the log, and its
+	// owner.
 	proposal struct {
 		owner owner
 		work  int64
 	}
 
-	// owed is the work that stands before a request.
-	owed struct {
+	// workAhead is the work ahead of a request.
+	workAhead struct {
 		pool      int64 // of the pool
 		workspace int64 // of the workspace, in all pools
 		both      int64 // of the workspace, in this pool
 	}
 )
 
-// add takes in what a job is owed now.
-func (x *owedWork) add(o *openJob) {
-	if !o.ends() {
+// add counts the job's remaining work.
+func (x *outstandingWork) add(o *openJob) {
+	if !o.isBatch() {
 		return
 	}
-	o.owedTo, o.owedWork = owner{service: o.Service, workspace: o.Workspace}, o.workLeft()
-	x.change(o.owedTo, o.owedWork)
+	o.countedOwner, o.countedWork = owner{service: o.Service, workspace: o.Workspace}, o.workLeft()
+	x.adjust(o.countedOwner, o.countedWork)
 }
 
-// take takes out what add has taken in of a job.
-func (x *owedWork) take(o *openJob) {
-	x.change(o.owedTo, -o.owedWork)
-	o.owedWork = 0
+// remove subtracts what add has counted of a job.
+func (x *outstandingWork) remove(o *openJob) {
+	x.adjust(o.countedOwner, -o.countedWork)
+	o.countedWork = 0
 }
 
-func (x *owedWork) change(of owner, work int64) {
+func (x *outstandingWork) adjust(of owner, work int64) {
 	if x.services == nil {
 		x.services, x.workspaces, x.both = make(map[tackid.Service]int64), make(map[tackid.Workspace]int64), make(map[owner]int64)
 	}
@@ -62,36 +63,36 @@
 	}
 }
 
-func (x *owedWork) of(who owner) owed {
-	return owed{pool: x.services[who.service], workspace: x.workspaces[who.workspace], both: x.both[who]}
+func (x *outstandingWork) ahead(who owner) workAhead {
+	return workAhead{pool: x.services[who.service], workspace: x.workspaces[who.workspace], both: x.both[who]}
 }
 
-// Proposed takes in that a job is being handed to the log. Until Decided it counts as
-// accepted work, so that a burst is not accepted as a whole before any of it is committed.
+// Proposed records that the acceptance of a job is being written to the log. Until
+// Decided it counts as accepted work, so that a burst is not accepted as a whole before
+// any of it is committed.
 func (d *Dispatcher) Proposed(q *tackcatalog.Queue, spec *tackjob.Spec, workspace tackid.Workspace) {
 	if _, known := d.proposals[spec.ID]; known || spec.LongRunning() || spec.Repeats > 0 {
 		return
 	}
 	p := proposal{owner: owner{service: q.Service, workspace: workspace}, work: spec.Work()}
 	d.proposals[spec.ID] = p
-	d.proposed.change(p.owner, p.work)
+	d.proposed.adjust(p.owner, p.work)
 }
 
-// Decided takes in that the log has accepted a proposed job, or never will.
+// Decided records that a proposed job was accepted in the log, or will never be.
 func (d *Dispatcher) Decided(id tackjob.ID) {
 	if p, known := d.proposals[id]; known {
 		delete(d.proposals, id)
-		d.proposed.change(p.owner, -p.work)
+		d.proposed.adjust(p.owner, -p.work)
 	}
 }
 
-// plus adds up work.
-func (o owed) plus(x owed) owed {
-	return owed{pool: o.pool + x.pool, workspace: o.workspace + x.workspace, both: o.both + x.both}
+// plus returns the sum of o and x.
+func (o workAhead) plus(x workAhead) workAhead {
+	return workAhead{pool: o.pool + x.pool, workspace: o.workspace + x.workspace, both: o.both + x.both}
 }
 
-// workLeft is the job's work that is not done, in milliseconds of thousandths
-// of a core, by its estimates.
+// workLeft returns the job's estimated work that is not done, in millicore-milliseconds.
 func (o *openJob) workLeft() int64 {
 	var left int64
 	for i := range o.Steps {
--- a/core/tackdispatch/pace.go
+++ b/core/tackdispatch/pace.go
@@ -5,24 +5,24 @@
 const (
 	// fullPace is the pace at which a run starts, in percent.
 	fullPace = 100
-	// tailMargin is the share of a latency target, in percent, above which
-	// items that fill are slowed: beside it they are let go faster again.
+	// tailMargin is the share of a latency target, in percent, above which backfill items
+	// beside are slowed down.
 	tailMargin = 80
-	// paceStep is by how many points pace rises with each heartbeat.
+	// paceStep is the number of points by which the pace rises with each heartbeat.
 	paceStep = 10
 )
 
-// pace slows items that fill beside one that serves and is near its latency
-// target, and lets them go again when it is well below.
+// pace slows backfill items beside a serving item that is near its latency target, and
+// speeds them up again when it is well below.
 //
-// Load pattern: fillers disturb what serves by amounts that change within
-// seconds. Halving at once and rising slowly keeps the tail under its target
-// while it is only known twice a second.
+// Load pattern: backfill items disturb serving items to a degree that changes within
+// seconds. Halving at once and rising slowly keeps the tail latency under its target
+// although it is reported only twice a second.
 func (d *Dispatcher) pace(_ tackclock.Time, w *worker) []Pace {
 	worst := 0
 	for _, r := range w.runs {
 		if target := int(r.step.LatencyTarget); target > 0 && r.percent >= 100 {
-			worst = max(worst, 100*r.tail/target)
+			worst = max(worst, 100*r.tailLatency/target)
 		}
 	}
 	var out []Pace
@@ -40,8 +40,8 @@
 	return out
 }
 
-// nextPace is the pace that follows when the worst tail beside is at the given
-// percentage of its target.
+// nextPace returns the pace that follows when the worst tail latency on the worker is at
+// the given percentage of its target.
 func nextPace(pace, worst int) int {
 	switch {
 	case worst > 100:
--- a/core/tackdispatch/pool.go
+++ b/core/tackdispatch/pool.go
@@ -11,196 +11,199 @@
 )
 
 const (
-	// reviewEvery spaces out the walks over all that waits in a pool, and reviewSteps
-	// bounds the steps that they pass a millisecond. Between two of them a step may still
-	// be queued though nothing of it waits.
+	// reviewEvery is the least interval between reviews of all that waits in a pool, and
+	// reviewSteps the number of steps that they examine per millisecond on average.
+	// Between two reviews a step may be queued although none of its items wait.
 	reviewEvery = 10 * tackclock.Millisecond
 	reviewSteps = 100
 )
 
 const (
-	// shelfLabelled holds steps that require a label, shelfLate those whose job cannot be
-	// in time, shelfInherited those that an earlier leader may have started, and
-	// shelfCopied those of them that may run in copies. shelfGang holds gangs, which do
-	// not start with a worker's heartbeat.
-	shelfLabelled = 1 << iota
-	shelfLate
-	shelfInherited
-	shelfCopied
-	shelfGang
+	// These bits make up the partition of a step in its pool's queue. partitionLabelled
+	// is set for steps that require a label, partitionLate for those whose job cannot
+	// finish in time, partitionInherited for those that an earlier leader may have
+	// started, and partitionCopied for those of them that may run in copies.
+	// partitionGang is set for gangs, which placeGangs starts.
+	partitionLabelled = 1 << iota
+	partitionLate
+	partitionInherited
+	partitionCopied
+	partitionGang
 )
 
 type (
-	// pool is a service's workers and the steps that wait for them.
+	// pool holds a service's workers and the steps that wait for them.
 	pool struct {
 		service tackid.Service
 		workers []*worker
-		// free has the workers by the cores that they have free.
+		// free indexes the workers by their free cores.
 		free freeIndex
-		// sums are what the workers have together.
-		sums sums
-		// steps are those with something that waits, and some that had lately.
+		// totals are the totals over the pool's workers.
+		totals totals
+		// steps are those with items that wait, and some that recently had such items.
 		steps    tackqueue.Queue[*openStep]
 		reviewAt tackclock.Time
-		waiting  waiting
-		// clear keeps workers free for items that are to start by themselves.
-		clear clearing
-		// arrivals are the jobs that were handed in lately.
+		summary  waitingSummary
+		// clear holds workers reserved for items that must start on an idle worker.
+		clear trialReservation
+		// arrivals are the recently submitted jobs.
 		arrivals []arrival
-		// comeBack is when refused callers were told to come back.
-		comeBack comeBackTimes
-		// coming is the thousandths of a core of the VMs on their way here, by the last
-		// look of the planner of moves.
+		// retryTimes are the times at which refused callers were told to retry.
+		retryTimes retryTimes
+		// coming is the number of millicores of the VMs on their way here, as of the last
+		// call of Pools.
 		coming   int
 		reserved reservation
-		// gangsAt is when room is looked for again for gangs.
+		// gangsAt is when placement of gangs is next attempted.
 		gangsAt tackclock.Time
 	}
 
-	// waiting is what the last review of a pool's steps has found.
-	waiting struct {
-		// trials says that some items are to start by themselves.
+	// waitingSummary is what the last review found out about a pool's steps, updated with
+	// those queued since.
+	waitingSummary struct {
+		// trials says that some items have restraints.
 		trials bool
-		// mostOver is how far workspaces are over their shares at most.
-		mostOver int
-		// simple says that any worker could start any of the steps; room is what
-		// they take together, and since is from when on the first of them has waited.
+		// maxOver is the largest excess of a workspace over its share.
+		maxOver int
+		// simple says that any worker could start any of the steps; room is what they
+		// take together, and since is when the first of them began to wait.
 		simple bool
 		room   tackroom.Room
 		since  tackclock.Time
 	}
 
-	// sums are what workers have together.
-	sums struct {
-		// capacity is what those have that take new work.
+	// totals are totals over workers.
+	totals struct {
+		// capacity is that of the workers that do not drain.
 		capacity tackroom.Room
-		// roomy is how many have room for more than a small item.
-		roomy int
-		// besides is the room that those have which run something anyway.
-		besides tackroom.Room
+		// roomyWorkers is the number of workers with room for more than a small item.
+		roomyWorkers int
+		// busyRoom is the room on workers that are already running something.
+		busyRoom tackroom.Room
 	}
 )
 
-func (s *sums) add(o *sums) {
-	s.capacity, s.besides, s.roomy = s.capacity.Plus(o.capacity), s.besides.Plus(o.besides), s.roomy+o.roomy
+func (s *totals) add(o *totals) {
+	s.capacity, s.busyRoom, s.roomyWorkers = s.capacity.Plus(o.capacity), s.busyRoom.Plus(o.busyRoom), s.roomyWorkers+o.roomyWorkers
 }
 
-func (s *sums) take(o *sums) {
-	s.capacity, s.besides, s.roomy = s.capacity.Minus(o.capacity), s.besides.Minus(o.besides), s.roomy-o.roomy
+func (s *totals) subtract(o *totals) {
+	s.capacity, s.busyRoom, s.roomyWorkers = s.capacity.Minus(o.capacity), s.busyRoom.Minus(o.busyRoom), s.roomyWorkers-o.roomyWorkers
 }
 
 func (p *pool) add(w *worker) {
-	w.at = len(p.workers)
+	w.index = len(p.workers)
 	p.workers = append(p.workers, w)
 }
 
-// remove takes a worker out. The last one takes its place.
+// remove removes a worker and moves the last one to its index.
 func (p *pool) remove(w *worker) {
 	last := p.workers[len(p.workers)-1]
-	p.workers[w.at], last.at = last, w.at
+	p.workers[w.index], last.index = last, w.index
 	p.workers = p.workers[:len(p.workers)-1]
-	p.sums.take(&w.counted)
-	w.counted = sums{}
+	p.totals.subtract(&w.countedTotals)
+	w.countedTotals = totals{}
 	p.free.remove(w)
 }
 
-// recount takes in what has changed about a worker. What changes with time alone is taken
-// in with its next heartbeat, or once it falls silent.
-func (d *Dispatcher) recount(now tackclock.Time, w *worker) {
+// updateTotals updates the pool's totals and its index after a change of a worker. What
+// changes with time alone is updated with the worker's next heartbeat, or once it falls
+// silent.
+func (d *Dispatcher) updateTotals(now tackclock.Time, w *worker) {
 	p := d.pools[w.service]
 	if d.workers[w.id] != w || p == nil {
 		return
 	}
-	p.sums.take(&w.counted)
-	w.counted = d.countOf(now, w)
-	p.sums.add(&w.counted)
-	p.free.put(w)
+	p.totals.subtract(&w.countedTotals)
+	w.countedTotals = d.totalsOf(now, w)
+	p.totals.add(&w.countedTotals)
+	p.free.update(w)
 }
 
-// countOf is what a worker adds to the sums of its pool.
-func (d *Dispatcher) countOf(now tackclock.Time, w *worker) sums {
-	var s sums
+// totalsOf returns what a worker contributes to the totals of its pool.
+func (d *Dispatcher) totalsOf(now tackclock.Time, w *worker) totals {
+	var s totals
 	if !w.draining {
 		s.capacity = w.capacity
 	}
-	if !w.takesNew(now) {
+	if !w.acceptsItems(now) {
 		return s
 	}
 	if w.roomy() {
-		s.roomy = 1
+		s.roomyWorkers = 1
 	}
 	if len(w.runs) > 0 && !w.silent(now) && !d.cordon[w.vm] {
-		s.besides = w.room()
+		s.busyRoom = w.room()
 	}
 	return s
 }
 
-// setCordon keeps a VM free of new work, or does not any more.
+// setCordon sets whether a VM is kept free of new work.
 func (d *Dispatcher) setCordon(now tackclock.Time, vm tackid.VM, on bool) {
 	if on {
 		d.cordon[vm] = true
 	} else {
 		delete(d.cordon, vm)
 	}
-	if w := d.lives[vm]; w != nil {
-		d.recount(now, w)
+	if w := d.workersByVM[vm]; w != nil {
+		d.updateTotals(now, w)
 	}
 }
 
-// open puts a step in its place.
-func (d *Dispatcher) open(now tackclock.Time, p *pool, s *openStep) {
-	if s.pooled {
+// enqueue puts a step in its pool's queue, if it is not there.
+func (d *Dispatcher) enqueue(now tackclock.Time, p *pool, s *openStep) {
+	if s.queued {
 		return
 	}
-	s.pooled, s.shelf = true, d.shelfOf(now, s)
+	s.queued, s.partition = true, d.partitionOf(now, s)
 	p.steps.Insert(s)
-	p.waiting.take(now, s)
+	p.summary.add(now, s)
 }
 
-func (p *pool) closeStep(s *openStep) {
-	if s.pooled {
-		s.pooled = false
+func (p *pool) dequeue(s *openStep) {
+	if s.queued {
+		s.queued = false
 		p.steps.Remove(s)
 	}
 }
 
-// shelfOf is where a step stands now.
-func (d *Dispatcher) shelfOf(now tackclock.Time, s *openStep) int {
+// partitionOf returns the partition to which a step belongs now.
+func (d *Dispatcher) partitionOf(now tackclock.Time, s *openStep) int {
 	shelf := 0
 	if s.Gang {
-		shelf |= shelfGang
+		shelf |= partitionGang
 	}
 	if s.Requires != "" {
-		shelf |= shelfLabelled
+		shelf |= partitionLabelled
 	}
 	if s.late(now) {
-		shelf |= shelfLate
+		shelf |= partitionLate
 	}
 	if !s.job.fresh && !d.Sure(now) {
-		shelf |= shelfInherited
+		shelf |= partitionInherited
 		if s.Speculative {
-			shelf |= shelfCopied
+			shelf |= partitionCopied
 		}
 	}
 	return shelf
 }
 
-// review drops the steps with nothing waiting, puts those that are late now, or may start
-// now, where they belong, and takes in what the others are like.
+// review removes the steps without waiting items, moves the steps whose partition has
+// changed, and summarises those that wait.
 func (d *Dispatcher) review(now tackclock.Time, p *pool) {
 	if now < p.reviewAt {
 		return
 	}
 	p.reviewAt = now.Add(max(reviewEvery, tackclock.Duration(p.steps.Len()/reviewSteps)))
-	p.waiting = waiting{simple: true, since: now}
+	p.summary = waitingSummary{simple: true, since: now}
 	var moved []*openStep
 	p.steps.RemoveFunc(func(s *openStep) bool {
 		if len(s.waiting) == 0 {
-			s.pooled = false
+			s.queued = false
 			return true
 		}
-		p.waiting.take(now, s)
-		if shelf := d.shelfOf(now, s); shelf != s.shelf {
+		p.summary.add(now, s)
+		if shelf := d.partitionOf(now, s); shelf != s.partition {
 			moved = append(moved, s)
 			return true
 		}
@@ -208,15 +211,15 @@
 	})
 	slices.SortFunc(moved, func(a, b *openStep) int { return b.rank.Compare(a.rank) })
 	for _, s := range moved {
-		s.shelf = d.shelfOf(now, s)
+		s.partition = d.partitionOf(now, s)
 		p.steps.Insert(s)
 	}
 }
 
-// take takes in a step.
-func (x *waiting) take(now tackclock.Time, s *openStep) {
+// add includes a step.
+func (x *waitingSummary) add(now tackclock.Time, s *openStep) {
 	x.trials = x.trials || len(s.restraints) > 0
-	x.mostOver = max(x.mostOver, s.job.account.Over())
+	x.maxOver = max(x.maxOver, s.job.account.Over())
 	if s.LongRunning || s.MaxPerWorker > 0 || s.Requires != "" || s.Gang || s.job.Advised || s.Affinity != "" {
 		x.simple = false
 		return
@@ -225,8 +228,8 @@
 	x.since = min(x.since, s.waiting[0].since)
 }
 
-// some reports whether anything waits.
-func (p *pool) some() bool {
+// hasWaiting reports whether any item waits.
+func (p *pool) hasWaiting() bool {
 	for s := range p.steps.All() {
 		if len(s.waiting) > 0 {
 			return true
@@ -235,8 +238,8 @@
 	return false
 }
 
-// Rebind takes in a catalog: steps move whose jobs' queue goes to another service now,
-// and the workspaces' caps are those that it gives.
+// Rebind applies a changed catalog: steps move whose jobs' queue now belongs to another
+// service, and the workspaces' caps are updated.
 func (d *Dispatcher) Rebind(now tackclock.Time, workspaces []tackworkspace.Workspace) {
 	d.quota.SetCaps(workspaces)
 	for _, p := range d.pools {
@@ -247,12 +250,12 @@
 			}
 		}
 		for _, s := range moved {
-			p.closeStep(s)
-			d.open(now, d.pool(s.job.Service), s)
+			p.dequeue(s)
+			d.enqueue(now, d.pool(s.job.Service), s)
 		}
 	}
 	for _, o := range d.jobs {
-		d.owed.take(o)
-		d.owed.add(o)
+		d.outstanding.remove(o)
+		d.outstanding.add(o)
 	}
 }
--- a/core/tackdispatch/pools.go
+++ b/core/tackdispatch/pools.go
@@ -9,17 +9,18 @@
 )
 
 const (
-	// moveSlack is for how much longer than a move takes a VM is waited for that
-	// was sent to another pool and has not reported from there.
+	// moveSlack is how much longer than the duration of a move to wait for a VM that was
+	// sent to another pool and has not reported from there.
 	moveSlack = 3500 * tackclock.Millisecond
-	// restSlack is for how much longer than a move takes a VM is left alone that was sent
-	// to the standby pool. Nothing reports from there.
-	restSlack = 300 * tackclock.Millisecond
-	// reportsMean is how many reports of a worker show that it has nothing to do.
-	// The first to a new leader may have been under way for seconds.
-	reportsMean = 2
-	// emptyFor is how long a worker that is emptied for a move gets nothing new:
-	// three rounds, each of which says it again while it holds.
+	// standbySlack is how much longer than the duration of a move a VM that was sent to
+	// the standby pool is left alone. Nothing reports from there.
+	standbySlack = 300 * tackclock.Millisecond
+	// minReports is the number of reports after which a worker may be chosen for a move.
+	// The first report to a new leader may have been under way for seconds, so it does
+	// not prove that the worker has nothing to do.
+	minReports = 2
+	// emptyFor is how long a worker that is emptied for a move gets nothing new: three
+	// rounds of the planner, each of which renews it while the plan holds.
 	emptyFor = 500 * tackclock.Millisecond
 )
 
@@ -31,7 +32,7 @@
 		Capacity tackroom.Room
 		// Labels are its kind and its rack.
 		Labels []string
-		// Up says that it is neither moving nor down.
+		// Up says that the VM is neither moving nor down.
 		Up bool
 	}
 
@@ -41,63 +42,64 @@
 		room   tackroom.Room
 		labels []string
 		since  tackclock.Time
-		life   WorkerID // the life that the move ended
-		// doneAt is when the platform consented, zero before.
+		life   WorkerID // the life that the move ends
+		// doneAt is when the platform consented to the move, zero before.
 		doneAt tackclock.Time
 	}
 )
 
-// Inventory takes in the platform's list of VMs. Those of a standby pool send
-// no heartbeats, so this is the only way to know of them.
+// Inventory updates the platform's list of VMs. Those of a standby pool send no
+// heartbeats, so they are known only from this list.
 func (d *Dispatcher) Inventory(machines []Machine) {
 	d.unlisted = false
 	d.standby, d.listed = make(map[tackid.VM]Machine), make(map[tackid.Service]tackroom.Room)
 	for _, m := range machines {
-		if d.lives[m.VM] == nil && m.Up {
-			d.putStandby(m)
+		if d.workersByVM[m.VM] == nil && m.Up {
+			d.addStandby(m)
 		}
 	}
 }
 
-func (d *Dispatcher) putStandby(m Machine) {
-	d.takeStandby(m.VM)
+func (d *Dispatcher) addStandby(m Machine) {
+	d.removeStandby(m.VM)
 	d.standby[m.VM] = m
 	d.listed[m.Service] = d.listed[m.Service].Plus(m.Capacity)
 }
 
-func (d *Dispatcher) takeStandby(vm tackid.VM) {
+func (d *Dispatcher) removeStandby(vm tackid.VM) {
 	if m, known := d.standby[vm]; known {
 		d.listed[m.Service] = d.listed[m.Service].Minus(m.Capacity)
 		delete(d.standby, vm)
 	}
 }
 
-// coresOf is how many thousandths of a core a service's pool has: those of the workers that
-// report, and until all of them have had the time to, those of the VMs that the platform
-// lists there. It is zero while nothing is known for sure.
+// poolCores returns the millicores of a service's pool: those of the workers that report
+// and, until all workers have had time to report, those of the VMs that the platform
+// lists there. It is zero while neither is reliable.
 //
-// Load pattern: a leader is lost under load. By the workers that have reported to the next
-// one within a moment, all that comes meanwhile would end too late.
-func (d *Dispatcher) coresOf(now tackclock.Time, service tackid.Service) int {
+// Load pattern: a leader is lost under load. Judged by the few workers that have reported
+// to the next one within the first moments, all jobs submitted then would seem to end too
+// late.
+func (d *Dispatcher) poolCores(now tackclock.Time, service tackid.Service) int {
 	if d.unlisted && !d.Sure(now) {
 		return 0
 	}
-	cores := d.pool(service).sums.capacity.MilliCores
+	cores := d.pool(service).totals.capacity.MilliCores
 	if !d.Sure(now) {
 		cores += d.listed[service].MilliCores
 	}
 	return cores
 }
 
-// Pools returns what the planner of moves goes by. VMs that are not free to be
-// ordered about stay where they are.
+// Pools returns the input of the planner of moves. VMs that may not be moved are marked
+// as fixed.
 func (d *Dispatcher) Pools(now tackclock.Time, c *tackcatalog.Catalog, free func(tackid.VM) bool) []tackpool.Pool {
 	var pools []tackpool.Pool
 	d.endMoves(now, c)
 	for _, s := range c.Services {
 		p := tackpool.Pool{Service: s.Name, Standby: s.Standby}
 		if s.Standby {
-			p.VMs = d.parked(s.Name, free)
+			p.VMs = d.standbyVMs(s.Name, free)
 		} else {
 			d.fillPool(now, &p, free)
 		}
@@ -114,9 +116,10 @@
 	return pools
 }
 
-// endMoves ends moves that take no longer: to the standby pool once it is time, and those
-// that nobody knows to have happened. A VM whose rest is not known to have begun cannot
-// be called back, however much it is needed.
+// endMoves removes moves that need no longer be tracked: those to the standby pool after
+// their usual duration, and those that cannot be confirmed to have happened. A VM whose
+// move to standby has no known end could not be called back, however urgently it is
+// needed.
 func (d *Dispatcher) endMoves(now tackclock.Time, c *tackcatalog.Catalog) {
 	for vm, m := range d.moves {
 		if now.Sub(m.since) > d.cfg.Move+moveSlack {
@@ -124,26 +127,26 @@
 			continue
 		}
 		to := c.Service(m.to)
-		if to != nil && to.Standby && m.doneAt != 0 && now.Sub(m.doneAt) > d.cfg.Move+restSlack {
+		if to != nil && to.Standby && m.doneAt != 0 && now.Sub(m.doneAt) > d.cfg.Move+standbySlack {
 			delete(d.moves, vm)
 		}
 	}
 }
 
-// giveUpMove forgets a move that nobody knows to have happened. Without it the
-// VM would get no work for good.
+// giveUpMove drops a move that cannot be confirmed to have happened. Otherwise the VM
+// would never get work again.
 func (d *Dispatcher) giveUpMove(now tackclock.Time, vm tackid.VM, m *moving) {
 	delete(d.moves, vm)
-	if w := d.lives[vm]; w != nil && w.id == m.life {
+	if w := d.workersByVM[vm]; w != nil && w.id == m.life {
 		w.leaving = false
-		d.recount(now, w)
+		d.updateTotals(now, w)
 	}
 }
 
-func (d *Dispatcher) parked(service tackid.Service, free func(tackid.VM) bool) []tackpool.VM {
+func (d *Dispatcher) standbyVMs(service tackid.Service, free func(tackid.VM) bool) []tackpool.VM {
 	vms := make([]tackpool.VM, 0, len(d.standby))
 	for vm, m := range d.standby {
-		if m.Service == service && d.moves[vm] == nil && d.lives[vm] == nil {
+		if m.Service == service && d.moves[vm] == nil && d.workersByVM[vm] == nil {
 			vms = append(vms, tackpool.VM{Name: vm, Room: m.Capacity, Labels: m.Labels, Fixed: d.inUpkeep(vm) || !free(vm)})
 		}
 	}
@@ -160,45 +163,46 @@
 		if w.draining || w.silent(now) {
 			continue
 		}
-		vm := tackpool.VM{Name: w.vm, Room: w.forWork(), Labels: w.labels}
-		if len(w.runs) == 0 && w.strange == (tackroom.Room{}) {
-			vm.Idle = max(1, now.Sub(w.idleFrom))
+		vm := tackpool.VM{Name: w.vm, Room: w.batchRoom(), Labels: w.labels}
+		if len(w.runs) == 0 && w.orphanRoom == (tackroom.Room{}) {
+			vm.Idle = max(1, now.Sub(w.idleSince))
 		}
 		vm.Busy, vm.Emptying = w.busyFor(now), now < w.emptiedUntil
-		vm.Fixed = w.fixed || w.vm == "" || w.leaving || d.inUpkeep(w.vm) || w.reports < reportsMean || !free(w.vm)
+		vm.Fixed = w.fixed || w.vm == "" || w.leaving || d.inUpkeep(w.vm) || w.reports < minReports || !free(w.vm)
 		out.VMs = append(out.VMs, vm)
 	}
 	out.Demands = d.demands(now, p)
 }
 
-// busyFor is after which time all that runs on the worker should have ended; zero
-// if nothing runs, or something that lasts.
+// busyFor returns the time after which all that runs on the worker should have ended;
+// zero if nothing runs, or something whose end is not foreseeable.
 func (w *worker) busyFor(now tackclock.Time) tackclock.Duration {
 	var longest tackclock.Duration
 	for _, r := range w.runs {
 		if r.step.LongRunning || r.step.Gang || r.step.Fills {
 			return 0
 		}
-		longest = max(longest, r.left(now))
+		longest = max(longest, r.remaining(now))
 	}
 	return longest
 }
 
-// left is how long the run should still take, one millisecond at least: by its
-// progress once it has made some, else by what its step takes.
-func (r *run) left(now tackclock.Time) tackclock.Duration {
-	done := r.percent - r.from
+// remaining returns how long the run should still take, at least one millisecond: by its
+// progress once it has made some, otherwise by the time that its step is expected to
+// take.
+func (r *run) remaining(now tackclock.Time) tackclock.Duration {
+	done := r.percent - r.startPercent
 	if !r.listed || done <= 0 {
 		return max(1, r.expected()-now.Sub(r.started))
 	}
-	ran := r.movedAt.Sub(r.listedAt)
-	return max(1, ran*tackclock.Duration(100-r.percent)/tackclock.Duration(done)-now.Sub(r.movedAt))
+	ran := r.progressAt.Sub(r.listedAt)
+	return max(1, ran*tackclock.Duration(100-r.percent)/tackclock.Duration(done)-now.Sub(r.progressAt))
 }
 
-// Empty has VMs get nothing new for a while, so that they can soon be moved.
+// Empty withholds new work from VMs for a while, so that they can soon be moved.
 func (d *Dispatcher) Empty(now tackclock.Time, vms []tackid.VM) {
 	for _, vm := range vms {
-		w := d.lives[vm]
+		w := d.workersByVM[vm]
 		if w == nil {
 			continue
 		}
@@ -206,23 +210,22 @@
 			d.noteWorker(now, EventEmptied, w, "")
 		}
 		w.emptiedUntil = now.Add(emptyFor)
-		d.recount(now, w)
+		d.updateTotals(now, w)
 	}
 }
 
-// inUpkeep reports whether a wave has taken hold of the VM.
+// inUpkeep reports whether a wave is emptying the VM or has taken it down.
 func (d *Dispatcher) inUpkeep(vm tackid.VM) bool {
 	st := d.upkeeps[vm]
 	return st != nil && (st.calledAt != 0 || d.cordon[vm])
 }
 
-// Moving takes in that a VM is about to be sent to another pool. It gets
-// nothing new.
+// Moving records that a VM is about to be sent to another pool. It gets nothing new.
 func (d *Dispatcher) Moving(now tackclock.Time, m tackpool.Move) {
 	next := &moving{to: m.To, since: now}
-	if w := d.lives[m.VM]; w != nil {
+	if w := d.workersByVM[m.VM]; w != nil {
 		w.leaving = true
-		d.recount(now, w)
+		d.updateTotals(now, w)
 		next.life, next.room, next.labels = w.id, w.capacity, w.labels
 		d.noteWorker(now, EventMove, w, "to "+string(m.To))
 	} else {
@@ -232,14 +235,14 @@
 	d.moves[m.VM] = next
 }
 
-// Moved takes in what became of a move: done says that the VM is on its way,
-// refused that it surely stays.
+// Moved records the result of a move: done says that the VM is on its way, refused that
+// it is certain to stay.
 func (d *Dispatcher) Moved(now tackclock.Time, vm tackid.VM, done, refused bool) {
 	m := d.moves[vm]
 	if m == nil {
 		return
 	}
-	w := d.lives[vm]
+	w := d.workersByVM[vm]
 	here := w != nil && w.id == m.life
 	switch {
 	case done:
@@ -249,12 +252,12 @@
 		d.endLapsed(now, vm, "")
 		parked := d.standby[vm]
 		parked.VM, parked.Service, parked.Capacity, parked.Labels = vm, m.to, m.room, m.labels
-		d.putStandby(parked)
+		d.addStandby(parked)
 		m.doneAt = now
 	case refused:
 		if here {
 			w.leaving = false
-			d.recount(now, w)
+			d.updateTotals(now, w)
 		}
 		delete(d.moves, vm)
 	}
--- a/core/tackdispatch/pools_test.go
+++ b/core/tackdispatch/pools_test.go
@@ -41,6 +41,6 @@
 	w.d.Moved(w.now, m.vm, true, false)
 	w.run(defaultMove)
 	assert(0, 1)
-	w.run(restSlack + 50)
+	w.run(standbySlack + 50)
 	assert(1, 0)
 }
--- a/core/tackdispatch/schedule_test.go
+++ b/core/tackdispatch/schedule_test.go
@@ -90,7 +90,7 @@
 // within the second after which the worker gives the answer up. Another leader may come to
 // lead before or after the one that answers.
 func (w *world) relayRandom(t *rapid.T, m *modelWorker) {
-	if m.cut || m.dead || m.born == 0 && m.sequence < freshSequence {
+	if m.cut || m.dead || m.born == 0 && m.sequence < maxFirstSequence {
 		return
 	}
 	const givenUp = 1000
--- a/core/tackdispatch/standing.go
+++ b/core/tackdispatch/standing.go
@@ -5,20 +5,22 @@
 	"auburntack/core/tackroom"
 )
 
-// Standing is how a workspace stands with the leader.
+// Standing is the resource use of a workspace, as known to the leader.
 type Standing struct {
-	// Running is what it has running, Granted what it may until the log grants more.
+	// Running is what the workspace has running, and Granted what it may have running
+	// until the log grants more.
 	Running tackroom.Room
 	Granted tackroom.Room
-	// Share is the part of all workers that it is due when all are busy.
+	// Share is the part of all workers' room to which it is entitled when all are busy.
 	Share float64
-	// Jobs are those that are owed, Waiting their items that could start.
+	// Jobs is the number of its open jobs, and Waiting that of their items that are ready
+	// to start.
 	Jobs    int
 	Waiting int
 }
 
-// Standing returns how a workspace stands. It looks at all open jobs, so it is for
-// people who ask.
+// Standing returns the resource use of a workspace. It examines all open jobs, so it is
+// meant for interactive use only.
 func (d *Dispatcher) Standing(name tackid.Workspace) Standing {
 	a := d.quota.Account(name)
 	s := Standing{Running: a.Used(), Granted: a.Granted(), Share: a.Share()}
--- a/core/tackdispatch/trial.go
+++ b/core/tackdispatch/trial.go
@@ -8,47 +8,50 @@
 )
 
 const (
-	// trialPatience is how long an item waits for a worker that runs nothing, and once
-	// more for one that runs nothing which lasts. Its job is late already, or nearly; one
-	// that lasts must run again within six seconds, of which a crash takes three.
+	// trialPatience is how long an item on trial waits for a worker that runs nothing,
+	// and then again for one that runs nothing long-running. A batch job is late by then,
+	// or nearly; a long-running item must run again within six seconds, of which a crash
+	// takes three.
 	trialPatience = 1500 * tackclock.Millisecond
-	// trialPlanned is for how long a trial waits for its worker and the log. Busy workers
-	// ask every 0.4 s, and a commit takes some ten milliseconds.
+	// trialPlanned is how long a planned trial waits for its worker and the log. Busy
+	// workers ask every 0.4 s, and a commit takes about ten milliseconds.
 	trialPlanned = tackclock.Second
-	// clearAfter is after which wait workers are kept free for trials.
-	clearAfter = 200 * tackclock.Millisecond
-	// clearWithin bounds what still runs on a worker that is kept free: one whose
-	// items take longer would come too late for the trial.
-	clearWithin = tackclock.Second
-	// clearEvery spaces out the choices of workers that are kept free.
-	clearEvery = 100 * tackclock.Millisecond
-	// clearParts bounds the workers of a pool that are kept free for trials, to one
+	// trialReserveAfter is how long an item waits for its trial before a worker is
+	// reserved.
+	trialReserveAfter = 200 * tackclock.Millisecond
+	// trialReserveWithin is the longest remaining work of a worker that is reserved: with
+	// more it would come too late for the trial.
+	trialReserveWithin = tackclock.Second
+	// trialReserveEvery is the interval between choices of reserved workers.
+	trialReserveEvery = 100 * tackclock.Millisecond
+	// trialReserveParts limits the workers of a pool that are reserved for trials to one
 	// in so many. A trial takes a worker for half a second.
-	clearParts = 6
+	trialReserveParts = 6
 )
 
 // restraint is why a waiting item may not start like the others.
 type restraint struct {
-	// alone says that it is to start by itself.
+	// alone says that the item must start on an idle worker, as a trial.
 	alone bool
-	// unlogged says that a crash under it is not in the log yet.
+	// unlogged says that a crash under the item is not in the log yet.
 	unlogged bool
-	// heldUntil is until when it waits to hear of workers that are silent under it.
+	// heldUntil is until when the item waits to hear from silent workers that ran it.
 	heldUntil tackclock.Time
 }
 
-// restraintOf is what follows from the log for an item that begins to wait.
+// restraintOf returns the restraint that the log's record of crashes puts on an item that
+// begins to wait.
 func (s *openStep) restraintOf(now tackclock.Time, index int32) restraint {
 	record := s.job.CrashesUnder(s.item(index))
 	x := restraint{alone: record.Trial() > 0}
 	if record.Waits() {
-		x.heldUntil = now.Add(heldBack)
+		x.heldUntil = now.Add(maxDoubtHold)
 	}
 	return x
 }
 
-// restrain sets the restraint of a waiting item.
-func (s *openStep) restrain(index int32, x restraint) {
+// setRestraint sets the restraint of a waiting item.
+func (s *openStep) setRestraint(index int32, x restraint) {
 	if x == (restraint{}) {
 		delete(s.restraints, index)
 		return
@@ -59,43 +62,45 @@
 	s.restraints[index] = x
 }
 
-// startable reports whether nothing holds the item back.
+// startable reports whether no restraint keeps the item from starting now.
 func (s *openStep) startable(now tackclock.Time, index int32) bool {
 	x := s.restraints[index]
 	return !x.unlogged && now >= x.heldUntil
 }
 
-// hold has an item wait for the log, if it waits.
-func (s *openStep) hold(index int32) {
+// holdForLog keeps an item, if it waits, from starting until the crash under it is in the
+// log.
+func (s *openStep) holdForLog(index int32) {
 	if slices.ContainsFunc(s.waiting, func(i waitingItem) bool { return i.index == index }) {
 		x := s.restraints[index]
 		x.unlogged = true
-		s.restrain(index, x)
+		s.setRestraint(index, x)
 	}
 }
 
-// release has an item wait for its trial from now on, since the log holds the crash under
-// it.
-func (s *openStep) release(now tackclock.Time, index int32) {
+// releaseForTrial lets an item wait for its trial from now on, since the log holds the
+// crash under it.
+func (s *openStep) releaseForTrial(now tackclock.Time, index int32) {
 	for i := range s.waiting {
 		if s.waiting[i].index == index {
 			s.waiting[i].since = now
-			s.restrain(index, restraint{alone: s.job.CrashesUnder(s.item(index)).Trial() > 0})
+			s.setRestraint(index, restraint{alone: s.job.CrashesUnder(s.item(index)).Trial() > 0})
 		}
 	}
 }
 
-// review goes by what the log holds of a waiting item after a doubt was dismissed.
-func (s *openStep) review(now tackclock.Time, index int32) {
+// reviewRestraint updates the restraint of a waiting item after a doubt was dismissed.
+func (s *openStep) reviewRestraint(now tackclock.Time, index int32) {
 	if x, ok := s.restraints[index]; ok && !x.unlogged {
-		s.restrain(index, s.restraintOf(now, index))
+		s.setRestraint(index, s.restraintOf(now, index))
 	}
 }
 
-// trying reports whether a run on the worker is on trial: nothing else may start there.
-func (w *worker) trying() bool {
+// hasTrial reports whether a run on the worker is on trial, so that nothing else may
+// start there.
+func (w *worker) hasTrial() bool {
 	for _, r := range w.onTrial {
-		if w.runs[r.item] == r && !r.outlived() {
+		if w.runs[r.item] == r && !r.passedTrial() {
 			return true
 		}
 	}
@@ -103,22 +108,24 @@
 	return false
 }
 
-// outlived reports whether the run's worker has listed it for as long as its trial takes.
-func (r *run) outlived() bool {
+// passedTrial reports whether the run's worker has listed it for the duration of its
+// trial.
+func (r *run) passedTrial() bool {
 	return r.listed && r.worker.heardAt.Sub(r.listedAt) >= r.trial
 }
 
-// consult sets what the log holds against the run's item.
-func (r *run) consult() {
+// loadCrashRecord sets the fields of the run that follow from the log's record of
+// crashes.
+func (r *run) loadCrashRecord() {
 	record := r.step.job.CrashesUnder(r.item)
 	r.suspected, r.trial = len(record.Crashes) > 0, record.Trial()
 }
 
-// try puts a run on trial, if its item is to be tried. It reports whether the start must
-// wait for the log: a leader that orders a trial and is lost within the second would
-// else leave the next one to order the same.
-func (d *Dispatcher) try(now tackclock.Time, r *run) bool {
-	r.consult()
+// putOnTrial puts a run on trial if its item needs one. It reports whether the start must
+// wait for the log: otherwise, if the leader were lost within a second of ordering the
+// trial, the next one would order the same.
+func (d *Dispatcher) putOnTrial(now tackclock.Time, r *run) bool {
+	r.loadCrashRecord()
 	if r.trial == 0 {
 		return false
 	}
@@ -130,26 +137,26 @@
 	return true
 }
 
-// runsNothing reports whether nothing runs on the worker, and nothing is to.
-func (w *worker) runsNothing() bool {
-	return len(w.runs) == 0 && w.strange == (tackroom.Room{})
+// idle reports whether nothing runs on the worker and no start is planned there.
+func (w *worker) idle() bool {
+	return len(w.runs) == 0 && w.orphanRoom == (tackroom.Room{})
 }
 
-// startTrials starts an item that is to be by itself, and reports whether the worker is
-// to get nothing else.
+// startTrials starts an item that needs a trial, and reports whether the worker must get
+// nothing else.
 //
 // Load pattern: an item crashes each worker that starts it. Started beside others it
-// takes them along, and each of them is suspected with it; a pool of thirty VMs loses
+// takes them down as well, and each of them becomes suspect; a pool of thirty VMs loses
 // one a second.
 func (d *Dispatcher) startTrials(now tackclock.Time, p *pool, w *worker) bool {
-	if !p.waiting.trials {
+	if !p.summary.trials {
 		return false
 	}
 	for s := range p.steps.Fitting(w.room().MilliCores, d.startsNow(now)) {
 		if len(s.restraints) == 0 || s.Gang || !d.mayStart(now, w, s) || d.cordon[w.vm] && !d.stranded(now, p, s) || !w.room().Fits(s.Takes()) {
 			continue
 		}
-		at := slices.IndexFunc(s.waiting, func(i waitingItem) bool { return d.mayTry(now, p, w, s, &i) })
+		at := slices.IndexFunc(s.waiting, func(i waitingItem) bool { return d.mayStartTrial(now, p, w, s, &i) })
 		if at < 0 || !d.withinCap(now, s, 1) {
 			continue
 		}
@@ -161,71 +168,73 @@
 	return p.clear.holds(now, w)
 }
 
-// planTrial keeps the worker for an item that starts with its next heartbeat, once the
-// log holds that it does.
+// planTrial reserves the worker for an item that starts with its next heartbeat, once the
+// log holds the trial.
 func (d *Dispatcher) planTrial(now tackclock.Time, w *worker, s *openStep, item waitingItem) {
-	r := d.makeRun(now, w, s, item)
+	r := d.newRun(now, w, s, item)
 	r.sentIn = notSent
-	d.place(now, r)
-	unlogged := d.try(now, r)
+	d.addRun(now, r)
+	unlogged := d.putOnTrial(now, r)
 	w.planned = append(w.planned, planned{run: r, until: now.Add(trialPlanned), unlogged: unlogged})
 }
 
-// mayTry reports whether the waiting item may be tried on the worker: on one that runs
-// nothing, and that has not crashed under it, if there is any for it soon.
-func (d *Dispatcher) mayTry(now tackclock.Time, p *pool, w *worker, s *openStep, i *waitingItem) bool {
+// mayStartTrial reports whether the waiting item may be tried on the worker. The worker
+// must be idle and must not have crashed under the item before, unless no such worker is
+// found in time.
+func (d *Dispatcher) mayStartTrial(now tackclock.Time, p *pool, w *worker, s *openStep, i *waitingItem) bool {
 	if !s.restraints[i.index].alone || !s.startable(now, i.index) || w.runs[s.item(i.index)] != nil {
 		return false
 	}
 	if s.MaxPerWorker > 0 && w.steps[s.key()] >= s.MaxPerWorker {
 		return false
 	}
-	switch waited := now.Sub(max(i.since, d.sure)); {
+	switch waited := now.Sub(max(i.since, d.earlierLeasesEnd)); {
 	case waited > 2*trialPatience:
 		return true
 	case waited > trialPatience:
-		return w.lasting == (tackroom.Room{}) || !d.anyWithoutLasting(now, p)
+		return w.longRunningRoom == (tackroom.Room{}) || !d.anyWithoutLongRunning(now, p)
 	}
-	return w.runsNothing() && !s.job.CrashesUnder(s.item(i.index)).On(w.vm)
+	return w.idle() && !s.job.CrashesUnder(s.item(i.index)).On(w.vm)
 }
 
-// anyWithoutLasting reports whether some worker of the pool that takes new work runs
-// nothing that lasts. What lasts is what a crash costs most.
-func (d *Dispatcher) anyWithoutLasting(now tackclock.Time, p *pool) bool {
+// anyWithoutLongRunning reports whether some worker of the pool that accepts items runs
+// nothing long-running. Losing long-running items is the most expensive effect of a
+// crash.
+func (d *Dispatcher) anyWithoutLongRunning(now tackclock.Time, p *pool) bool {
 	return slices.ContainsFunc(p.workers, func(w *worker) bool {
-		return w.lasting == (tackroom.Room{}) && w.takesNew(now) && !w.silent(now) && !d.cordon[w.vm]
+		return w.longRunningRoom == (tackroom.Room{}) && w.acceptsItems(now) && !w.silent(now) && !d.cordon[w.vm]
 	})
 }
 
-// clearing is the workers of a pool that start nothing but trials.
+// trialReservation holds the workers of a pool that start nothing but trials.
 //
-// Load pattern: a busy pool, in which no worker ever runs nothing. What becomes free
-// goes to what waits, so a trial would come only once the queue is empty.
-type clearing struct {
+// Load pattern: a busy pool in which no worker is ever idle. Without a reservation, room
+// that becomes free goes to what waits, and a trial starts only once the queue is empty.
+type trialReservation struct {
 	workers []*worker
 	at      tackclock.Time // when they are chosen again
 }
 
-// holds reports whether the worker is kept free.
-func (c *clearing) holds(now tackclock.Time, w *worker) bool {
-	return slices.Contains(c.workers, w) && w.takesNew(now)
+// holds reports whether the worker is reserved.
+func (c *trialReservation) holds(now tackclock.Time, w *worker) bool {
+	return slices.Contains(c.workers, w) && w.acceptsItems(now)
 }
 
-// clearFor keeps as many of the pool's workers free as items wait for a trial, within
-// bounds, and gives back those that are not needed.
-func (d *Dispatcher) clearFor(now tackclock.Time, p *pool) {
-	if now < p.clear.at || !p.waiting.trials && len(p.clear.workers) == 0 {
+// reserveForTrials reserves as many of the pool's workers as items wait for a trial, up
+// to a limit, and releases those that are not needed.
+func (d *Dispatcher) reserveForTrials(now tackclock.Time, p *pool) {
+	if now < p.clear.at || !p.summary.trials && len(p.clear.workers) == 0 {
 		return
 	}
-	p.clear.at = now.Add(clearEvery)
-	wanted := min(p.trialsDue(now), (len(p.workers)+clearParts-1)/clearParts)
+	p.clear.at = now.Add(trialReserveEvery)
+	wanted := min(p.trialsDue(now), (len(p.workers)+trialReserveParts-1)/trialReserveParts)
 	kept := slices.DeleteFunc(p.clear.workers, func(w *worker) bool { return d.workers[w.id] != w })
 	kept = kept[:min(len(kept), wanted)]
 	for _, w := range p.workers {
 		if len(kept) == wanted {
 			break
 		}
-		if !slices.Contains(kept, w) && d.clearsSoon(now, w) {
+		if !slices.Contains(kept, w) && d.idleSoon(now, w) {
 			kept = append(kept, w)
 		}
 	}
@@ -241,7 +250,7 @@
 			if len(s.restraints) == 0 {
 				break
 			}
-			if s.restraints[item.index].alone && s.startable(now, item.index) && now.Sub(item.since) > clearAfter {
+			if s.restraints[item.index].alone && s.startable(now, item.index) && now.Sub(item.since) > trialReserveAfter {
 				n++
 			}
 		}
@@ -249,9 +258,9 @@
 	return n
 }
 
-// clearsSoon reports whether the worker runs nothing, or will soon.
-func (d *Dispatcher) clearsSoon(now tackclock.Time, w *worker) bool {
+// idleSoon reports whether the worker is idle, or soon will be.
+func (d *Dispatcher) idleSoon(now tackclock.Time, w *worker) bool {
 	busy := w.busyFor(now)
-	soon := w.runsNothing() || busy > 0 && busy <= clearWithin
-	return soon && w.takesNew(now) && !w.silent(now) && !d.cordon[w.vm]
+	soon := w.idle() || busy > 0 && busy <= trialReserveWithin
+	return soon && w.acceptsItems(now) && !w.silent(now) && !d.cordon[w.vm]
 }
--- a/core/tackdispatch/upkeep.go
+++ b/core/tackdispatch/upkeep.go
@@ -7,58 +7,58 @@
 )
 
 const (
-	// drainLimit is how long a VM that is next for upkeep is kept free of new
-	// work so that what runs there can end by itself.
+	// drainLimit is how long a VM that is next for upkeep is kept free of new work, so
+	// that what runs there can end by itself.
 	drainLimit = 4 * tackclock.Second
-	// spareTime is the part of a wave's time that is kept in hand: within it,
-	// work that runs is given up rather than the time.
-	spareTime = 4 * tackclock.Second
-	// downLimit is after which time a VM that was taken down and has not come
-	// back counts no more against what may be down at once.
+	// waveReserve is the part of a wave's time that is kept in reserve: once only it is
+	// left, running work is given up rather than the wave's schedule.
+	waveReserve = 4 * tackclock.Second
+	// downLimit is the time after which a VM that was taken down and has not come back no
+	// longer counts towards the limit of VMs that are down at once.
 	downLimit = 20 * tackclock.Second
-	// upkeepSlack is added to the platform's time for an upkeep.
+	// upkeepSlack is added to the platform's duration of an upkeep.
 	upkeepSlack = tackclock.Second
-	// doubtFor is how long a heartbeat may have been under way when the
-	// platform consented to an upkeep.
-	doubtFor = tackclock.Second
-	// callAgainAfter spaces out the calls for one VM.
-	callAgainAfter = tackclock.Second
-	// silentAfter is after which silence what a worker listed last is not relied
-	// on any more: four of the heartbeats that even a busy one sends.
+	// uncertainFor is how long a heartbeat may have been under way when the platform
+	// consented to an upkeep.
+	uncertainFor = tackclock.Second
+	// callRetryDelay is the least interval between calls for one VM.
+	callRetryDelay = tackclock.Second
+	// silentAfter is the silence after which a worker's last report is no longer relied
+	// on: four heartbeat intervals of a busy worker.
 	silentAfter = 1600 * tackclock.Millisecond
-	// atWork is the percentage that a worker lists for an item that lasts and
-	// serves.
-	atWork = 100
+	// servingPercent is the progress that a worker lists for a long-running item that is
+	// serving.
+	servingPercent = 100
 )
 
-// silent reports whether the worker may be gone, though its lease runs on.
+// silent reports whether the worker may be gone, although its lease has not run out.
 func (w *worker) silent(now tackclock.Time) bool {
-	return now.Sub(w.heardAt) > silentAfter+w.patience
+	return now.Sub(w.heardAt) > silentAfter+w.silenceAllowance
 }
 
-// upkeepState is what the leader knows of one VM of a wave.
+// upkeepState is the state of one VM of a wave, as known to the leader.
 type upkeepState struct {
 	drainedFrom tackclock.Time
-	// calledAt is when it was taken down, zero while it is up; life is the
-	// one that the call ended.
+	// calledAt is when the call to take it down was made, zero while it is up, and life
+	// is the life that the call ended.
 	calledAt tackclock.Time
 	life     WorkerID
-	// callFrom is when the next call may be made.
+	// callFrom is when the next call may be made at the earliest.
 	callFrom tackclock.Time
-	// surely says that the platform has not done the upkeep before, so that
-	// its consent means that the life is over. unclear is set once a call was
-	// made that it may have carried out.
-	surely  bool
-	unclear bool
-	// doubtAt is when a consent came that may mean an earlier call.
-	doubtAt tackclock.Time
+	// consentIsFinal says that the platform has not done the upkeep before, so its
+	// consent means that the life is over. callMade is set once a call was made that the
+	// platform may have carried out.
+	consentIsFinal bool
+	callMade       bool
+	// uncertainSince is when a consent came that may refer to an earlier call.
+	uncertainSince tackclock.Time
 }
 
-// NextUpkeep returns the VMs of a wave that can be taken down now, and keeps
-// those that come next free of new work.
+// NextUpkeep returns the VMs of a wave that can be taken down now, and withholds new work
+// from those that come next.
 func (d *Dispatcher) NextUpkeep(now tackclock.Time, w *tackupkeep.Wave) []tackid.VM {
 	room := max(w.AtOnce, 1) - d.down(now, w)
-	next := d.callAgain(now, w)
+	next := d.retryCalls(now, w)
 	if room <= 0 {
 		return next
 	}
@@ -69,10 +69,10 @@
 			d.setCordon(now, vm, true)
 		}
 		if now >= st.callFrom && d.mayTakeDown(now, vm, st, w) {
-			st.surely = w.Term == d.term && !st.unclear
-			if life := d.lives[vm]; life != nil {
+			st.consentIsFinal = w.Term == d.term && !st.callMade
+			if life := d.workersByVM[vm]; life != nil {
 				life.leaving = true
-				d.recount(now, life)
+				d.updateTotals(now, life)
 				d.noteWorker(now, EventUpkeep, life, "")
 			}
 			next = append(next, vm)
@@ -81,9 +81,9 @@
 	return next
 }
 
-// callAgain returns the VMs whose call got no clear answer. The platform says
-// that it is done if it is, so the same call is safe.
-func (d *Dispatcher) callAgain(now tackclock.Time, w *tackupkeep.Wave) []tackid.VM {
+// retryCalls returns the VMs whose call got no clear answer. The platform reports an
+// upkeep as done if it already is, so repeating the call is safe.
+func (d *Dispatcher) retryCalls(now tackclock.Time, w *tackupkeep.Wave) []tackid.VM {
 	var again []tackid.VM
 	for _, vm := range w.Left() {
 		if st := d.upkeeps[vm]; st != nil && st.calledAt != 0 && now >= st.callFrom {
@@ -93,8 +93,8 @@
 	return again
 }
 
-// downFor is how long a VM counts as down if nobody says that it is back. One
-// in the standby pool never says so; the platform's own time has to do.
+// downFor returns how long a VM counts as down if nothing reports that it is back. A VM
+// in the standby pool never reports, so the platform's own duration is used.
 func (d *Dispatcher) downFor(st *upkeepState) tackclock.Duration {
 	if st.life == "" {
 		return d.cfg.Upkeep + upkeepSlack
@@ -111,9 +111,8 @@
 	return st
 }
 
-// down counts the VMs of a wave that are down for it: from the call until the
-// next life reports. Nobody says when a VM that never comes back stopped
-// counting, so it does after a while.
+// down counts the VMs of a wave that are down for it, from the call until the next life
+// reports. A VM that never comes back stops counting after a while.
 func (d *Dispatcher) down(now tackclock.Time, w *tackupkeep.Wave) int {
 	n := 0
 	for _, vm := range w.VMs {
@@ -121,11 +120,11 @@
 		if st == nil || st.calledAt == 0 {
 			continue
 		}
-		life := d.lives[vm]
+		life := d.workersByVM[vm]
 		back := life != nil && life.id != st.life
 		if back || now.Sub(st.calledAt) > d.downFor(st) {
 			if life != nil && !back {
-				life.leaving = false // it is still there, so no call was carried out
+				life.leaving = false // the same life still reports, so no call was carried out
 			}
 			st.calledAt = 0
 			d.setCordon(now, vm, false)
@@ -136,8 +135,8 @@
 	return n
 }
 
-// soonest picks the VMs that come next: those already being emptied, then
-// those with the least work on them.
+// soonest returns the VMs that come next: those already being emptied, then those with
+// the fewest runs.
 func (d *Dispatcher) soonest(w *tackupkeep.Wave, n int) []tackid.VM {
 	var chosen []tackid.VM
 	for len(chosen) < n {
@@ -172,22 +171,22 @@
 }
 
 func (d *Dispatcher) loadOf(vm tackid.VM) int {
-	w := d.lives[vm]
+	w := d.workersByVM[vm]
 	if w == nil {
 		return 0
 	}
 	return 1 + len(w.runs)
 }
 
-// mayTakeDown reports whether what runs on the VM can be missed.
+// mayTakeDown reports whether the VM can be taken down, given what runs there.
 func (d *Dispatcher) mayTakeDown(now tackclock.Time, vm tackid.VM, st *upkeepState, w *tackupkeep.Wave) bool {
-	life := d.lives[vm]
+	life := d.workersByVM[vm]
 	if life == nil {
-		// Nothing is known to run there. Before the leader has heard all
-		// workers, something may.
+		// Nothing is known to run there. Something may until the leader has heard from
+		// all workers.
 		return d.Sure(now)
 	}
-	hurry := now.Sub(st.drainedFrom) > drainLimit || now > w.Due().Add(-spareTime)
+	hurry := now.Sub(st.drainedFrom) > drainLimit || now > w.Due().Add(-waveReserve)
 	if !life.draining && !d.evacuate(now, life) {
 		return false
 	}
@@ -199,9 +198,9 @@
 	return true
 }
 
-// evacuate reports whether the items that last on a worker can be missed all at
-// once. Where too many of one step are there it has one of them stopped, to
-// start elsewhere; the next follows when that one is at work again.
+// evacuate reports whether all long-running items on a worker can be stopped at once.
+// Where it runs too many of one step, one of them is stopped to start elsewhere; the next
+// follows when that one is serving again.
 func (d *Dispatcher) evacuate(now tackclock.Time, w *worker) bool {
 	possible := true
 	for key, here := range w.steps {
@@ -209,7 +208,7 @@
 		if s == nil || !s.LongRunning || s.MayMiss == 0 {
 			continue
 		}
-		away, elsewhere := d.away(now, s, w)
+		away, elsewhere := d.unavailable(now, s, w)
 		if elsewhere+here <= s.MayMiss {
 			continue
 		}
@@ -229,7 +228,7 @@
 	return o.steps[key]
 }
 
-// stopOne has one item of the step stopped, unless one already is.
+// stopOne stops one item of the step on the worker, unless one is already being stopped.
 func (d *Dispatcher) stopOne(now tackclock.Time, w *worker, s *openStep) {
 	var chosen *run
 	for _, r := range w.runs {
@@ -248,12 +247,12 @@
 	}
 }
 
-// away counts the step's items that are not at work, and those among them that
-// are not on w.
-func (d *Dispatcher) away(now tackclock.Time, s *openStep, w *worker) (all, elsewhere int) {
+// unavailable counts the step's items that are not serving, and those among them that are
+// not on w.
+func (d *Dispatcher) unavailable(now tackclock.Time, s *openStep, w *worker) (all, elsewhere int) {
 	for i := range s.Count {
 		r := d.running[s.item(int32(i))]
-		working := r != nil && r.percent >= atWork && !r.stopping && !r.worker.leaving && !r.worker.silent(now)
+		working := r != nil && r.percent >= servingPercent && !r.stopping && !r.worker.leaving && !r.worker.silent(now)
 		if working {
 			continue
 		}
@@ -265,52 +264,53 @@
 	return all, elsewhere
 }
 
-// UpkeepCalled takes in what became of a call: done says that the VM is going
-// down, refused that it is surely not. Where neither is known it may be.
+// UpkeepCalled records the result of a call: done says that the VM is going down, refused
+// that it certainly is not. If neither is set, it may be.
 func (d *Dispatcher) UpkeepCalled(now tackclock.Time, vm tackid.VM, done, refused bool) {
 	st := d.upkeepOf(vm)
-	st.callFrom = now.Add(callAgainAfter)
+	st.callFrom = now.Add(callRetryDelay)
 	if refused && !done {
-		if life := d.lives[vm]; life != nil {
+		if life := d.workersByVM[vm]; life != nil {
 			life.leaving = false
-			d.recount(now, life)
+			d.updateTotals(now, life)
 		}
 		return
 	}
 	if st.calledAt == 0 {
-		if life := d.lives[vm]; life != nil {
+		if life := d.workersByVM[vm]; life != nil {
 			st.life = life.id
 		}
 	}
 	if done {
 		d.endLapsed(now, vm, "")
 	}
-	// Of several calls the last may be the one that was carried out. Were the VM
-	// down from the first one, the next would be taken down beside it.
+	// If there were several calls, the last one may be the one that was carried out. If
+	// the VM counted as down only from the first, its time would end too early, and the
+	// next VM would be taken down while it is still down.
 	st.calledAt = now
-	st.unclear = true // from now on a consent may mean this call
-	life := d.lives[vm]
+	st.callMade = true // from now on a consent may refer to this call
+	life := d.workersByVM[vm]
 	if !done || life == nil || life.id != st.life {
 		return
 	}
-	if st.surely {
+	if st.consentIsFinal {
 		d.lose(now, life, "taken down for upkeep")
 		return
 	}
-	// The platform consents as well if an earlier call was carried out. Then the
-	// life goes on, and what runs there must not start elsewhere. A further
-	// heartbeat or the end of the lease tells.
-	st.doubtAt = now
+	// The platform also consents if an earlier call was carried out. Then the present
+	// life goes on, and what runs there must not start elsewhere. A further heartbeat, or
+	// the end of the lease, shows which is the case.
+	st.uncertainSince = now
 }
 
-// survived takes in that a life still sends heartbeats some time after the
-// platform's doubtful consent.
-func (d *Dispatcher) survived(now tackclock.Time, w *worker) {
+// checkSurvival ends the upkeep of a VM whose worker's life still sends heartbeats some
+// time after an uncertain consent.
+func (d *Dispatcher) checkSurvival(now tackclock.Time, w *worker) {
 	st := d.upkeeps[w.vm]
-	if st == nil || st.doubtAt == 0 || st.life != w.id || now.Sub(st.doubtAt) < doubtFor {
+	if st == nil || st.uncertainSince == 0 || st.life != w.id || now.Sub(st.uncertainSince) < uncertainFor {
 		return
 	}
-	st.doubtAt, st.calledAt = 0, 0
+	st.uncertainSince, st.calledAt = 0, 0
 	w.leaving = false
 	d.setCordon(now, w.vm, false)
 }
--- a/core/tackdispatch/upkeep_test.go
+++ b/core/tackdispatch/upkeep_test.go
@@ -164,7 +164,7 @@
 		failed := tackjob.Item{Job: job(1), Index: 1}
 		w.end(m, failed, EndFailed)
 		w.run(75)
-		if len(m.runs) != 2 || m.percent(w, failed) == atWork {
+		if len(m.runs) != 2 || m.percent(w, failed) == servingPercent {
 			t.Fatalf("%d items run, want 2 of which one has just begun", len(m.runs))
 		}
 		w.takeDown(newWave(w, 1, "m-0"))
--- a/core/tackdispatch/world_check_test.go
+++ b/core/tackdispatch/world_check_test.go
@@ -185,7 +185,7 @@
 	w.t.Helper()
 	for _, o := range w.d.jobs {
 		for _, s := range o.steps {
-			for index, n := range s.blamed {
+			for index, n := range s.crashCounts {
 				if n < 0 {
 					w.t.Fatalf("%v is blamed %d times", s.item(index), n)
 				}
--- a/core/tackdispatch/world_test.go
+++ b/core/tackdispatch/world_test.go
@@ -388,11 +388,11 @@
 // life before it believes it, is a limit that docs/INCIDENTS.md lists.
 func (w *world) delay(m *modelWorker) *Report {
 	r := m.report(w)
-	for r.Sequence <= freshSequence && m.born == 0 {
+	for r.Sequence <= maxFirstSequence && m.born == 0 {
 		w.receive(r)
 		r = m.report(w)
 	}
-	m.early = m.early || r.Sequence <= freshSequence
+	m.early = m.early || r.Sequence <= maxFirstSequence
 	w.delayed = append(w.delayed, r)
 	return r
 }
