--- a/core/tackdispatch/admit_test.go
+++ b/core/tackdispatch/admit_test.go
@@ -8,8 +8,8 @@
 	"auburntack/core/tackjob"
 )
 
-// offer hands jobs of one step in until one is refused, at most so many; it returns how
-// many were accepted and the refusal.
+// offer submits up to most jobs of one step until one is refused, and returns how many
+// were accepted and the refusal.
 func (w *world) offer(name tackid.Workspace, first, most int, step tackjob.Step) (int, Admission) {
 	for n := range most {
 		spec := &tackjob.Spec{ID: job(first + n), Queue: testQueue.QueueKey, Steps: []tackjob.Step{step}}
@@ -21,8 +21,9 @@
 	return most, Admission{}
 }
 
-// assertRefusal fails the test if the caller is not told truly when to come back: not
-// before what was accepted is done in time for one more job, by the cores that do it.
+// assertRefusal fails the test unless the caller is told a realistic time to retry: when
+// the accepted work is done to such a degree that the cores can finish one more job in
+// time.
 func assertRefusal(t *testing.T, a Admission, reason string, least, most tackclock.Duration) {
 	t.Helper()
 	if a.Accepted || a.Reason != reason || a.ComeBack < least || a.ComeBack > most {
@@ -30,7 +31,7 @@
 	}
 }
 
-// Load pattern: a queue asks several times what its pool holds, within a second.
+// Load pattern: within a second a queue submits several times what its pool can run.
 func TestBurstBeyondThePoolIsRefusedAtOnce(t *testing.T) {
 	w := newWorld(t, 4) // 64 cores
 	w.run(200)
@@ -48,7 +49,7 @@
 	})
 }
 
-// Load pattern: one workspace sends ten times what its cap allows, on a pool with room.
+// Load pattern: one workspace submits ten times what its cap allows, to a pool with room.
 func TestBurstBeyondACapIsRefusedAtOnce(t *testing.T) {
 	w := newCapped(t, 8, 8) // 8 of 128 cores
 	n, refusal := w.offer("mairies", 1, 100, batch(8, 2, 1000))
@@ -69,8 +70,8 @@
 	})
 }
 
-// Symptom: a job was accepted and waited for good. Its gang needs more at once than its
-// workspace may have running.
+// Guards against accepting a job that can never start, because its gang needs more at
+// once than its workspace may have running.
 func TestGangBeyondACapIsRefused(t *testing.T) {
 	w := newCapped(t, 8, 20)
 	gang := batch(11, 2, 1000)
@@ -89,18 +90,18 @@
 	assertPhase(t, w, job(3), tackjob.Complete)
 }
 
-// Guards against jobs that are refused since the leader is new: it has heard of one of its
-// sixteen workers, and the platform lists the others.
+// Guards against refusals under a new leader that has a report of only one of its sixteen
+// workers, while the platform lists the others.
 func TestNewLeaderCountsWorkersThatHaveNotReported(t *testing.T) {
 	w := newWorld(t, 16)
 	w.run(200)
 	w.newLeader()
-	w.beat(w.workers[0], false)
+	w.heartbeat(w.workers[0], false)
 	if n, _ := w.offer("", 1, 40, batch(8, 2, 1000)); n > 10 {
 		t.Fatalf("%d jobs accepted by the cores of one worker", n)
 	}
 	w.newLeader()
-	w.beat(w.workers[0], false)
+	w.heartbeat(w.workers[0], false)
 	var list []Machine
 	for _, m := range w.workers {
 		list = append(list, Machine{VM: m.vm, Service: m.service, Capacity: m.capacity, Up: true})
@@ -127,12 +128,12 @@
 	})
 	w.run(8 * tackclock.Second)
 	if got := w.d.poolCores(w.now, "names-api"); got != 16*16_000 {
-		t.Errorf("the pool has %d thousandths of a core in the end, want those of its workers", got)
+		t.Errorf("the pool has %d millicores in the end, want those of its workers", got)
 	}
 }
 
-// Guards against callers who are told to come back together, and against
-// later callers who are told to wait for those that came early, or never.
+// Guards against callers that are told to retry at the same time, and against later
+// callers that wait for earlier ones which retry early, or never.
 func TestComeBackTimes(t *testing.T) {
 	var x retryTimes
 	const cores = 16_000
@@ -171,12 +172,12 @@
 	}
 	x.drop(job(6))
 	if x.work != 0 || len(x.byJob) != 0 {
-		t.Errorf("%d of work of %d jobs is left", x.work, len(x.byJob))
+		t.Errorf("%d of work of %d jobs remains", x.work, len(x.byJob))
 	}
 }
 
-// Guards against a burst of jobs that is accepted as a whole since none of it is committed
-// yet, and against work that counts twice, or for good, afterwards.
+// Guards against a burst of jobs that is accepted as a whole because none of it is
+// committed yet, and against proposed work that counts twice, or still counts afterwards.
 func TestProposedJobsCountForAdmission(t *testing.T) {
 	w := newWorld(t, 4) // 64 cores
 	w.run(200)
@@ -197,13 +198,13 @@
 		w.submit(job(k), step)
 	}
 	if admits(200) {
-		t.Error("accepted after a half of them was committed")
+		t.Error("accepted after half of them were committed")
 	}
 	for k := 2; k < n; k += 2 {
 		w.d.Decided(job(k))
 	}
 	if !admits(200) {
-		t.Error("refused after the other half never will be")
+		t.Error("refused although the other half will never be committed")
 	}
 	if w.d.proposed.ahead(owner{service: "names-api"}) != (workAhead{}) || len(w.d.proposals) != 0 {
 		t.Errorf("%v is left of what was proposed", w.d.proposed)
--- a/core/tackdispatch/bench_test.go
+++ b/core/tackdispatch/bench_test.go
@@ -15,12 +15,11 @@
 func benchWorld(b *testing.B, workers int) *world {
 	b.Helper()
 	w := newWorld(b, workers)
-	w.run(2 * beatEvery)
+	w.run(2 * heartbeatEvery)
 	return w
 }
 
-// BenchmarkHeartbeat takes in and answers a heartbeat of a worker that runs so
-// many items.
+// BenchmarkHeartbeat handles a heartbeat of a worker that runs the given number of items.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, items := range []int{8, 64, 512} {
 		b.Run(fmt.Sprintf("items=%d", items), func(b *testing.B) {
@@ -43,7 +42,7 @@
 	}
 }
 
-// BenchmarkAccept takes in a job and its end.
+// BenchmarkAccept adds and removes a job.
 func BenchmarkAccept(b *testing.B) {
 	w := benchWorld(b, 4)
 	j := &tackjob.Job{
@@ -81,9 +80,8 @@
 	}
 }
 
-// BenchmarkRoundWithGangs has every worker of a full pool send one heartbeat
-// while gangs wait for room. Time moves on by 3 ms with each, which is what 349
-// workers send.
+// BenchmarkRoundWithGangs has every worker of a full pool send one heartbeat while gangs
+// wait for room. Time advances by 3 ms with each, the rate of 349 workers.
 func BenchmarkRoundWithGangs(b *testing.B) {
 	const gangs = 100
 	for _, workers := range []int{48, 349} {
@@ -114,8 +112,8 @@
 	}
 }
 
-// BenchmarkPlan is one round of the planner: what a pool has and is to do, with ten
-// jobs that wait and one that runs for each four workers, and the moves.
+// BenchmarkPlan runs one round of the planner of moves, its input included. For every
+// four workers ten jobs wait and one runs.
 func BenchmarkPlan(b *testing.B) {
 	for _, workers := range []int{49, 350, 2300} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
@@ -134,7 +132,7 @@
 	}
 }
 
-// heapOf is how many bytes the heap grows by while something is built.
+// heapOf returns by how many bytes the heap grows while something is built.
 func heapOf(build func() any) float64 {
 	heap := func() uint64 {
 		runtime.GC()
@@ -149,8 +147,8 @@
 	return float64(after - before)
 }
 
-// BenchmarkHeldForAWorker reports what a leader holds for each worker that has reported and
-// runs nothing, in bytes.
+// BenchmarkHeldForAWorker reports the leader's memory for each worker that has reported
+// and runs nothing, in bytes.
 func BenchmarkHeldForAWorker(b *testing.B) {
 	const workers = 6000
 	for b.Loop() {
@@ -160,8 +158,8 @@
 	}
 }
 
-// BenchmarkHeldForAJob reports what a leader holds for each open job of one step of eight
-// items, its place in the log's state included, in bytes.
+// BenchmarkHeldForAJob reports the leader's memory for each open job of one step of eight
+// items, including its entry in the log's state, in bytes.
 func BenchmarkHeldForAJob(b *testing.B) {
 	const jobs = 10_000
 	for b.Loop() {
--- a/core/tackdispatch/cancel_test.go
+++ b/core/tackdispatch/cancel_test.go
@@ -8,6 +8,9 @@
 	"auburntack/core/tackwork"
 )
 
+// Guards against items of a cancelled job that run on: long-running items are listed by their
+// workers when the job is cancelled, and heartbeats carry no stop for them, because only
+// runs unknown to the dispatcher are stopped.
 func TestCancelStopsWhatRuns(t *testing.T) {
 	w := newWorld(t, 4)
 	w.submit(job(1), lasting(4, 1))
@@ -22,8 +25,8 @@
 	assertRuns(t, w, job(2), 0)
 }
 
-// Symptom: an item of a cancelled job runs on. Sequence: the answer with its start
-// is held up for three seconds, the leader takes the order for lost, the job is
+// Guards against an item of a cancelled job that runs on: the answer with its start is
+// delayed for three seconds, the leader assumes that the order was lost, the job is
 // cancelled, and then the worker starts the item.
 func TestCancelStopsWhatStartsLate(t *testing.T) {
 	assertLateStartsEnd(t, func(w *world) {
@@ -32,8 +35,8 @@
 	})
 }
 
-// Symptom: an item of a cancelled job runs on. Sequence: the leader that started it
-// is removed, and the next one takes the cancel in before it hears of the worker.
+// Guards against an item of a cancelled job that runs on: the leader that started it is
+// removed, and the next one handles the cancel before it has a report of the worker.
 func TestCancelStopsWhatAnEarlierLeaderStarted(t *testing.T) {
 	w := newWorld(t, 2)
 	w.submit(job(1), batch(8, 2, 20*tackclock.Second))
@@ -45,8 +48,9 @@
 	assertRuns(t, w, job(1), 0)
 }
 
-// Guards against an item of a cancelled job that runs on: its worker starts it late, after
-// the leader that ordered it was removed, and the job was cancelled under the next leader.
+// Guards against an item of a cancelled job that runs on: its worker starts it late,
+// after the leader that ordered it was removed and the job was cancelled under the next
+// leader.
 func TestCancelStopsLateStartsOfARemovedLeader(t *testing.T) {
 	assertLateStartsEnd(t, func(w *world) {
 		w.newLeader()
@@ -55,8 +59,8 @@
 	})
 }
 
-// assertLateStartsEnd fails the test unless two items of a job end whose starts are held up
-// while the job is cancelled: the worker begins them, and is told to stop them.
+// assertLateStartsEnd fails the test unless two items end whose starts are delayed while
+// their job is cancelled: the worker starts them, and is told to stop them.
 func assertLateStartsEnd(t *testing.T, cancel func(w *world)) {
 	t.Helper()
 	w := newWorld(t, 1)
@@ -70,15 +74,15 @@
 	m.cut = true
 	cancel(w)
 	m.cut = false
-	w.obey(m, w.now, &late)
+	w.applyOrders(m, w.now, &late)
 	assertRuns(t, w, job(1), 2)
 	w.run(600)
 	assertRuns(t, w, job(1), 0)
 }
 
-// Guards against starts that carry another item's checkpoint, or none though one was made:
-// items that make checkpoints are stopped, lost with their worker, and taken over by
-// another leader.
+// Guards against starts that carry another item's checkpoint, or none although one was
+// made. Items that make checkpoints are stopped, lost with their worker, and taken over
+// by another leader.
 func TestStartsResumeFromTheItemsOwnCheckpoint(t *testing.T) {
 	long := batch(8, 2, 6*tackclock.Second)
 	long.Checkpoints = true
@@ -104,7 +108,7 @@
 	}
 }
 
-// Symptom: an item that failed too often leaves its siblings running.
+// Guards against items that run on after another item of their job failed too often.
 func TestFailedJobStopsWhatRuns(t *testing.T) {
 	w := newWorld(t, 2)
 	w.submit(job(1), batch(20, 1, 20*tackclock.Second))
--- a/core/tackdispatch/copy_test.go
+++ b/core/tackdispatch/copy_test.go
@@ -14,11 +14,10 @@
 	return s
 }
 
-// Load pattern: a rack goes dark while its workers run items that may run in
-// copies.
+// Load pattern: a rack becomes unreachable while its workers run speculative items.
 //
-// Symptom: their jobs came late. Sequence: the workers fall silent; their items
-// wait for the end of the leases. Cause: nothing ran in copies.
+// Guards against late jobs: without copies, the items of the silent workers wait until
+// the leases end.
 func TestItemsOfSilentWorkersRunInCopies(t *testing.T) {
 	w := newWorld(t, 4)
 	w.submit(job(1), speculative(16, 800))
@@ -29,7 +28,7 @@
 }
 
 func TestCopies(t *testing.T) {
-	// cut has the job's item run on a worker that is cut off, and as a copy.
+	// cut runs the job's item on a worker that is cut off, and as a copy.
 	cut := func(t *testing.T) (*world, *modelWorker) {
 		t.Helper()
 		w := newWorld(t, 2)
@@ -56,8 +55,8 @@
 		assertPhase(t, w, job(1), tackjob.Complete)
 		assertRuns(t, w, job(1), 0)
 	})
-	// Symptom: a work item of a cancelled job runs on. Sequence: it runs on two
-	// workers; the job is cancelled. Cause: only the later run was known by item.
+	// Guards against an item of a cancelled job that runs on, because it ran on two
+	// workers and only the later run was known by its item.
 	t.Run("a cancel stops both", func(t *testing.T) {
 		w, host := cut(t)
 		host.cut = false
@@ -66,7 +65,7 @@
 		w.run(tackclock.Second)
 		assertRuns(t, w, job(1), 0)
 	})
-	t.Run("a worker that comes back before the copy began keeps its run", func(t *testing.T) {
+	t.Run("a worker that reports again before the copy starts keeps its run", func(t *testing.T) {
 		w := newWorld(t, 1)
 		w.submit(job(1), speculative(1, 20*tackclock.Second))
 		w.run(300)
@@ -76,12 +75,12 @@
 		w.run(2 * tackclock.Second)
 		assertRuns(t, w, job(1), 1)
 		if n := w.started[tackjob.Item{Job: job(1)}]; n != 1 {
-			t.Errorf("the item began %d times, want once", n)
+			t.Errorf("the item started %d times, want once", n)
 		}
 	})
-	// Symptom: an item began after its end was noted. Sequence: one run is done,
-	// the copy fails, the log takes both at once. Cause: a failure made the item
-	// wait again, done or not.
+	// Guards against an item that starts after its end was logged: one run is done, the
+	// copy fails, the log receives both at once, and the failure queues the item again
+	// although it is done.
 	t.Run("a copy that fails after the other is done starts nothing", func(t *testing.T) {
 		w, host := cut(t)
 		w.held = true
@@ -101,10 +100,10 @@
 		assertPhase(t, w, job(1), tackjob.Complete)
 		assertRuns(t, w, job(1), 0)
 	})
-	// Symptom: an item began after its end was noted. Sequence: two runs of an
-	// item end on one worker; the log takes the first. Cause: ends were told apart
-	// by their items alone, so the second was forgotten too.
-	t.Run("each end of an item is noted by itself", func(t *testing.T) {
+	// Guards against an item that starts after its end was acknowledged: two runs of an
+	// item end on one worker, and the log holds the first. When ends were told apart by
+	// their items only, the second was forgotten too.
+	t.Run("each end of an item is logged separately", func(t *testing.T) {
 		w := newWorld(t, 1)
 		w.submit(job(1), speculative(1, 20*tackclock.Second))
 		w.run(300)
@@ -116,12 +115,12 @@
 		known.ends.pending = map[uint64]tackjob.End{1: first, 2: second}
 		w.d.EndsNoted(m.id, []tackjob.End{first})
 		if n := known.ends.loggedUpTo(); n != 1 {
-			t.Errorf("ends up to %d are noted, want 1", n)
+			t.Errorf("ends up to %d are logged, want 1", n)
 		}
 	})
-	// Symptom: an item began after it had failed as often as it may. Sequence: the
-	// copy fails, then the earlier run. Cause: the earlier run's number is lower,
-	// and was taken for an end that was counted before.
+	// Guards against an item that starts after its last permitted failure: the copy
+	// fails, then the earlier run, whose lower number was taken for an end that had been
+	// counted before.
 	t.Run("failures count in any order", func(t *testing.T) {
 		w, host := cut(t)
 		other := w.workers[0]
--- a/core/tackdispatch/cost_test.go
+++ b/core/tackdispatch/cost_test.go
@@ -10,8 +10,8 @@
 	"auburntack/core/tackroom"
 )
 
-// crowd is a pool of workers that do what they are told and never end anything, without
-// the checks of a world.
+// crowd is a pool of workers that start what they are told to and never end anything,
+// without the checks of a world.
 type crowd struct {
 	now     tackclock.Time
 	d       *Dispatcher
@@ -37,8 +37,8 @@
 	c.d.Accepted(c.now, c.jobs.Accept(j, 1, c.now))
 }
 
-// round has every worker send a heartbeat within the time after which busy workers send
-// theirs, and returns what each made the dispatcher look at, and how many items were
+// round has every worker send one heartbeat, within the interval of busy workers. It
+// returns the mean number of examined objects for a heartbeat, and how many items were
 // started.
 func (c *crowd) round() (looked float64, started int) {
 	const tick = 25
@@ -58,7 +58,7 @@
 	return float64(c.d.Looked()-before) / float64(len(c.reports)), started
 }
 
-// assertFlat fails the test if the figure at the large size is over twice that at the
+// assertFlat fails the test if the value at the large size is over twice that at the
 // small one.
 func assertFlat(t *testing.T, what string, small, large float64) {
 	t.Helper()
@@ -68,8 +68,8 @@
 	}
 }
 
-// Guards against heartbeats whose cost grows with the workers of their pool and with what
-// waits there: a fleet of twice the size would cost its leader four times as much.
+// Guards against heartbeats whose cost grows with the number of workers in the pool and
+// with its queue: a fleet of twice the size would cost its leader four times as much.
 func TestHeartbeatCostBound(t *testing.T) {
 	const small, large = 349, 6000
 	long := func(count int, cores float64) tackjob.Step { return batch(count, cores, tackclock.Hour) }
@@ -117,12 +117,12 @@
 				}
 				looked[i], _ = c.round()
 			}
-			assertFlat(t, "looked at for a heartbeat", looked[0], looked[1])
+			assertFlat(t, "examined for a heartbeat", looked[0], looked[1])
 		})
 	}
 }
 
-// Guards against a request whose cost grows with the jobs that are open.
+// Guards against requests whose cost grows with the number of open jobs.
 func TestAdmissionCostBound(t *testing.T) {
 	looked := func(jobs int) float64 {
 		c := newCrowd(4)
@@ -136,29 +136,29 @@
 		c.d.Pending(testQueue.QueueKey)
 		return float64(c.d.Looked() - before)
 	}
-	assertFlat(t, "looked at for a request", looked(100), looked(10_000))
+	assertFlat(t, "examined for a request", looked(100), looked(10_000))
 }
 
-// Guards against sums of a pool, kept up with each change, that drift from what its
-// workers have.
+// assertSums fails the test if the totals of a pool, which are updated with each change,
+// differ from those of its workers.
 func assertSums(t failer, d *Dispatcher, now tackclock.Time) {
 	t.Helper()
 	for _, p := range d.pools {
 		var want totals
 		for at, w := range p.workers {
 			if w.index != at {
-				t.Fatalf("worker %s stands at %d, and says %d", w.id, at, w.index)
+				t.Fatalf("worker %s is at index %d, and has index %d", w.id, at, w.index)
 			}
 			want.add(&w.countedTotals)
 			if !w.draining && w.countedTotals.capacity != w.capacity {
-				t.Fatalf("worker %s counts with %v of %v", w.id, w.countedTotals.capacity, w.capacity)
+				t.Fatalf("worker %s is counted with %v of %v", w.id, w.countedTotals.capacity, w.capacity)
 			}
 			if x := w.freePosition; !x.indexed || p.free.bySize[x.size][x.at] != w {
-				t.Fatalf("worker %s is not where the index of free cores has it", w.id)
+				t.Fatalf("worker %s is not at its position in the index of free cores", w.id)
 			}
 		}
 		if want != p.totals {
-			t.Fatalf("the pool's sums are %+v, its workers have %+v", p.totals, want)
+			t.Fatalf("the pool's totals are %+v, those of its workers %+v", p.totals, want)
 		}
 	}
 	var work outstandingWork
@@ -169,7 +169,7 @@
 	}
 	for service, left := range d.outstanding.services {
 		if work.services[service] != left {
-			t.Fatalf("%s is owed %d, its jobs %d", service, left, work.services[service])
+			t.Fatalf("%s has %d outstanding work, its jobs %d", service, left, work.services[service])
 		}
 	}
 	for queue, n := range d.unstarted {
@@ -179,7 +179,7 @@
 			}
 		}
 		if n != 0 {
-			t.Fatalf("the count of jobs of %v that have not begun is off by %d", queue, n)
+			t.Fatalf("the count of unstarted jobs of %v is off by %d", queue, n)
 		}
 	}
 }
--- a/core/tackdispatch/crash_test.go
+++ b/core/tackdispatch/crash_test.go
@@ -11,27 +11,17 @@
 	"auburntack/core/tackwork"
 )
 
-// One item of a job crashed each worker that started it, some ten milliseconds after
-// the start. The items that ran beside it were lost with it each time, and when the
-// VM's next life reported three seconds later, all of them were ordered again
-// together, onto that very life. So a set of eight to eleven items went through ten
-// VMs of a pool, one after the other, under three leaders; one to two workers of the
-// pool were lost each second for over a minute, half of its items that last were not
-// at work, and two items crashed twenty workers and never ended.
+// Guards against an item that crashes one worker after the other, some ten milliseconds
+// after each start. The items beside it were lost each time, and all of them were ordered
+// again together when the VM's next life reported three seconds later. A set of eight to
+// eleven items went through ten VMs under three leaders in this way: one to two workers
+// were lost each second for over a minute, half of the pool's long-running items were not
+// serving, and two items crashed twenty workers and never ended.
 //
-// What settled it is the log of one leader, in which the numbers of one item's runs
-// rise with no end between them, and in which sound items of the same set are done
-// as soon as they land on another worker:
-//
-//	41.519 worker lost   another life on its VM  m-1eebb
-//	41.519 run ordered   item 0.0.0  run 3152671  worker_vm m-1eebb
-//	44.793 worker lost   another life on its VM  m-1eebb
-//	44.793 run ordered   item 0.0.0  run 3152791  worker_vm m-1eebb
-//	47.944 worker lost   another life on its VM  m-1eebb
-//	47.944 run ordered   item 0.0.0  run 3152849  worker_vm m-1eebb
-//
-// An item whose worker was lost waited again as if it had never been started: nothing
-// counted crashes, and nothing kept what was lost together apart.
+// The logs of one leader showed run numbers of one item that rose with no end in between,
+// while sound items of the same set completed as soon as they ran on another worker.
+// Items of a lost worker were queued as if they had never been started: crashes were not
+// counted, and items that were lost together were not separated.
 func TestItemThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	w := newWorld(t, 6)
 	w.crashes[tackjob.Item{Job: job(2), Index: 3}] = 10
@@ -43,11 +33,11 @@
 
 const (
 	neighboursLasting = 5
-	firstNeighbour    = 3 // job 1 lasts, job 2 is the one that they run beside
+	firstNeighbour    = 3 // job 1 is long-running, job 2 is the one that they run beside
 	lastNeighbour     = 8
 )
 
-// submitWithNeighbours hands in job 2 of one step, beside a job that lasts and others.
+// submitWithNeighbours submits job 2 of one step, beside a long-running job and others.
 func (w *world) submitWithNeighbours(step tackjob.Step) {
 	w.submit(job(1), lasting(neighboursLasting, 1))
 	w.run(2 * tackclock.Second)
@@ -65,9 +55,9 @@
 	}
 }
 
-// Each leader that follows another learns what runs from the workers' lists alone, and
-// an item whose worker crashed stands in none. The count of crashes must outlive its
-// leader, or an item that crashes workers starts anew with every election.
+// Guards against a count of crashes that starts anew with every election. A new leader
+// learns what runs only from the workers' reports, in which an item whose worker crashed
+// does not appear.
 func TestCrashesAreCountedAcrossLeaders(t *testing.T) {
 	w := newWorld(t, 6)
 	w.crashes[tackjob.Item{Job: job(1), Index: 1}] = 10
@@ -80,8 +70,8 @@
 	assertPhase(t, w, job(1), tackjob.Failed)
 }
 
-// Whatever an item is, and whenever it crashes its workers, it must be given up before
-// it has gone through the pool, and nothing that ran beside it may be.
+// Whatever kind an item is of, and whenever it crashes its workers, it must be given up
+// before it has crashed the whole pool, and nothing that ran beside it may be given up.
 func TestEveryKindOfItemThatCrashesWorkersIsGivenUp(t *testing.T) {
 	gang := batch(4, 3, 800)
 	gang.Gang = true
@@ -90,8 +80,8 @@
 	slow := batch(4, 2, 4*tackclock.Second)
 	for name, test := range map[string]struct {
 		step  tackjob.Step
-		after tackclock.Duration // its start, at which it crashes its worker
-		away  tackclock.Duration // of the VM, after the crash
+		after tackclock.Duration // time from its start until it crashes its worker
+		away  tackclock.Duration // how long the VM is down after the crash
 	}{
 		"alone in its job":             {batch(1, 2, 800), 10, 0},
 		"among others":                 {batch(4, 2, 800), 10, 0},
@@ -121,8 +111,8 @@
 	}
 }
 
-// A record that only the leader held would be gone with it, and one that a snapshot
-// leaves out with the next restart.
+// Guards against records of crashes that are held only by the leader, or missing from
+// snapshots, and so lost with the leader or with a restart.
 func TestCrashesAreKeptInSnapshots(t *testing.T) {
 	w := newWorld(t, 6)
 	w.crashes[tackjob.Item{Job: job(1), Index: 1}] = 10
@@ -143,8 +133,8 @@
 	assertPhase(t, w, job(1), tackjob.Failed)
 }
 
-// A life that ends by the system's own doing is no crash. Were it one, items that are
-// moved about would be given up.
+// Guards against counting the end of a life that the system itself ordered as a crash:
+// items that are moved would be given up.
 func TestOrderedEndsAreNoCrashes(t *testing.T) {
 	suspected := func(w *world) int {
 		n := 0
@@ -159,7 +149,7 @@
 	for name, end := range map[string]func(*world, *modelWorker){
 		"drained": func(w *world, m *modelWorker) {
 			m.draining = true
-			w.beat(m, false)
+			w.heartbeat(m, false)
 		},
 		"moved": func(w *world, m *modelWorker) {
 			w.d.Moving(w.now, tackpool.Move{VM: m.vm, To: "addresses"})
@@ -203,9 +193,8 @@
 	})
 }
 
-// A VM had its upkeep minutes ago; since then its lives have crashed under an item, one
-// after the other, and each time the call of then excused it. An order excuses the end of
-// the life for which it was given.
+// Guards against a long past upkeep of a VM that explains away later crashes on it. An
+// order explains only the end of the life for which it was given.
 func TestEarlierOrderExcusesNoLaterCrash(t *testing.T) {
 	w := newWorld(t, 2)
 	w.run(200)
@@ -216,16 +205,16 @@
 	w.run(2 * tackclock.Second)
 	w.addWorker("m-0", 0)
 	w.run(10 * tackclock.Second)
-	w.workers[1].dead = true // what crashes has but the VM that was taken down
+	w.workers[1].dead = true // only the VM that was taken down is left
 	w.crashes[tackjob.Item{Job: job(1)}] = 10
 	w.submit(job(1), batch(1, 2, 800))
 	w.run(40 * tackclock.Second)
 	assertPhase(t, w, job(1), tackjob.Failed)
 }
 
-// A leader is lost within a second of the first start of an item that crashes its worker,
-// so nobody knows of that crash. The ones that follow are noted before they can happen,
-// and the item gets one start more at most.
+// Guards against further starts of an item whose first crash no leader saw, because the
+// leader was lost within a second of the start. The crashes that follow are recorded
+// before they can happen, so the item gets at most one more start.
 func TestCrashThatNoLeaderSawCostsOneStart(t *testing.T) {
 	w := newWorld(t, 6)
 	item := tackjob.Item{Job: job(1)}
@@ -243,9 +232,10 @@
 	}
 }
 
-// An item to be tried waited for good. Every worker ran something that lasts, but for one
-// that was being emptied for its upkeep: that one started nothing, and the others left the
-// item to it. A worker that gets nothing must not count as one that could try it.
+// Guards against an item that waits for its trial forever. Every worker ran something
+// long-running except one, which was being emptied for its upkeep and started nothing,
+// while the others left the item to it. A worker that gets nothing new must not count as
+// one that could try it.
 func TestTrialDoesNotWaitForAWorkerThatIsEmptied(t *testing.T) {
 	w := newWorld(t, 3)
 	w.submit(job(1), lasting(2, 0))
@@ -263,8 +253,8 @@
 	assertPhase(t, w, job(2), tackjob.Complete)
 }
 
-// A crash takes several runs with it. The log must say which ones, for how long each
-// had run, and how many there were, or nobody can tell later which was at fault.
+// A crash ends several runs. The events must name them, how long each had run, and how
+// many there were, or it cannot be found out later which was at fault.
 func TestRunsLostWithTheirWorkerAreNamed(t *testing.T) {
 	w := newWorld(t, 1)
 	w.submit(job(1), batch(3, 2, 20*tackclock.Second))
@@ -289,12 +279,12 @@
 	}
 }
 
-// Guards against doubts about all that runs, when it is this VM or its network that was held
-// up: all workers fall silent, one after the other.
+// Guards against doubts about all runs when this VM or its network was held up, so that
+// all workers fall silent, one after the other.
 func TestSilenceOfMostWorkersRaisesNoDoubts(t *testing.T) {
 	w := newWorld(t, 40)
 	for i, m := range w.workers { // real workers don't report in step
-		m.beatAt = w.now.Add(tackclock.Duration(i) * 10)
+		m.heartbeatAt = w.now.Add(tackclock.Duration(i) * 10)
 	}
 	w.run(tackclock.Second)
 	w.submit(job(1), batch(40, 12, 20*tackclock.Second))
--- a/core/tackdispatch/demand_test.go
+++ b/core/tackdispatch/demand_test.go
@@ -10,8 +10,8 @@
 	"auburntack/core/tackroom"
 )
 
-// flood hands in a job of single items every 50 ms, more than the pool holds,
-// and moves time on by d.
+// flood submits a job of single items every 50 ms, more than the pool can run, and
+// advances time by d.
 func (w *world) flood(from int, d tackclock.Duration) {
 	for until, n := w.now.Add(d), from; w.now < until; n++ {
 		w.submit(job(n), batch(16, 2, 600))
@@ -21,9 +21,9 @@
 
 // Load pattern: a busy pool in which room becomes free item by item.
 //
-// Symptom: a gang did not start while the queue was busy. Sequence: workers are
-// full; the gang needs half of two of them at the same time; whatever ends is
-// followed by a single item at once. Cause: no room was kept for the gang.
+// Guards against a gang that does not start while the queue is busy: it needs half of two
+// full workers at the same time, and without a reservation each item that ends is
+// followed by a single item at once.
 func TestGangInABusyPool(t *testing.T) {
 	w := newWorld(t, 4)
 	w.flood(100, tackclock.Second)
@@ -34,12 +34,11 @@
 	assertPhase(t, w, job(1), tackjob.Complete)
 }
 
-// Load pattern: a busy pool of which one worker carries a label that some jobs
-// require.
+// Load pattern: a busy pool of which one worker has a label that some jobs require.
 //
-// Symptom: such jobs came late or never, others in time. Sequence: the labelled
-// worker is full of items that any worker could run. Cause: steps were taken by
-// their deadline alone.
+// Guards against such jobs being late, or never run, while others finish in time: if
+// steps are taken by deadline only, the labelled worker is full of items that any worker
+// could run.
 func TestLabelledItemsGoFirstOnTheirWorker(t *testing.T) {
 	w := newWorld(t, 5)
 	label := w.workers[4].rack // the only one on its rack
@@ -96,10 +95,10 @@
 			t.Errorf("demands %+v, want a worker for the item that has no room", got)
 		}
 	})
-	// Symptom: a pool that was asked four times what it holds got no VMs for ten
-	// seconds, while another had idle ones. Sequence: that other pool's jobs
-	// require a label that none of its VMs has. Cause: their work counted as a
-	// backlog of all its VMs, so it was behind and gave none.
+	// Guards against a pool that keeps VMs which it cannot use: a pool that was asked
+	// four times what it holds got no VMs for ten seconds, while another had idle ones.
+	// That other pool's jobs required a label that none of its VMs had, but their work
+	// counted as a backlog of all its VMs.
 	t.Run("work for a label is no work for workers without it", func(t *testing.T) {
 		w := newWorld(t, 8)
 		step := batch(800, 1, 500)
@@ -130,10 +129,9 @@
 			t.Errorf("demands %+v, want room for the gang", got)
 		}
 	})
-	// Symptom: items that last did not run for 15 s. Sequence: a data centre is cut
-	// off, and with it seven items of a step of which a VM may run one; a VM comes
-	// for each, one after the other. Cause: their cores were added up, and one VM
-	// has room for all.
+	// Guards against long-running items that do not run for 15 s. A data centre was cut
+	// off, and with it seven items of a step of which a VM may run one. Their cores were
+	// added up, one VM had room for all, and so VMs were sent one after the other.
 	t.Run("a VM for each item of which a worker may run one", func(t *testing.T) {
 		w := newWorld(t, 2)
 		step := lasting(5, 1)
@@ -164,12 +162,11 @@
 	})
 }
 
-// Load pattern: a queue of long jobs has had its turn, and the turn of a queue of
-// short ones begins.
+// Load pattern: the burst of a queue of long jobs ends as that of a queue of short ones
+// begins.
 //
-// Symptom: 37 VMs worked off long jobs that had 8 s left, while the pool of the
-// short ones, which had five, grew by three VMs a second. Cause: all work was to be
-// done within the same time.
+// Guards against the same time limit for all work: 37 VMs worked off long jobs that had 8
+// s left, while the pool of the short ones, which had five, grew by three VMs a second.
 func TestLongJobsPressLess(t *testing.T) {
 	pressing := func(estimate tackclock.Duration, chain int) int {
 		w := newWorld(t, 0)
@@ -183,7 +180,7 @@
 	short, long := pressing(800, 1), pressing(2000, 2)
 	// The long job is five times the work, and has 10 s in place of 4.9 s.
 	if long > 3*short {
-		t.Errorf("the long job presses for %d thousandths of a core, the short one for %d", long, short)
+		t.Errorf("the long job presses for %d millicores, the short one for %d", long, short)
 	}
 	t.Run("what is done of running items counts no more", func(t *testing.T) {
 		w := newWorld(t, 2)
@@ -197,7 +194,8 @@
 	})
 }
 
-// Symptom: an item starts on a VM that is about to move, which then cannot.
+// Guards against an item that starts on a VM which is about to move, and so delays the
+// move.
 func TestEmptiedWorkerGetsNothing(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(100)
@@ -209,12 +207,12 @@
 	assertRuns(t, w, job(1), 1)
 }
 
-// Load pattern: the queue of one pool asks four times what it holds while the
-// others stand idle.
+// Load pattern: the queue of one pool asks four times what it holds while the others are
+// idle.
 //
-// Before VMs were sent for what arrives they came when the backlog had grown to
-// 0.8 s of the pool's work. Net gain under faults on two fleets of 49 VMs: 0.42
-// before and 0.52 after, 0.52 and 0.63 (15 runs each).
+// Without regard to the rate of arriving work, VMs came only when the backlog had grown
+// to 0.8 s of the pool's work. Net gain under faults on two fleets of 49 VMs: 0.42
+// without and 0.52 with it, 0.52 and 0.63 (15 runs each).
 func TestVMsComeForWhatArrives(t *testing.T) {
 	w := newWorld(t, 2)
 	w.run(100)
--- a/core/tackdispatch/dispatch_test.go
+++ b/core/tackdispatch/dispatch_test.go
@@ -28,13 +28,9 @@
 	assertPhase(t, w, job(1), tackjob.Complete)
 }
 
-// Symptom: items of a cancelled job ran on for as long as their workers lived.
-// Sequence: items that last were running and listed; the job was cancelled and
-// the cancel acknowledged; heartbeats went on, without a stop. Cause: only runs
-// that dispatch did not know were ever stopped.
-// Symptom: an item would run twice. Sequence: a leader starts items; their
-// worker is cut off; another VM leads and hears nothing of them. Cause if it
-// goes wrong: the new leader does not wait for the lease that the old one gave.
+// Guards against an item that runs twice: a leader starts items, their worker is cut off,
+// and the next leader has no report of them. It must wait until the lease that the old
+// one gave has ended.
 func TestNewLeaderWaitsForLeases(t *testing.T) {
 	w := newWorld(t, 2)
 	w.submit(job(1), batch(6, 4, 30*tackclock.Second))
@@ -54,10 +50,9 @@
 	assertRuns(t, w, job(1), 6)
 }
 
-// Symptom: items ran twice. Sequence: a leader starts items; its proposal of
-// ends is rejected while it hands over, so it begins anew within its term; it
-// starts the same items elsewhere, under run numbers that were used before.
-// Cause: jobs of its own term counted as never started.
+// Guards against items that run twice: a leader's proposal of ends is rejected during a
+// handover, so it is reset within its term and starts the same items elsewhere, with run
+// numbers that were used before, because jobs of its own term count as never started.
 func TestResetWithinTermWaitsForLeases(t *testing.T) {
 	w := newWorld(t, 2)
 	w.submit(job(1), batch(6, 4, 30*tackclock.Second))
@@ -69,8 +64,8 @@
 	assertRuns(t, w, job(1), 6)
 }
 
-// Symptom: work that a crashed worker lost waits for a whole lease. Its VM's
-// next life proves that the former one is over.
+// Guards against work of a crashed worker that waits for the end of the lease although
+// the next life on its VM proves that the former one is over.
 func TestNextLifeFreesTheFormerAtOnce(t *testing.T) {
 	w := newWorld(t, 1)
 	w.submit(job(1), batch(4, 2, 10*tackclock.Second))
@@ -81,10 +76,10 @@
 	assertRuns(t, w, job(1), 4)
 }
 
-// Symptom: items ran twice after a change of the leader. Sequence: a heartbeat of a
-// worker is held up by a partition; the worker crashes, its VM comes back with
-// another life, which runs items; the new leader hears that life, then the late
-// heartbeat. Cause: whatever was heard last on a VM was taken for its newest life.
+// Guards against items that run twice after a change of leader: a heartbeat is delayed by
+// a partition, the worker crashes, and the next life on its VM runs items. The new leader
+// receives a heartbeat of that life, then the late one, and takes the sender of the last
+// heartbeat on a VM for its newest life.
 func TestLateHeartbeatOfAnEarlierLifeEndsNothing(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(2 * tackclock.Second)
@@ -104,18 +99,18 @@
 	assertRuns(t, w, job(1), 4)
 }
 
-// Symptom: an item is lost. Sequence: an answer with starts gets lost on its
-// way; the worker's next heartbeat lists nothing.
+// Guards against an item that is lost: an answer with starts is lost, and the worker's
+// next heartbeat does not list them.
 func TestLostAnswerIsMadeGood(t *testing.T) {
 	w := newWorld(t, 1)
 	w.submit(job(1), batch(4, 2, 500))
-	w.beat(w.workers[0], true)
+	w.heartbeat(w.workers[0], true)
 	w.run(3 * tackclock.Second)
 	assertPhase(t, w, job(1), tackjob.Complete)
 }
 
-// Symptom: ends are forgotten by their worker and gone with the leader.
-// Sequence: items end while the log commits nothing; another VM leads.
+// Guards against ends that are forgotten by their worker and lost with the leader: items
+// end while the log commits nothing, and another VM becomes leader.
 func TestEndsAreKeptUntilTheLogHasThem(t *testing.T) {
 	w := newWorld(t, 1)
 	w.submit(job(1), batch(4, 2, 500))
@@ -135,7 +130,7 @@
 	w := newWorld(t, 2)
 	w.run(200)
 	w.workers[0].draining = true
-	w.beat(w.workers[0], false)
+	w.heartbeat(w.workers[0], false)
 	w.submit(job(1), batch(12, 2, 500))
 	w.run(400)
 	if n := len(w.workers[0].runs); n != 0 {
@@ -155,9 +150,9 @@
 	}
 }
 
-// Symptom: jobs fail though they could be done. Sequence: one worker fails all
-// that it starts at once, so it always has room and draws the next items. Cause:
-// its heartbeats say that it is well.
+// Guards against jobs that fail although they could complete: a worker that fails
+// everything at once always has room and so gets the next items, while its heartbeats
+// look healthy.
 func TestWorkerThatFailsAllGetsNothing(t *testing.T) {
 	w := newWorld(t, 4)
 	w.workers[0].failing = true
@@ -170,17 +165,17 @@
 	}
 }
 
-// Symptom: a job is late by as long as a worker hangs. Sequence: items start on a
-// worker on which everything stands still; it goes on sending heartbeats.
+// Guards against a job that is late by the time for which a worker hangs: the worker's
+// items make no progress, but it goes on sending heartbeats.
 func TestItemThatStandsStillStartsElsewhere(t *testing.T) {
 	w := newWorld(t, 3)
-	w.workers[0].hung = true
+	w.workers[0].stalled = true
 	w.submit(job(1), batch(12, 3, 600))
 	w.run(4 * tackclock.Second)
 	assertPhase(t, w, job(1), tackjob.Complete)
 }
 
-// Symptom: a job waits for a worker that has turned slow, while others idle.
+// Guards against a job that waits for a worker that became slow, while others are idle.
 func TestSlowItemStartsElsewhere(t *testing.T) {
 	w := newWorld(t, 3)
 	w.workers[0].slow = 8
@@ -189,12 +184,12 @@
 	assertPhase(t, w, job(1), tackjob.Complete)
 }
 
-// Load pattern: a queue's turn, with estimates that are several times too low for
+// Load pattern: a burst of a queue, with estimates that are several times too low for
 // some steps.
 //
-// Symptom: jobs wait beside workers with room, also without faults. Sequence: a
-// worker holds the items of one such step, and nothing else that can be judged.
-// Cause: each item counted against the worker, though they share their estimate.
+// Guards against jobs that wait beside workers with room, even without faults: a worker
+// runs only items of one such step, and each of them counted against it, although they
+// share one estimate.
 func TestLowEstimateSpeaksAgainstNoWorker(t *testing.T) {
 	w := newWorld(t, 2)
 	w.actual = func(tackjob.Item, *tackjob.Step) tackclock.Duration { return 3 * tackclock.Second }
@@ -208,9 +203,9 @@
 	}
 }
 
-// Symptom: a job waits though workers are free. Sequence: a VM with room is
-// being emptied for its upkeep and still runs an item; a job comes.
-// Cause: empty workers left the job to it, and it gets nothing new.
+// Guards against a job that waits although workers are free: idle workers leave it to a
+// VM with room that is being emptied for its upkeep and still runs an item, but gets
+// nothing new.
 func TestEmptyWorkersDoNotLeaveWorkToOneThatIsEmptied(t *testing.T) {
 	w := newWorld(t, 1)
 	w.submit(job(1), batch(1, 1, 20*tackclock.Second))
@@ -222,8 +217,8 @@
 	assertPhase(t, w, job(2), tackjob.Complete)
 }
 
-// A gang works only once all its members are there, so they are started
-// together, under one number, where there is room for all.
+// A gang works only once all its members run, so they are started together, under one
+// number, where there is room for all.
 func TestGangStartsWhole(t *testing.T) {
 	gang := batch(6, 8, 500)
 	gang.Gang = true
@@ -305,9 +300,9 @@
 	assertPhase(t, w, job(1), tackjob.Complete)
 }
 
-// Symptom: a job never starts though workers are empty. Sequence: workers that
-// run something have processors to spare, but not what the job needs; empty ones
-// leave it to them. Cause: only processors were counted, and no time.
+// Guards against a job that never starts although workers are idle: they leave it to busy
+// workers that have cores to spare, but not the memory or the room on a single worker
+// that it needs.
 func TestEmptyWorkersTakeWhatOthersCannot(t *testing.T) {
 	assertDone := func(t *testing.T, step tackjob.Step) {
 		t.Helper()
@@ -335,7 +330,7 @@
 	})
 }
 
-// Where queues share a service, the one with the lower figure goes first.
+// Where queues share a service, the one with the lower priority value goes first.
 func TestPriorityGoesFirst(t *testing.T) {
 	w := newWorld(t, 1)
 	w.submit(job(1), batch(8, 4, 400))
@@ -352,10 +347,9 @@
 	assertPhase(t, w, job(2), tackjob.Open)
 }
 
-// Symptom: after a partition of a few seconds the workers behind it stay empty for
-// a minute, beside a queue of work. Sequence: a worker's heartbeats do not arrive
-// until its lease has run out; the partition heals, and it goes on with its life.
-// Cause: a worker whose lease had run out was taken for one whose life is over.
+// Guards against workers that stay idle for a minute after a partition of a few seconds,
+// beside a queue of work: a worker whose lease ran out behind the partition was taken for
+// one whose life is over.
 func TestWorkerBackAfterItsLeaseGetsWork(t *testing.T) {
 	w := newWorld(t, 1)
 	m := w.workers[0]
@@ -385,15 +379,15 @@
 	}
 }
 
-// Symptom: items ran twice at once. Sequence: a worker is cut off after its first
-// heartbeats, and one of them is held up; its lease runs out, its VM is taken down and
-// comes back with another life, which runs items; the partition heals and the early
-// heartbeat arrives. Cause: a worker whose lease had run out could join again, and one
-// of a life's first heartbeats ends the life before it.
+// Guards against items that run twice at once. A worker is cut off after its first
+// heartbeats, and one of them is delayed; its lease runs out, and the next life on its VM
+// runs items. When the partition heals, the early heartbeat arrives. A worker whose lease
+// had run out could join again, and one of a life's first heartbeats ends the life before
+// it.
 func TestLateHeartbeatAfterItsLeaseEndsNothing(t *testing.T) {
 	w := newWorld(t, 1)
 	m := w.workers[0]
-	w.beat(m, false)
+	w.heartbeat(m, false)
 	late := m.report(w) // the second of its life
 	m.cut = true
 	w.run(5 * tackclock.Second)
--- a/core/tackdispatch/late_test.go
+++ b/core/tackdispatch/late_test.go
@@ -7,7 +7,7 @@
 	"auburntack/core/tackjob"
 )
 
-// Guards against a step that waits for a second run of an item whose first has ended
+// Guards against a step that waits for a second run of an item whose first run ended
 // behind a partition.
 func TestEndBehindAPartitionCounts(t *testing.T) {
 	long := 20 * tackclock.Second
@@ -44,7 +44,7 @@
 	}
 }
 
-// assertStepRuns asserts how many items of a step run.
+// assertStepRuns fails the test unless the given number of items of a step run.
 func assertStepRuns(t *testing.T, w *world, id tackjob.ID, step int32, want int) {
 	t.Helper()
 	n := 0
--- a/core/tackdispatch/life_test.go
+++ b/core/tackdispatch/life_test.go
@@ -10,11 +10,11 @@
 	"auburntack/core/tackjob"
 )
 
-// newTelling is a world whose workers say when their lives began, and have reported for a
-// while.
-func newTelling(t *testing.T, workers int) *world {
+// newStartTimeWorld returns a world whose workers report when their lives began, after
+// their first heartbeats.
+func newStartTimeWorld(t *testing.T, workers int) *world {
 	w := newWorld(t, 0)
-	w.tellsBorn = true
+	w.sendsStartTimes = true
 	for n := range workers {
 		w.addWorker(tackid.VM(fmt.Sprintf("m-%d", n)), 0)
 	}
@@ -45,15 +45,15 @@
 		}
 	}
 	if id, ok := NewWorkerID("i-1@7", 0); ok {
-		t.Errorf("a name that looks like a life is taken for %q", id)
+		t.Errorf("a name that contains the separator gives id %q", id)
 	}
 }
 
-// Symptom: a worker that started again under its id got no work, or its items ran twice.
-// Sequence: it crashes and starts again; its counts start anew, so its heartbeats and
-// ends have numbers that were seen. Cause: one id was taken for one life.
+// Guards against a worker that restarts under its id and gets no work, or whose items run
+// twice: it numbers its heartbeats and ends from one again, and those numbers were
+// processed before. One id was taken for one life.
 func TestWorkerStartsAgainUnderItsName(t *testing.T) {
-	w := newTelling(t, 2)
+	w := newStartTimeWorld(t, 2)
 	m := w.workers[0]
 	w.submit(job(1), batch(12, 2, 20*tackclock.Second))
 	w.run(2 * tackclock.Second)
@@ -76,20 +76,20 @@
 	})
 }
 
-// Symptom: an item runs twice. Sequence: a worker sends its first heartbeats, of which two
-// are held up; it crashes and starts again under its id; another leader begins and hears
-// of the later life alone; the heartbeats of the former one arrive, with low numbers.
-// Cause: a first heartbeat was believed whatever was known, and ended the life that runs.
+// Guards against an item that runs twice. Two of a worker's first heartbeats are delayed,
+// it restarts under its id, and another leader knows only of the later life. When the
+// heartbeats of the former life arrive, with their low numbers, they must not end the
+// life that runs.
 func TestLateHeartbeatsOfAnEarlierLife(t *testing.T) {
 	for name, silent := range map[string]tackclock.Duration{
 		"while the later life reports": 0, "while it is silent": 2500, "after its lease ran out": 6000,
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 1)
-			w.tellsBorn = true
+			w.sendsStartTimes = true
 			m := w.addWorker("m-7", 1)
-			w.delay(m)
-			w.delay(m)
+			w.delayHeartbeat(m)
+			w.delayHeartbeat(m)
 			w.run(200)
 			next := w.restart(m, 0)
 			w.newLeader()
@@ -100,7 +100,7 @@
 			}
 			next.cut = silent > 0
 			w.run(silent)
-			w.arrive()
+			w.deliverDelayed()
 			assertKnown(t, w, m, false)
 			next.cut = false
 			w.run(3 * tackclock.Second) // the world fails the test where an item runs twice
@@ -111,9 +111,9 @@
 }
 
 // A worker's clock may be set back while it is down, so that a later life seems to have
-// begun earlier. It goes on to report, which no late heartbeat does.
+// begun earlier. It keeps reporting, which late heartbeats do not.
 func TestLaterLifeWithAnEarlierStart(t *testing.T) {
-	w := newTelling(t, 1)
+	w := newStartTimeWorld(t, 1)
 	m := w.workers[0]
 	w.submit(job(1), batch(4, 2, 20*tackclock.Second))
 	w.run(tackclock.Second)
@@ -125,10 +125,10 @@
 	assertRuns(t, w, job(1), 4)
 }
 
-// A heartbeat without a start cannot be of a worker that tells it in others. A worker
-// that tells it ends a life that was known without.
+// A heartbeat without a start time cannot come from a worker that sends one in others. A
+// worker that sends it replaces a life that was known without.
 func TestHeartbeatWithoutAStart(t *testing.T) {
-	w := newTelling(t, 1)
+	w := newStartTimeWorld(t, 1)
 	m := w.workers[0]
 	r := m.report(w)
 	r.Worker = WorkerID(m.name)
@@ -145,15 +145,15 @@
 		w.run(tackclock.Second)
 		assertKnown(t, w, m, true)
 		if w.d.Knows(WorkerID(m.name)) {
-			t.Error("the life without a start is known still")
+			t.Error("the life without a start time is still known")
 		}
 	})
 }
 
-// Symptom: an item runs twice. Sequence: a worker says goodbye, which is held up; it
-// starts again under its id and runs items; the goodbye arrives.
+// Guards against an item that runs twice: a worker's goodbye is delayed, it restarts
+// under its id and runs items, and then the goodbye arrives.
 func TestLateGoodbye(t *testing.T) {
-	w := newTelling(t, 2)
+	w := newStartTimeWorld(t, 2)
 	m := w.workers[0]
 	next := w.restart(m, 0)
 	w.run(500)
--- a/core/tackdispatch/limit_test.go
+++ b/core/tackdispatch/limit_test.go
@@ -9,17 +9,17 @@
 	"auburntack/core/tackwork"
 )
 
-// A gang's starts are planned when there is room for all of it, and each goes out with
-// its worker's next heartbeat. A worker's room shrank in between; the start went out all
-// the same, and since that worker refuses nothing, it ran more than it had room for.
-// Nothing looked at the room again between the plan and the order.
+// Guards against a planned start of a gang's member that no longer fits. The starts are
+// planned when there is room for all, and each is sent in the answer to its worker's next
+// heartbeat. If the worker's room shrinks in between and is not checked again, a worker
+// that refuses nothing runs more than it has room for.
 func TestRoomThatShrinksBeforeAPlannedStart(t *testing.T) {
 	gang := batch(2, 10, 500)
 	gang.Gang = true
 	w := newWorld(t, 2)
 	w.run(200)
 	w.submit(job(1), gang)
-	w.beat(w.workers[0], false) // plans both members, and sends none
+	w.heartbeat(w.workers[0], false) // plans both members, and sends none
 	for _, m := range w.workers {
 		m.resize(tackroom.Room{MilliCores: 8000, MemoryMB: 32768})
 	}
--- a/core/tackdispatch/overlap_test.go
+++ b/core/tackdispatch/overlap_test.go
@@ -12,22 +12,22 @@
 )
 
 type (
-	// overlap is callers whose queues' turns come at the same time on one pool: short jobs
-	// of small items and long ones of large items, together twice what the pool does.
-	// Callers that are refused come back when they are told to.
+	// overlap is a model of callers whose queues' bursts overlap on one pool: short jobs
+	// of small items and long ones of large items, together twice what the pool can run.
+	// Refused callers retry when they are told to.
 	overlap struct {
-		w    *world
-		draw *rand.Rand
-		pool int // workers
-		jobs map[tackjob.ID]*offered
-		back []*offered // that were refused
-		open []*offered // that were accepted, and are not done
-		// cameBack counts the tries of callers who had been refused, refusedAgain those
-		// that were in vain.
-		cameBack, refusedAgain int
+		w       *world
+		draw    *rand.Rand
+		pool    int // workers
+		jobs    map[tackjob.ID]*offered
+		refused []*offered // were refused
+		open    []*offered // were accepted, and are not done
+		// retries counts the attempts of callers that had been refused, and refusedAgain
+		// those that were refused again.
+		retries, refusedAgain int
 	}
 
-	// offered is a job that a caller hands in until it is accepted.
+	// offered is a job that a caller submits until it is accepted.
 	offered struct {
 		spec       *tackjob.Spec
 		tries      int
@@ -43,8 +43,8 @@
 	return o
 }
 
-// arrive hands in what comes in one step of the world: load times what the pool does
-// meanwhile, one half of it small items, one half large ones.
+// arrive submits the jobs of one step of the world: load times what the pool can run
+// meanwhile, half of it small items and half large ones.
 func (o *overlap) arrive(load float64) {
 	const small, large = 8 * 0.8 * 3.2, 2 * 8 * 1.3 * 6.9 // core-seconds of a job
 	asked := load * float64(o.pool*16) * 0.025
@@ -56,7 +56,7 @@
 	}
 }
 
-// count draws how many come where so many do on the mean.
+// count draws a number of jobs with the given mean.
 func (o *overlap) count(mean float64) int {
 	n := int(mean)
 	if o.draw.Float64() < mean-float64(n) {
@@ -75,7 +75,7 @@
 func (o *overlap) try(x *offered) {
 	x.tries++
 	if x.tries > 1 {
-		o.cameBack++
+		o.retries++
 	}
 	a := o.w.d.Admit(o.w.now, &testQueue, x.spec, "")
 	if a.Accepted {
@@ -88,18 +88,18 @@
 		o.refusedAgain++
 	}
 	x.at = o.w.now.Add(a.ComeBack)
-	o.back = append(o.back, x)
+	o.refused = append(o.refused, x)
 }
 
-// run moves time on with a load; refused callers come back if they are due.
+// run advances time under a load; refused callers retry when they are due.
 func (o *overlap) run(d tackclock.Duration, load float64) {
 	for until := o.w.now.Add(d); o.w.now < until; {
 		o.arrive(load)
-		due := o.back
-		o.back = nil
+		due := o.refused
+		o.refused = nil
 		for _, x := range due {
 			if x.at > o.w.now {
-				o.back = append(o.back, x)
+				o.refused = append(o.refused, x)
 				continue
 			}
 			o.try(x)
@@ -115,7 +115,7 @@
 	}
 }
 
-// busy is the part of the pool's cores that run something, in percent.
+// busy returns the part of the pool's cores that are in use, in percent.
 func (o *overlap) busy() int {
 	var used tackroom.Room
 	for _, m := range o.w.workers {
@@ -126,10 +126,10 @@
 	return used.MilliCores * 100 / (o.pool * 16_000)
 }
 
-// turn plays eight seconds of a load, and returns what part of the cores ran something
-// after the first two, in percent. Then nothing new comes until all is done, or for a
+// burst runs eight seconds of a load and returns the part of the cores that were in use
+// after the first two, in percent. Then no jobs are added until all are done, or for a
 // minute.
-func (o *overlap) turn(load float64) int {
+func (o *overlap) burst(load float64) int {
 	const looks = 24
 	o.run(2*tackclock.Second, load)
 	busy := 0
@@ -137,13 +137,13 @@
 		o.run(250, load)
 		busy += o.busy()
 	}
-	for until := o.w.now.Add(tackclock.Minute); o.w.now < until && len(o.open)+len(o.back) > 0; {
+	for until := o.w.now.Add(tackclock.Minute); o.w.now < until && len(o.open)+len(o.refused) > 0; {
 		o.run(tackclock.Second, 0)
 	}
 	return busy / looks
 }
 
-// eachOverlap runs a test for pools of two sizes, loads and some seeds.
+// eachOverlap runs a test for pools of two sizes, the given loads and some seeds.
 func eachOverlap(t *testing.T, loads []float64, test func(t *testing.T, o *overlap, load float64)) {
 	for _, load := range loads {
 		for _, workers := range []int{12, 32} {
@@ -156,34 +156,34 @@
 	}
 }
 
-// Load pattern: turns of several queues overlap on one pool, of which they ask several
-// times what it does for eight seconds, and callers come back when they are told to. It
-// guards against jobs that are accepted and late, against a pool that does less the more is
-// asked of it, and against callers who are turned away after the load.
+// Load pattern: bursts of several queues overlap on one pool. For eight seconds they
+// submit several times what it can run, and refused callers retry when they are told to.
+// The test guards against jobs that are accepted and late, against a pool that does less
+// the more is asked of it, and against refusals after the load.
 func TestOverlappingTurns(t *testing.T) {
 	eachOverlap(t, []float64{2, 4}, func(t *testing.T, o *overlap, load float64) {
-		o.w.d.cfg.AdmitPercent = 100 // no VMs come from other pools
-		busy := o.turn(load)
+		o.w.d.cfg.AdmitPercent = 100 // no VMs arrive from other pools
+		busy := o.burst(load)
 		o.assertServed(t)
 		if busy < 75 { // two large items leave a seventh of a worker free
-			t.Errorf("%d %% of the cores run something while twice as much waits", busy)
+			t.Errorf("%d %% of the cores are in use while twice as much waits", busy)
 		}
 	})
 }
 
-// Load pattern: the same. It guards against callers who are told a time at which most of
-// them are refused again, since all the others were told the same.
+// Load pattern: the same. The test guards against callers that are told a time at which
+// most of them are refused again, because all were told the same.
 func TestComeBackTimesHold(t *testing.T) {
 	eachOverlap(t, []float64{2, 4}, func(t *testing.T, o *overlap, load float64) {
-		o.turn(load)
-		if o.refusedAgain*2 > o.cameBack {
-			t.Errorf("%d of %d callers who came back when told to were refused again", o.refusedAgain, o.cameBack)
+		o.burst(load)
+		if o.refusedAgain*2 > o.retries {
+			t.Errorf("%d of %d callers that retried when told to were refused again", o.refusedAgain, o.retries)
 		}
 	})
 }
 
-// assertServed fails the test unless all jobs were accepted in the end, all that were are
-// done, and nine of ten in time.
+// assertServed fails the test unless all jobs were accepted in the end, all accepted ones
+// are done, and nine of ten are in time.
 func (o *overlap) assertServed(t *testing.T) {
 	t.Helper()
 	late := 0
--- a/core/tackdispatch/pools_test.go
+++ b/core/tackdispatch/pools_test.go
@@ -12,8 +12,8 @@
 	Version: 1, Services: []tackcatalog.Service{{Name: "names-api", Guards: true}, {Name: "backoffice", Standby: true}},
 }
 
-// standingIn counts a pool's VMs and those on their way there.
-func (w *world) standingIn(name tackid.Service) (vms, coming int) {
+// vmsIn counts a pool's VMs and those on their way there.
+func (w *world) vmsIn(name tackid.Service) (vms, coming int) {
 	for _, p := range w.d.Pools(w.now, &withStandby, func(tackid.VM) bool { return true }) {
 		if p.Service == name {
 			return len(p.VMs), len(p.Coming)
@@ -22,9 +22,9 @@
 	return 0, 0
 }
 
-// Symptom: a pool that is short of VMs gets none of those that went to rest two seconds
-// before. Sequence: a VM is sent to the standby pool; the platform consents; nothing
-// reports from there. Cause: its move was taken to last until it had surely failed.
+// Guards against a pool that is short of VMs and cannot get those that were sent to the
+// standby pool two seconds before: nothing reports from there, so their moves seemed to
+// last until they had certainly failed.
 func TestVMAtRestCanBeCalledBack(t *testing.T) {
 	w := newWorld(t, 2)
 	w.run(300)
@@ -33,8 +33,8 @@
 	m.dead = true
 	assert := func(vms, coming int) {
 		t.Helper()
-		if v, c := w.standingIn("backoffice"); v != vms || c != coming {
-			t.Errorf("%d VMs rest and %d are on their way, want %d and %d", v, c, vms, coming)
+		if v, c := w.vmsIn("backoffice"); v != vms || c != coming {
+			t.Errorf("%d VMs are in standby and %d are on their way, want %d and %d", v, c, vms, coming)
 		}
 	}
 	w.run(200)
--- a/core/tackdispatch/quota_test.go
+++ b/core/tackdispatch/quota_test.go
@@ -17,12 +17,12 @@
 func assertRunning(t *testing.T, w *world, cores int) {
 	t.Helper()
 	if got := w.runningOf("mairies").MilliCores; got != 1000*cores {
-		t.Errorf("%d thousandths of a core run, want %d cores", got, cores)
+		t.Errorf("%d millicores are in use, want %d cores", got, cores)
 	}
 }
 
-// newCapped is a world in which a workspace has a cap, past the leases of leaders that
-// may have been before.
+// newCapped returns a world in which a workspace has a cap, after the end of all leases
+// that earlier leaders may have given.
 func newCapped(t *testing.T, workers, cores int) *world {
 	w := newWorld(t, workers)
 	w.putCaps(caps(cores))
@@ -30,8 +30,8 @@
 	return w
 }
 
-// Symptom: a workspace has more running than its cap. Sequence: it hands in more than
-// that at once, on workers with room for all. Cause: nothing counted what it runs.
+// Guards against a workspace with more running than its cap: it submits more than that at
+// once, to workers with room for all.
 func TestCapHolds(t *testing.T) {
 	w := newCapped(t, 6, 20)
 	w.submitFor("mairies", job(1), batch(30, 2, 3000))
@@ -66,7 +66,7 @@
 	})
 }
 
-// Guards against a planned start that goes out beyond its workspace's cap, which was lowered
+// Guards against a planned start that is sent although its workspace's cap was lowered
 // since: a gang's member waits for its worker's next heartbeat.
 func TestPlannedStartKeepsALoweredCap(t *testing.T) {
 	w := newCapped(t, 3, 10)
@@ -78,7 +78,7 @@
 		w.d.Tick(w.now)
 		m := w.workers[0]
 		before := len(w.d.running)
-		if w.beat(m, false); len(w.d.running) > before {
+		if w.heartbeat(m, false); len(w.d.running) > before {
 			break
 		}
 	}
@@ -92,9 +92,9 @@
 	}
 }
 
-// Symptom: under the next leader a workspace has more running than its cap, or nothing
-// of it starts for a whole lease. Sequence: a leader is lost while the workspace runs a
-// part of what it may; a job comes to the next one, which has heard of no worker.
+// Guards against a workspace that exceeds its cap under the next leader, or of which
+// nothing starts for the duration of a lease. A leader is lost while the workspace uses a
+// part of its cap, and a job is submitted to the next one, which has no reports yet.
 func TestNextLeaderKeepsTheCap(t *testing.T) {
 	w := newCapped(t, 6, 40)
 	w.submitFor("mairies", job(1), batch(8, 2, 20*tackclock.Second))
@@ -107,7 +107,7 @@
 	w.submitFor("mairies", job(2), batch(20, 2, 20*tackclock.Second))
 	w.run(500)
 	if got := w.runningOf("mairies").MilliCores; got <= 16_000 || got > 40_000 {
-		t.Errorf("%d thousandths of a core run, want some more than 16 cores and no more than 40", got)
+		t.Errorf("%d millicores are in use, want more than 16 cores and no more than 40", got)
 	}
 	w.run(8 * tackclock.Second)
 	for _, m := range w.workers[:3] {
@@ -117,7 +117,7 @@
 	assertRunning(t, w, 40)
 }
 
-// What must be stopped counts until its worker has listed its end.
+// A run that must stop counts against the cap until its worker has listed its end.
 func TestWhatIsStoppedCounts(t *testing.T) {
 	w := newCapped(t, 4, 10)
 	w.submitFor("mairies", job(1), batch(5, 2, 20*tackclock.Second))
@@ -129,7 +129,7 @@
 	assertRuns(t, w, job(2), 5)
 }
 
-// An item that is larger than the cap still gets on, by itself.
+// An item that is larger than the cap still runs, by itself.
 func TestItemBeyondTheCapRunsAlone(t *testing.T) {
 	w := newCapped(t, 4, 3)
 	w.submitFor("mairies", job(1), batch(3, 4, 500))
--- a/core/tackdispatch/retry_test.go
+++ b/core/tackdispatch/retry_test.go
@@ -7,7 +7,7 @@
 	"auburntack/core/tackjob"
 )
 
-// heartbeats is how many heartbeats the world's workers send while it runs.
+// heartbeats runs the world for d and returns how many heartbeats its workers sent.
 func heartbeats(w *world, d tackclock.Duration) uint64 {
 	var sum uint64
 	for _, m := range w.workers {
@@ -20,10 +20,9 @@
 	return sum
 }
 
-// Symptom: the leader of a large fleet is busy with answers that order nothing, and
-// late with the others. Sequence: a turn is over, hundreds of workers have room, and
-// each asks several times a second. Cause: how often a worker asks did not depend on
-// how many others do.
+// Guards against a leader of a large fleet that is busy with answers that order nothing,
+// and so late with the others. After a burst hundreds of workers have room, and each
+// asked several times a second, however many others did.
 //
 // Of 200 workers without work 1,334 heartbeats a second came before, 500 come now.
 func TestWorkersOfALargePoolAskLessOften(t *testing.T) {
@@ -42,10 +41,10 @@
 			t.Errorf("%d heartbeats of 200 workers in 3 s, want under 3 a second each", got)
 		}
 	})
-	t.Run("work that comes to it starts as soon", func(t *testing.T) {
+	t.Run("new work in it starts as soon", func(t *testing.T) {
 		w := newWorld(t, 200)
 		for i, m := range w.workers { // real workers don't ask in step
-			m.beatAt = w.now.Add(tackclock.Duration(i) * 2)
+			m.heartbeatAt = w.now.Add(tackclock.Duration(i) * 2)
 		}
 		w.run(2 * second)
 		w.submit(job(1), batch(8, 2, 2*second))
--- a/core/tackdispatch/schedule_test.go
+++ b/core/tackdispatch/schedule_test.go
@@ -16,11 +16,11 @@
 	"auburntack/core/tackwork"
 )
 
-// act does one random thing to the world.
+// act applies one random action to the world.
 func (w *world) act(t *rapid.T, jobs *int) {
 	m := w.workers[rapid.IntRange(0, len(w.workers)-1).Draw(t, "worker")]
 	if m.dead {
-		return // its VM has another life, which is in the list as well
+		return // the next life of its VM is in the list as well
 	}
 	switch rapid.SampledFrom([]string{
 		"submit", "submit", "submit", "cancel", "crash", "cut", "heal", "leave", "leader", "hold", "release", "lost",
@@ -44,10 +44,10 @@
 	case "cut":
 		m.cut = true
 	case "heal":
-		m.cut, m.hung, m.failing = false, false, false
+		m.cut, m.stalled, m.failing = false, false, false
 	case "leave":
 		m.draining = true
-		w.addWorker(tackid.VM(fmt.Sprintf("n-%d", w.lives)), 1)
+		w.addWorker(tackid.VM(fmt.Sprintf("n-%d", w.lifeCount)), 1)
 	case "leader":
 		w.newLeader()
 	case "hold":
@@ -55,9 +55,9 @@
 	case "release":
 		w.release()
 	case "lost":
-		w.beat(m, true)
+		w.heartbeat(m, true)
 	case "hang":
-		m.hung = true
+		m.stalled = true
 	case "fail":
 		m.failing = true
 	case "reset":
@@ -66,11 +66,11 @@
 	case "upkeep":
 		w.takeDownRandom(m)
 	case "delay":
-		w.delay(m)
+		w.delayHeartbeat(m)
 	case "arrive":
-		w.arrive()
+		w.deliverDelayed()
 	case "double":
-		w.receive(w.delay(m))
+		w.receive(w.delayHeartbeat(m))
 	case "relay":
 		w.relayRandom(t, m)
 	case "foreign":
@@ -86,16 +86,16 @@
 	}
 }
 
-// relayRandom has a heartbeat and its answer be under way for a while, as through a relay,
-// within the second after which the worker gives the answer up. Another leader may come to
-// lead before or after the one that answers.
+// relayRandom delays a heartbeat and its answer, as a relay may, within the second after
+// which the worker gives up waiting for the answer. Another leader may take over before
+// or after the one that answers.
 func (w *world) relayRandom(t *rapid.T, m *modelWorker) {
-	if m.cut || m.dead || m.born == 0 && m.sequence < maxFirstSequence {
+	if m.cut || m.dead || m.startedAt == 0 && m.sequence < maxFirstSequence {
 		return
 	}
 	const givenUp = 1000
 	sent, report := w.now, m.report(w)
-	m.beatAt = w.now.Add(givenUp)
+	m.heartbeatAt = w.now.Add(givenUp)
 	w.run(tackclock.Duration(rapid.IntRange(0, 500).Draw(t, "to the leader")))
 	if rapid.IntRange(0, 3).Draw(t, "leader before") == 0 {
 		w.newLeader()
@@ -106,12 +106,13 @@
 	}
 	w.run(tackclock.Duration(rapid.IntRange(0, givenUp).Draw(t, "to the worker")))
 	if !m.dead && o.Hold > 0 && w.now.Sub(sent) <= givenUp {
-		w.obey(m, sent, &o)
+		w.applyOrders(m, sent, &o)
 	}
 }
 
-// foreign has another program send heartbeats in the worker's name. They must change
-// nothing: the world checks afterwards that the worker's own ones are still obeyed.
+// foreign sends heartbeats of another program in the worker's name. They must change
+// nothing: the world checks afterwards that the worker's own heartbeats are still
+// answered.
 func (w *world) foreign(t *rapid.T, m *modelWorker) {
 	known := w.d.workers[m.id]
 	if known == nil {
@@ -154,11 +155,11 @@
 	w.submitFor(name, job(*jobs), first, batch(2, 1, estimate, 0))
 }
 
-// restartRandom has a worker start again under its name, at once or after a while for
-// which its VM is away. A clock is not set back past a heartbeat that is one of the
-// first of its life and held up: a leader that knows of neither cannot tell them apart.
+// restartRandom restarts a worker under its name, at once or after its VM was down for a
+// while. The clock is not set back if a first heartbeat of the worker's life is delayed:
+// a leader that knows of neither life cannot tell them apart.
 func (w *world) restartRandom(t *rapid.T, m *modelWorker) {
-	if m.born == 0 {
+	if m.startedAt == 0 {
 		return
 	}
 	setBack := tackclock.Duration(0)
@@ -166,10 +167,10 @@
 		setBack = tackclock.Duration(rapid.IntRange(1, 100_000).Draw(t, "set back"))
 	}
 	next := w.restart(m, setBack)
-	next.beatAt = w.now.Add(tackclock.Duration(rapid.IntRange(0, 3000).Draw(t, "away")))
+	next.heartbeatAt = w.now.Add(tackclock.Duration(rapid.IntRange(0, 3000).Draw(t, "away")))
 }
 
-// putRandomCaps lowers and raises caps, from nothing to no bound.
+// putRandomCaps sets random caps, from nothing to unlimited.
 func (w *world) putRandomCaps(t *rapid.T) {
 	caps := make(map[tackid.Workspace]tackroom.Room)
 	for _, name := range []tackid.Workspace{"mairies", "postes"} {
@@ -180,7 +181,7 @@
 	w.putCaps(caps)
 }
 
-// takeDownRandom has a wave of one VM go as far as it goes at once.
+// takeDownRandom runs a wave of one VM as far as it goes at once.
 func (w *world) takeDownRandom(m *modelWorker) {
 	wave := newWave(w, 1, m.vm)
 	w.run(200)
@@ -190,14 +191,14 @@
 	}
 }
 
-// TestRandomSchedules checks, over random failures, that no item runs twice,
-// no worker is filled beyond its capacity, steps keep their order, nothing
-// starts after its end was noted, and everything accepted comes to its end once
-// the failures stop. The world checks all but the last at every step.
+// TestRandomSchedules checks, over random failures, that no item runs twice, no worker is
+// filled beyond its capacity, steps keep their order, nothing starts after its end was
+// acknowledged, and every accepted job reaches its end once the failures stop. The world
+// checks all but the last at every step.
 func TestRandomSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, 0)
-		w.tellsBorn = rapid.Bool().Draw(t, "tells born")
+		w.sendsStartTimes = rapid.Bool().Draw(t, "tells born")
 		for n := range 5 {
 			w.addWorker(tackid.VM(fmt.Sprintf("m-%d", n)), n/4)
 		}
@@ -209,7 +210,7 @@
 		}
 		w.release()
 		for _, m := range w.workers {
-			m.cut, m.hung, m.failing = false, false, false
+			m.cut, m.stalled, m.failing = false, false, false
 			m.resize(tackroom.Room{MilliCores: 16000, MemoryMB: 32768})
 		}
 		w.putCaps(map[tackid.Workspace]tackroom.Room{"mairies": {}, "postes": {}})
@@ -221,14 +222,14 @@
 	})
 }
 
-// checkEnds is what must hold a while after the last failure.
+// checkEnds checks what must hold a while after the last failure.
 func (w *world) checkEnds(jobs int) {
 	w.t.Helper()
 	for n := 1; n <= jobs; n++ {
 		j := w.state.Jobs.Get(job(n))
 		if j == nil || j.Phase != tackjob.Open {
 			if w.runsOf(job(n)) > 0 {
-				w.t.Fatalf("items of job %d run on, and it is %v", n, j.Phase)
+				w.t.Fatalf("items of job %d still run, and it is %v", n, j.Phase)
 			}
 			continue
 		}
@@ -236,7 +237,7 @@
 			w.t.Fatalf("job %d is still open", n)
 		}
 		if got, want := w.runsOf(job(n)), j.Steps[0].Count; got != want {
-			w.t.Fatalf("job %d runs %d items that last, want %d", n, got, want)
+			w.t.Fatalf("job %d runs %d long-running items, want %d", n, got, want)
 		}
 	}
 }
--- a/core/tackdispatch/share_test.go
+++ b/core/tackdispatch/share_test.go
@@ -10,8 +10,8 @@
 	"auburntack/core/tackworkspace"
 )
 
-// twenty are as many workspaces of equal weight, without caps.
-func twenty() []tackworkspace.Workspace {
+// twentyWorkspaces returns workspaces of equal weight, without caps.
+func twentyWorkspaces() []tackworkspace.Workspace {
 	var list []tackworkspace.Workspace
 	for n := range 20 {
 		name := fmt.Sprintf("w-%02d", n)
@@ -22,11 +22,11 @@
 	return list
 }
 
-// sender hands jobs in for a workspace, and comes back where one is refused.
+// sender submits jobs for a workspace.
 type sender struct {
 	name tackid.Workspace
 	sent []tackjob.ID
-	// refused counts the jobs that were refused at their first offer.
+	// refused counts the refused jobs.
 	refused int
 }
 
@@ -55,14 +55,15 @@
 	return n
 }
 
-// Load pattern: one workspace sends ten jobs a second for twenty seconds, on workers that
-// are half busy with the job every second or two that each of nineteen others sends.
+// Load pattern: one workspace submits ten jobs a second for twenty seconds, to workers
+// that are half busy with the job that each of nineteen others submits every second or
+// two.
 //
-// Symptom: one in ten of the others' jobs was refused or late. Cause: jobs were accepted and
-// started by their deadlines alone, whoever sent them.
+// Guards against refusing or delaying the others' jobs: one in ten of them was, when jobs
+// were accepted and started by their deadlines only, regardless of their workspace.
 func TestBurstOfOneWorkspaceLeavesTheOthersTheirShare(t *testing.T) {
 	w := newWorld(t, 10) // 160 cores
-	w.putWorkspaces(twenty())
+	w.putWorkspaces(twentyWorkspaces())
 	w.run(5 * tackclock.Second)
 	senders := make([]sender, 20)
 	for n := range senders {
--- a/core/tackdispatch/storm_test.go
+++ b/core/tackdispatch/storm_test.go
@@ -9,21 +9,22 @@
 	"auburntack/core/tackjob"
 )
 
-// storm is a time of many faults of VMs, with or without items that crash workers.
+// storm describes a period of many faults of VMs, with or without items that crash
+// workers.
 type storm struct {
 	racks, vmsInRack int
-	jobs             int // one every 150 ms, of six items
+	jobs             int // submitted one every 150 ms, with six items each
 	faults           bool
-	guiltyJobs       int // every so many jobs has one item that crashes workers; 0 is none
+	guiltyJobs       int // one in so many jobs has an item that crashes workers; 0 is none
 }
 
-// outcome is what became of the jobs of a storm.
+// outcome counts the results of the jobs of a storm.
 type outcome struct {
-	done, givenUp, wronglyGivenUp, spared int // jobs; spared are those that ought to be given up
+	done, givenUp, wronglyGivenUp, spared int // jobs; spared are those that should have been given up
 	crashes                               int // workers that crashed under an item at fault
 }
 
-// play runs a storm by a seed, and a calm minute after it.
+// play runs a storm with a seed, and a minute without faults after it.
 func (s storm) play(t failer, seed uint64) outcome {
 	draw := rand.New(rand.NewPCG(seed, 0))
 	w := newWorld(t, 0)
@@ -40,7 +41,7 @@
 		}
 		w.submit(id, batch(6, 2, tackclock.Duration(400+draw.IntN(900))))
 		if s.faults {
-			w.strike(draw)
+			w.injectFault(draw)
 		}
 		w.run(150)
 	}
@@ -48,12 +49,12 @@
 		m.cut = false
 	}
 	w.run(tackclock.Minute)
-	return w.judge(s.jobs, guilty)
+	return w.results(s.jobs, guilty)
 }
 
-// strike has a fault befall the VMs, now and then: one crashes, a rack loses power, a
-// third is cut off, what was cut off comes back.
-func (w *world) strike(draw *rand.Rand) {
+// injectFault sometimes injects a fault: a VM crashes, a rack loses power, a third of the VMs
+// is cut off, or those that were cut off are connected again.
+func (w *world) injectFault(draw *rand.Rand) {
 	m := w.workers[draw.IntN(len(w.workers))]
 	switch draw.IntN(30) {
 	case 0, 1, 2:
@@ -83,7 +84,7 @@
 	return tackid.VM(rune('a'+n%26)) + tackid.VM(rune('a'+n/26))
 }
 
-func (w *world) judge(jobs int, guilty map[tackjob.ID]bool) outcome {
+func (w *world) results(jobs int, guilty map[tackjob.ID]bool) outcome {
 	var o outcome
 	for n := 0; n <= jobs; n++ {
 		id := job(n)
@@ -104,9 +105,9 @@
 	return o
 }
 
-// Items are lost again and again without fault while racks lose power, VMs crash, and
-// a part of the pool is cut off and comes back: none of them may be given up. Beside
-// items that crash workers as well, each of those must be, and only those.
+// Items are lost repeatedly through no fault of their own while racks lose power, VMs
+// crash, and a part of the pool is cut off for a while: none of them may be given up. If
+// some items crash their workers, these and only these must be given up.
 func TestStormsGiveUpOnlyWhatCrashesWorkers(t *testing.T) {
 	assertStorms := func(t *testing.T, s storm) {
 		t.Helper()
@@ -131,7 +132,7 @@
 	})
 }
 
-// A storm that shows a fault must show it again by its seed.
+// A storm that reveals a fault must reveal it again with the same seed.
 func TestStormsRepeat(t *testing.T) {
 	s := storm{racks: 4, vmsInRack: 4, jobs: 100, faults: true, guiltyJobs: 25}
 	first := s.play(t, 3)
--- a/core/tackdispatch/upkeep_test.go
+++ b/core/tackdispatch/upkeep_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// takeDown carries out what the dispatcher chooses, and returns the VMs.
+// takeDown takes down the VMs that the dispatcher chooses, and returns them.
 func (w *world) takeDown(wave *tackupkeep.Wave) []tackid.VM {
 	chosen := w.d.NextUpkeep(w.now, wave)
 	for _, vm := range chosen {
@@ -50,9 +50,9 @@
 	assertDown(t, w.takeDown(wave), "m-2")
 }
 
-// Symptom: a wave was late. Sequence: most of its VMs were in the standby pool,
-// and their upkeep was ordered first. Cause: they counted as down until a worker
-// on them sent a heartbeat, which one in the standby pool never does.
+// Guards against a late wave: most of its VMs were in the standby pool, and they counted
+// as down until a worker on them sent a heartbeat, which does not happen in the standby
+// pool.
 func TestUpkeepOfStandbyIsOverByTime(t *testing.T) {
 	w := newWorld(t, 1)
 	w.d.Inventory([]Machine{{VM: "s-1", Service: "spare", Up: true}, {VM: "s-2", Service: "spare", Up: true}})
@@ -65,10 +65,10 @@
 	assertDown(t, w.takeDown(wave), "s-2")
 }
 
-// Symptom: more VMs were down for their upkeep than may be at once. Sequence: the
-// platform is out of reach, a call for a VM of the standby pool has no clear
-// answer; it is made again, and the platform consents when the time of the first
-// call is nearly over. Cause: the VM counted as down from the first call.
+// Guards against more VMs that are down for their upkeep than allowed. The platform is
+// unreachable, and a call for a VM of the standby pool gets no clear answer. The call is
+// repeated, and the platform consents when the time of the first call is nearly over,
+// from which the VM counted as down.
 func TestUpkeepCountsFromTheLastCall(t *testing.T) {
 	w := newWorld(t, 1)
 	w.d.Inventory([]Machine{{VM: "s-1", Service: "spare", Up: true}, {VM: "s-2", Service: "spare", Up: true}})
@@ -84,10 +84,10 @@
 	assertDown(t, w.takeDown(wave), "s-2")
 }
 
-// Symptom: items ran twice. Sequence: a leader's call took a VM down, and the
-// leader was lost before the log said so; the VM came back and ran items; the
-// next leader called again, and the platform said yes, since it was done. Cause:
-// that consent was taken for the end of the VM's life.
+// Guards against items that run twice. A leader's call took a VM down, and the leader was
+// lost before that was logged; the VM came back and ran items. The next leader called
+// again, and the platform consented, since the upkeep was done, which was taken for the
+// end of the VM's present life.
 func TestConsentToAnEarlierCallEndsNoLife(t *testing.T) {
 	w := newWorld(t, 2)
 	w.submit(job(1), batch(4, 6, 20*tackclock.Second))
@@ -104,7 +104,7 @@
 	}
 	assertRuns(t, w, job(1), 4)
 	if w.workers[0].dead || w.d.cordon["m-0"] {
-		t.Error("the VM takes no work any more")
+		t.Error("the VM gets no work any more")
 	}
 }
 
@@ -135,9 +135,9 @@
 		}
 		t.Error("the VM is never free")
 	})
-	// Symptom: an item that lasts was never started again. Sequence: it was
-	// stopped to empty its VM; the pool's only other VM was being emptied too.
-	// Cause: both VMs took nothing new until the item was at work.
+	// Guards against a long-running item that is never started again: it was stopped to
+	// empty its VM while the pool's only other VM was being emptied too, and both took
+	// nothing new until the item was serving.
 	t.Run("starts items again where all VMs are emptied", func(t *testing.T) {
 		w := newWorld(t, 2)
 		w.run(100)
@@ -152,9 +152,9 @@
 		w.run(2 * tackclock.Second)
 		assertRuns(t, w, job(1), 6)
 	})
-	// Symptom: an item was stopped while another of its step was not at work yet.
-	// Sequence: the other had just been ordered on the very VM that is emptied.
-	// Cause: only items on other VMs were counted as away.
+	// Guards against stopping an item while another of its step is not serving yet, when
+	// that one was just started on the same VM: only items on other VMs counted as
+	// unavailable.
 	t.Run("waits for an item that begins on the same VM", func(t *testing.T) {
 		w := newWorld(t, 1)
 		w.run(100)
@@ -168,15 +168,14 @@
 			t.Fatalf("%d items run, want 2 of which one has just begun", len(m.runs))
 		}
 		w.takeDown(newWave(w, 1, "m-0"))
-		w.beat(m, false)
+		w.heartbeat(m, false)
 		if m.runs[tackjob.Item{Job: job(1)}].stopAt != 0 {
-			t.Error("an item is stopped while the other is not at work")
+			t.Error("an item is stopped while the other is not serving")
 		}
 	})
-	// Symptom: more items of a step were away than may be. Sequence: a worker
-	// crashed and fell silent; before its lease was over, another VM with an
-	// item of the same step was taken down. Cause: what a silent worker listed
-	// last was taken for true.
+	// Guards against more unavailable items of a step than allowed: a worker crashed, and
+	// before its lease was over another VM with an item of the same step was taken down,
+	// because the silent worker's last report was still relied on.
 	t.Run("counts a silent worker's items as away", func(t *testing.T) {
 		w := newWorld(t, 4)
 		w.run(100)
@@ -188,10 +187,10 @@
 	})
 }
 
-// Symptom: items ran twice. Sequence: an upkeep was done, and writing that to
-// the log failed; the VM came back and ran items; the same leader called again,
-// and the platform said yes, since it was done. Cause: only calls without an
-// answer made a later consent doubtful.
+// Guards against items that run twice. An upkeep was done, but logging that failed; the
+// VM came back and ran items. The same leader called again, and the platform consented,
+// since the upkeep was done. Only a call without an answer made a later consent
+// uncertain.
 func TestConsentToOwnEarlierCallEndsNoLife(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(200)
@@ -212,10 +211,10 @@
 	assertRuns(t, w, job(1), 8)
 }
 
-// Symptom: jobs did not run for 18 s beside free workers, without faults. Sequence:
-// the only worker with the label that they require is being emptied for its
-// upkeep; items that last on it have nowhere else to go, so it is never taken
-// down. Cause: a worker that is being emptied ran nothing new, whatever waited.
+// Guards against jobs that did not run for 18 s beside free workers, without faults. The
+// only worker with the label that they require is being emptied for its upkeep and runs
+// nothing new, and the long-running items on it have nowhere else to go, so it is never
+// taken down.
 func TestItemsRunOnAWorkerThatIsBeingEmptiedRatherThanNever(t *testing.T) {
 	for _, gang := range []bool{false, true} {
 		w := newWorld(t, 5)
--- a/core/tackdispatch/world_check_test.go
+++ b/core/tackdispatch/world_check_test.go
@@ -20,8 +20,8 @@
 	w.failed[item][run] = true
 }
 
-// checkRoom fails the test if a start takes more than the worker has, with what is being
-// stopped there.
+// checkRoom fails the test if a start exceeds the worker's capacity, together with all
+// that runs or is being stopped there.
 func (w *world) checkRoom(m *modelWorker, item tackjob.Item, step *tackjob.Step) {
 	w.t.Helper()
 	used := step.Takes()
@@ -33,8 +33,8 @@
 	}
 }
 
-// putCaps puts a catalog in force by which workspaces, whose only keys are their names,
-// have these caps.
+// putCaps applies a catalog in which workspaces, whose only keys are their names, have
+// these caps.
 func (w *world) putCaps(caps map[tackid.Workspace]tackroom.Room) {
 	var list []tackworkspace.Workspace
 	for name, room := range caps {
@@ -46,7 +46,7 @@
 	w.putWorkspaces(list)
 }
 
-// putWorkspaces puts a catalog in force that has these workspaces.
+// putWorkspaces applies a catalog with these workspaces.
 func (w *world) putWorkspaces(list []tackworkspace.Workspace) {
 	w.version++
 	w.caps = make(map[tackid.Workspace]tackroom.Room)
@@ -60,8 +60,8 @@
 }
 
 // checkCap fails the test if with an item that starts its workspace has more running than
-// its cap, on all workers that are up, however it came to run there. An item that is
-// larger than the cap may run by itself.
+// its cap, on all workers that are up, whoever ordered it. An item that is larger than
+// the cap may run by itself.
 func (w *world) checkCap(j *tackjob.Job, item tackjob.Item) {
 	w.t.Helper()
 	limit, capped := w.caps[j.Workspace]
@@ -75,7 +75,7 @@
 	}
 }
 
-// runningOf is what a workspace has running on all workers that are up.
+// runningOf returns what a workspace has running on all workers that are up.
 func (w *world) runningOf(name tackid.Workspace) tackroom.Room {
 	var used tackroom.Room
 	for _, m := range w.workers {
@@ -89,8 +89,8 @@
 }
 
 // checkOrder fails the test if an item starts before the steps that it waits for. A job
-// that the log closed by an end in the same heartbeat holds no progress any more; its
-// items are stopped by the next one.
+// that was closed by an end in the same heartbeat has no progress in the log any more;
+// its items are stopped by the next heartbeat.
 func (w *world) checkOrder(j *tackjob.Job, item tackjob.Item) {
 	w.t.Helper()
 	if j.Phase != tackjob.Open && j.Closed == w.now {
@@ -103,7 +103,7 @@
 	}
 }
 
-// save has a run make a checkpoint, if its step makes any.
+// save makes a checkpoint of a run, if its step makes any.
 func (w *world) save(item tackjob.Item, r *modelRun) {
 	if !r.step.Checkpoints {
 		return
@@ -115,7 +115,8 @@
 	w.saved[item][r.saved] = true
 }
 
-// textOf is the text that a job is handed in with. The log drops it with the end of the job.
+// textOf returns the text with which a job is submitted. The log drops it with the end of
+// the job.
 func textOf(id tackjob.ID) string {
 	return "text of " + string(id)
 }
@@ -143,23 +144,23 @@
 	w.t.Fatalf("%v starts from %q, which no run of it has made", s.Item, s.Checkpoint)
 }
 
-// countCrashing fails the test if an item goes on being started that has crashed
-// worker after worker.
+// countCrashing fails the test if an item is started again and again although it has
+// crashed one worker after the other.
 func (w *world) countCrashing(item tackjob.Item) {
 	w.t.Helper()
-	if w.crashed[item] < crashesBorne {
+	if w.crashed[item] < crashesTolerated {
 		return
 	}
 	w.after[item]++
-	if w.after[item] > startsBorne+w.unseen[item] {
+	if w.after[item] > startsTolerated+w.unseen[item] {
 		w.t.Fatalf("%v started %d times more after %d workers crashed under it", item, w.after[item], w.crashed[item])
 	}
 }
 
-// check is what must hold at any moment.
+// check checks what must hold at any moment.
 func (w *world) check() {
 	w.t.Helper()
-	w.checkBlame()
+	w.checkCrashCounts()
 	assertSums(w.t, w.d, w.now)
 	on := make(map[tackjob.Item]WorkerID)
 	for _, m := range w.workers {
@@ -180,14 +181,14 @@
 	}
 }
 
-// checkBlame fails the test if an item is blamed less often than never.
-func (w *world) checkBlame() {
+// checkCrashCounts fails the test if a count of crashes is negative.
+func (w *world) checkCrashCounts() {
 	w.t.Helper()
 	for _, o := range w.d.jobs {
 		for _, s := range o.steps {
 			for index, n := range s.crashCounts {
 				if n < 0 {
-					w.t.Fatalf("%v is blamed %d times", s.item(index), n)
+					w.t.Fatalf("%v has crashed %d workers", s.item(index), n)
 				}
 			}
 		}
--- a/core/tackdispatch/world_fault_test.go
+++ b/core/tackdispatch/world_fault_test.go
@@ -9,7 +9,7 @@
 	"auburntack/core/tackroom"
 )
 
-// crash ends a worker's life without a word. Its VM is back a while later.
+// crash ends a worker's life without a goodbye. Its VM is back a while later.
 func (w *world) crash(m *modelWorker) {
 	m.dead = true
 	for _, r := range m.runs {
@@ -20,7 +20,7 @@
 	w.reboots = append(w.reboots, reboot{at: w.now.Add(cmp.Or(w.away, worldReboot)), before: m})
 }
 
-// breakGang ends the members of a gang of which one is gone.
+// breakGang ends the other members of a gang after one was lost.
 func (w *world) breakGang(number RunNumber) {
 	for _, m := range w.workers {
 		for _, item := range sorted(m.runs) {
@@ -31,26 +31,26 @@
 	}
 }
 
-// name gives a life the name of an earlier one, and a start by its own clock.
+// name gives a life the name of an earlier one, and a start time by its own clock.
 func (w *world) name(m, before *modelWorker, born tackclock.Time) {
-	m.name, m.born = before.name, born
-	m.id, _ = NewWorkerID(m.name, m.born)
+	m.name, m.startedAt = before.name, born
+	m.id, _ = NewWorkerID(m.name, m.startedAt)
 }
 
-// restart ends a life without a word, and begins another under its name. Its clock may
+// restart ends a life without a goodbye, and begins another under its name. The clock may
 // have been set back in between.
 func (w *world) restart(m *modelWorker, setBack tackclock.Duration) *modelWorker {
 	m.dead = true
 	next := w.addWorker(m.vm, 0)
 	next.rack, next.capacity, next.cut = m.rack, m.capacity, m.cut
 	w.name(next, m, max(1, w.now.Add(-setBack)))
-	if next.born == m.born {
-		w.name(next, m, m.born+1)
+	if next.startedAt == m.startedAt {
+		w.name(next, m, m.startedAt+1)
 	}
 	return next
 }
 
-// rebootDue begins the lives of VMs that are back.
+// rebootDue begins new lives on the VMs that are back.
 func (w *world) rebootDue() {
 	w.reboots = slices.DeleteFunc(w.reboots, func(r reboot) bool {
 		if w.now < r.at {
@@ -65,15 +65,15 @@
 	})
 }
 
-// crashDue crashes the worker if it runs an item that does so by now.
+// crashDue crashes the worker if it runs an item that is due to do so.
 func (w *world) crashDue(m *modelWorker) {
 	guilty := false
 	for item, r := range m.runs {
 		if after, ok := w.crashes[item]; ok && w.now.Sub(r.began) >= after {
 			guilty = true
 			w.crashed[item]++
-			// Ordered by an earlier leader and not heard since, or the worker was
-			// leaving anyway.
+			// No leader sees the crash if the run was ordered by an earlier one and not
+			// listed since, or if the worker was leaving anyway.
 			if known := w.d.workers[m.id]; known == nil || known.runs[item] == nil || known.draining {
 				w.unseen[item]++
 			}
@@ -84,16 +84,16 @@
 	}
 }
 
-// resize gives the worker another room while it runs.
+// resize changes the worker's room while it runs.
 func (m *modelWorker) resize(to tackroom.Room) {
 	m.shrunk = m.shrunk || !to.Fits(m.capacity)
 	m.capacity = to
 }
 
-// forget drops what only the leader knew. A worker's crash is known after 0.9 s of its
-// silence, and noted in the log; one that a leader is lost before is known to nobody,
-// and gives its item one more start, as does one before the next leader has heard of
-// the run. See docs/incidents.
+// forget drops what only the leader knew. A worker's crash is recorded in the log after
+// 0.9 s of its silence; if the leader is lost before, or the next one has not yet had a
+// report of the run, nobody knows of the crash, and its item gets one more start. See
+// docs/incidents.
 func (w *world) forget() {
 	w.waiting, w.found, w.grants = nil, tackjob.Findings{}, nil
 	for item, n := range w.crashed {
--- a/core/tackdispatch/world_test.go
+++ b/core/tackdispatch/world_test.go
@@ -17,65 +17,64 @@
 
 const (
 	worldStop    = 400 * tackclock.Millisecond // how long a stop takes on a worker
-	worldStartup = 300 * tackclock.Millisecond // until an item that lasts is at work
+	worldStartup = 300 * tackclock.Millisecond // until a long-running item is serving
 	worldSave    = tackclock.Second            // between two checkpoints
-	worldReboot  = 3 * tackclock.Second        // until a VM whose worker crashed has another life
-	// crashesBorne is how many workers may crash under an item before starts of it
-	// are counted, and startsBorne how many starts may follow then.
-	crashesBorne = 3
-	startsBorne  = 2
-	beatEvery    = 1500 * tackclock.Millisecond
-	beatAfterEnd = 50 * tackclock.Millisecond
+	worldReboot  = 3 * tackclock.Second        // until a VM whose worker crashed is back
+	// crashesTolerated is how many workers may crash under an item before further starts
+	// of it are counted, and startsTolerated how many such starts are allowed.
+	crashesTolerated  = 3
+	startsTolerated   = 2
+	heartbeatEvery    = 1500 * tackclock.Millisecond
+	heartbeatAfterEnd = 50 * tackclock.Millisecond
 )
 
 type (
-	// world is a model of workers, and of a log that commits at once unless
-	// held, around a real Dispatcher. It checks what must always hold from the
-	// workers' side.
+	// world is a model of workers, and of a log that commits at once unless held, around
+	// a real Dispatcher. It checks invariants from the workers' side.
 	world struct {
-		t       failer
-		now     tackclock.Time
-		state   tackwork.State
-		index   tackid.Revision
-		term    tackreplica.Term
-		d       *Dispatcher
-		workers []*modelWorker
-		lives   int
-		held    bool // the log commits nothing
-		waiting []heldEnds
-		found   tackjob.Findings // that wait for the log
-		delayed []*Report        // heartbeats that are held up
-		started map[tackjob.Item]int
-		// noted are items whose end a worker was allowed to forget.
-		noted map[tackjob.Item]bool
-		// saved are the checkpoints that runs of each item have made.
+		t         failer
+		now       tackclock.Time
+		state     tackwork.State
+		index     tackid.Revision
+		term      tackreplica.Term
+		d         *Dispatcher
+		workers   []*modelWorker
+		lifeCount int
+		held      bool // the log commits nothing
+		waiting   []heldEnds
+		found     tackjob.Findings // yet to be logged
+		delayed   []*Report        // heartbeats that are delayed
+		started   map[tackjob.Item]int
+		// acknowledged are items whose end was acknowledged to a worker.
+		acknowledged map[tackjob.Item]bool
+		// saved are the checkpoints made by the runs of each item.
 		saved map[tackjob.Item]map[string]bool
-		// resumed counts the starts that carried one.
+		// resumed counts the starts that carried a checkpoint.
 		resumed int
-		// failed are runs whose failure a worker was allowed to forget.
+		// failed are runs whose failure was acknowledged to a worker.
 		failed map[tackjob.Item]map[RunNumber]bool
-		// actual is how long an item runs; nil is its estimate.
+		// actual returns how long an item runs; if nil, its estimate.
 		actual func(tackjob.Item, *tackjob.Step) tackclock.Duration
-		// crashes are items that crash each worker so long after it started them.
+		// crashes are items that crash each worker, by the time after their start.
 		crashes map[tackjob.Item]tackclock.Duration
-		// crashed counts the workers that crashed under such an item, and after the
-		// starts of it that followed the first three.
+		// crashed counts the workers that crashed under such an item, and after its
+		// starts beyond crashesTolerated crashes.
 		crashed, after map[tackjob.Item]int
 		reboots        []reboot
-		// caps are what each workspace may have running. What runs is not stopped when one
-		// is lowered.
+		// caps are what each workspace may have running. Lowering one does not stop
+		// anything.
 		caps    map[tackid.Workspace]tackroom.Room
 		version tackcatalog.Version
-		grants  []tackquota.Grant // that wait for the log
+		grants  []tackquota.Grant // yet to be logged
 		// unseen counts crashes under such an item that no leader saw.
 		unseen map[tackjob.Item]int
-		// tellsBorn says that workers say when their life began.
-		tellsBorn bool
-		// away is for how long a VM is away after a crash; zero is worldReboot.
+		// sendsStartTimes says that workers report when their life began.
+		sendsStartTimes bool
+		// away is how long a VM is down after a crash; zero stands for worldReboot.
 		away tackclock.Duration
 	}
 
-	// reboot is a VM that has another life at a time.
+	// reboot is the next life of a VM, at a given time.
 	reboot struct {
 		at     tackclock.Time
 		before *modelWorker
@@ -92,32 +91,32 @@
 	}
 
 	modelWorker struct {
-		id       WorkerID
-		name     string
-		born     tackclock.Time // by its own clock; zero if it does not say
-		vm       tackid.VM
-		service  tackid.Service
-		rack     string
-		capacity tackroom.Room
-		sequence uint64
-		runs     map[tackjob.Item]*modelRun
-		ended    []Ended
-		number   uint64
-		// lapsed are ends listed when the lease ran out. The platform takes those
-		// as not noted, whatever is acknowledged later: their items may have been
-		// started elsewhere by then.
-		lapsed   map[uint64]bool
-		lease    tackclock.Time
-		beatAt   tackclock.Time
-		highest  map[tackjob.Item]RunNumber // ended or stopped here
-		draining bool
-		cut      bool // heartbeats do not arrive
-		dead     bool
-		hung     bool // items stand still
-		failing  bool // items fail soon after they start
-		shrunk   bool // its room has been smaller than what ran there
-		early    bool // one of its first heartbeats is held up
-		slow     int  // items take so many times as long; 0 is 1
+		id        WorkerID
+		name      string
+		startedAt tackclock.Time // by its own clock; zero if it does not report it
+		vm        tackid.VM
+		service   tackid.Service
+		rack      string
+		capacity  tackroom.Room
+		sequence  uint64
+		runs      map[tackjob.Item]*modelRun
+		ended     []Ended
+		number    uint64
+		// lapsed are ends that were listed when the lease ran out. The platform does not
+		// consider them acknowledged, whatever later answers say: their items may have
+		// been started elsewhere by then.
+		lapsed      map[uint64]bool
+		lease       tackclock.Time
+		heartbeatAt tackclock.Time
+		highest     map[tackjob.Item]RunNumber // of runs that ended or were stopped here
+		draining    bool
+		cut         bool // heartbeats do not arrive
+		dead        bool
+		stalled     bool // items make no progress
+		failing     bool // items fail soon after they start
+		shrunk      bool // its room was at some time smaller than what ran there
+		early       bool // one of its first heartbeats is delayed
+		slow        int  // factor for the duration of items; 0 stands for 1
 	}
 
 	modelRun struct {
@@ -137,7 +136,7 @@
 }
 
 func newWorld(t failer, workers int) *world {
-	w := &world{t: t, now: 1_000_000, started: make(map[tackjob.Item]int), noted: make(map[tackjob.Item]bool),
+	w := &world{t: t, now: 1_000_000, started: make(map[tackjob.Item]int), acknowledged: make(map[tackjob.Item]bool),
 		failed:  make(map[tackjob.Item]map[RunNumber]bool),
 		saved:   make(map[tackjob.Item]map[string]bool),
 		crashes: make(map[tackjob.Item]tackclock.Duration), crashed: make(map[tackjob.Item]int), after: make(map[tackjob.Item]int),
@@ -151,17 +150,17 @@
 }
 
 func (w *world) addWorker(vm tackid.VM, rack int) *modelWorker {
-	w.lives++
+	w.lifeCount++
 	m := &modelWorker{
-		name: fmt.Sprintf("i-%d", w.lives), vm: vm, service: "names-api", rack: fmt.Sprintf("r-%d", rack),
+		name: fmt.Sprintf("i-%d", w.lifeCount), vm: vm, service: "names-api", rack: fmt.Sprintf("r-%d", rack),
 		capacity: tackroom.Room{MilliCores: 16000, MemoryMB: 32768},
-		runs:     make(map[tackjob.Item]*modelRun), highest: make(map[tackjob.Item]RunNumber), beatAt: w.now,
+		runs:     make(map[tackjob.Item]*modelRun), highest: make(map[tackjob.Item]RunNumber), heartbeatAt: w.now,
 		lapsed: make(map[uint64]bool),
 	}
-	if w.tellsBorn {
-		m.born = w.now
+	if w.sendsStartTimes {
+		m.startedAt = w.now
 	}
-	m.id, _ = NewWorkerID(m.name, m.born)
+	m.id, _ = NewWorkerID(m.name, m.startedAt)
 	w.workers = append(w.workers, m)
 	return m
 }
@@ -194,12 +193,12 @@
 	return out
 }
 
-// inherited is what a leader finds in the log.
+// inherited returns the state that a leader finds in the log.
 func (w *world) inherited() Inherited {
 	return Inherited{Jobs: &w.state.Jobs, Workspaces: w.state.Catalog.Workspaces, Grants: w.state.Grants}
 }
 
-// newLeader has another VM lead, which knows nothing but the log.
+// newLeader replaces the leader by another one, which knows only the log.
 func (w *world) newLeader() {
 	w.term++
 	w.forget()
@@ -211,7 +210,7 @@
 	w.submitFor("", id, steps...)
 }
 
-// submitFor hands a job in with the key of a workspace, which is its name.
+// submitFor submits a job with the key of a workspace, which is its name.
 func (w *world) submitFor(name tackid.Workspace, id tackjob.ID, steps ...tackjob.Step) {
 	spec := &tackjob.Spec{ID: id, Queue: testQueue.QueueKey, Text: textOf(id), Steps: steps}
 	if err := spec.Validate(); err != nil {
@@ -224,7 +223,7 @@
 	return w.state.Jobs.Get(id).Phase
 }
 
-// release commits what was held up.
+// release commits what was held back.
 func (w *world) release() {
 	w.held = false
 	for _, h := range w.waiting {
@@ -242,7 +241,7 @@
 	}
 }
 
-// run moves time on by d in steps of 25 ms.
+// run advances time by d in steps of 25 ms.
 func (w *world) run(d tackclock.Duration) {
 	for until := w.now.Add(d); w.now < until; {
 		w.step()
@@ -259,20 +258,20 @@
 	w.rebootDue()
 	for _, m := range w.workers {
 		w.work(m)
-		if !m.dead && w.now >= m.beatAt {
-			w.beat(m, false)
+		if !m.dead && w.now >= m.heartbeatAt {
+			w.heartbeat(m, false)
 		}
 	}
 	w.check()
 }
 
-// collect takes what dispatch wants the log to hold.
+// collect collects what the dispatcher wants to be logged.
 func (w *world) collect() {
 	w.found.Add(w.d.Findings())
 	w.grants = append(w.grants, w.d.Grants(w.now)...)
 }
 
-// work ends what is through, stopped, or without a lease.
+// work ends the runs that are done, stopped, or without a lease.
 func (w *world) work(m *modelWorker) {
 	if m.dead {
 		return
@@ -297,7 +296,7 @@
 			w.end(m, item, EndStopped)
 		case m.failing && w.now.Sub(r.began) > 100:
 			w.end(m, item, EndFailed)
-		case !r.step.LongRunning && !m.hung && w.now >= r.endsAt:
+		case !r.step.LongRunning && !m.stalled && w.now >= r.endsAt:
 			w.end(m, item, EndDone)
 		}
 	}
@@ -323,7 +322,7 @@
 		w.save(item, r)
 	}
 	m.ended = append(m.ended, Ended{Number: m.number, Item: item, Run: r.number, How: how, Checkpoint: r.saved})
-	m.beatAt = min(m.beatAt, w.now.Add(beatAfterEnd))
+	m.heartbeatAt = min(m.heartbeatAt, w.now.Add(heartbeatAfterEnd))
 }
 
 func (m *modelWorker) report(w *world) *Report {
@@ -341,7 +340,7 @@
 
 func (m *modelWorker) percent(w *world, item tackjob.Item) int {
 	r := m.runs[item]
-	if m.hung {
+	if m.stalled {
 		return 0
 	}
 	if r.step.LongRunning {
@@ -353,10 +352,10 @@
 	return int(min(99, 100*w.now.Sub(r.began)/max(1, r.endsAt.Sub(r.began))))
 }
 
-// beat sends a heartbeat; lost says that its answer does not arrive.
-func (w *world) beat(m *modelWorker, lost bool) {
+// heartbeat sends a heartbeat; lost says that its answer does not arrive.
+func (w *world) heartbeat(m *modelWorker, lost bool) {
 	sent := w.now
-	m.beatAt = w.now.Add(beatEvery)
+	m.heartbeatAt = w.now.Add(heartbeatEvery)
 	if m.cut || m.dead {
 		return
 	}
@@ -364,10 +363,10 @@
 	if lost || o.Hold == 0 {
 		return
 	}
-	w.obey(m, sent, &o)
+	w.applyOrders(m, sent, &o)
 }
 
-// receive has the leader take in a report, and the log the ends in it.
+// receive passes a report to the dispatcher, and the ends in it to the log.
 func (w *world) receive(r *Report) Orders {
 	o, finished, err := w.d.Heartbeat(w.now, r)
 	if err != nil {
@@ -383,12 +382,12 @@
 	return o
 }
 
-// delay holds a heartbeat up. One of the first of its life is sent again meanwhile
-// until it is none, unless the life says when it began: that a leader which knows of no
-// life before it believes it, is a limit that docs/INCIDENTS.md lists.
-func (w *world) delay(m *modelWorker) *Report {
+// delayHeartbeat delays a heartbeat. A first heartbeat of a life without a start time is
+// delivered, and the next one delayed instead: that such a late heartbeat is accepted by
+// a leader which does not know the life is a limit listed in docs/INCIDENTS.md.
+func (w *world) delayHeartbeat(m *modelWorker) *Report {
 	r := m.report(w)
-	for r.Sequence <= maxFirstSequence && m.born == 0 {
+	for r.Sequence <= maxFirstSequence && m.startedAt == 0 {
 		w.receive(r)
 		r = m.report(w)
 	}
@@ -397,26 +396,25 @@
 	return r
 }
 
-// arrive has the reports that were held up come in. Nobody waits for their
-// answers any more.
-func (w *world) arrive() {
+// deliverDelayed delivers the delayed reports. Nobody waits for their answers any more.
+func (w *world) deliverDelayed() {
 	for _, r := range w.delayed {
 		w.receive(r)
 	}
 	w.delayed = nil
 }
 
-// obey is what a worker does with an answer.
-func (w *world) obey(m *modelWorker, sent tackclock.Time, o *Orders) {
+// applyOrders applies an answer as a worker does.
+func (w *world) applyOrders(m *modelWorker, sent tackclock.Time, o *Orders) {
 	m.lease = max(m.lease, sent.Add(o.Hold))
-	m.beatAt = w.now.Add(o.Retry)
+	m.heartbeatAt = w.now.Add(o.Retry)
 	for _, e := range m.ended {
 		if e.Number > o.Noted || m.lapsed[e.Number] {
 			continue
 		}
 		switch e.How {
 		case EndDone:
-			w.noted[e.Item] = true
+			w.acknowledged[e.Item] = true
 		case EndFailed:
 			w.noteFailure(e.Item, e.Run)
 		}
@@ -442,13 +440,13 @@
 	w.t.Helper()
 	j := w.state.Jobs.Get(s.Item.Job)
 	if j == nil || !j.Has(s.Item) {
-		w.t.Fatalf("start of %v, which nobody handed in", s.Item)
+		w.t.Fatalf("start of %v, which was not submitted", s.Item)
 	}
 	if s.Run <= m.highest[s.Item] {
 		w.t.Fatalf("run %d of %v is not above %d", s.Run, s.Item, m.highest[s.Item])
 	}
-	if w.noted[s.Item] && !j.Steps[s.Item.Step].LongRunning {
-		w.t.Fatalf("%v starts after its end was noted", s.Item)
+	if w.acknowledged[s.Item] && !j.Steps[s.Item.Step].LongRunning {
+		w.t.Fatalf("%v starts after its end was acknowledged", s.Item)
 	}
 	step := &j.Steps[s.Item.Step]
 	if failed := len(w.failed[s.Item]); failed >= testQueue.Attempts && !step.LongRunning {
