--- a/core/tackreplica/append.go
+++ b/core/tackreplica/append.go
@@ -7,21 +7,21 @@
 	"auburntack/core/tackid"
 )
 
-// resendAfter is how long a leader waits for an answer before it sends again.
+// resendAfter is how long a leader waits for a response before it sends again.
 func (n *Node) resendAfter() tackclock.Duration {
 	return 2 * n.cfg.Heartbeat
 }
 
-// rewindSilent starts again from the last acknowledged entry when what was
-// sent has not been answered. A batch that a link dropped would otherwise
-// never arrive, because the leader takes it as being under way.
-func (n *Node) rewindSilent(p *progress) {
+// rewindStalled restarts sending after the last acknowledged entry if a batch in flight was
+// not acknowledged in time. The leader would otherwise never resend a batch that the
+// network dropped.
+func (n *Node) rewindStalled(p *progress) {
 	if len(p.inflight) > 0 && n.now.Sub(p.sentAt) >= n.resendAfter() {
 		p.rewind(p.match + 1)
 	}
 }
 
-// replicate sends what the member lacks, as far as the window allows.
+// replicate sends the entries that the member lacks, as far as the send window allows.
 func (n *Node) replicate(p *progress) {
 	if p.next <= n.log.base {
 		n.sendChunk(p)
@@ -33,10 +33,10 @@
 		}
 		return
 	}
-	if n.spares(p) && n.now.Sub(p.sentAt) < n.cfg.LearnerEvery {
+	if n.throttled(p) && n.now.Sub(p.sentAt) < n.cfg.LearnerEvery {
 		return
 	}
-	for p.next <= n.log.last() && p.inflightBytes < windowBatches*n.cfg.MaxBatchBytes {
+	for p.next <= n.log.last() && p.inflightBytes < maxInflightBatches*n.cfg.MaxBatchBytes {
 		n.sendBatch(p)
 	}
 	p.sentAll = p.next > n.log.last()
@@ -46,7 +46,7 @@
 	before := p.next - 1
 	term, _ := n.log.term(before)
 	entries, size := n.log.batch(p.next, n.cfg.MaxBatchBytes)
-	m := n.toMember(MessageAppend, p)
+	m := n.newMessage(MessageAppend, p)
 	m.Index, m.LogTerm, m.Entries = before, term, entries
 	m.Commit = min(n.commit, before+tackid.Revision(len(entries)))
 	n.send(m)
@@ -57,10 +57,10 @@
 	}
 }
 
-// sendHeartbeat keeps contact. Commit stays within what the member is known to
-// have, so the message needs no check of the log.
+// sendHeartbeat sends a heartbeat, with a lease if lease is set. Commit does not exceed
+// what the member is known to have, so the receiver need not check its log.
 func (n *Node) sendHeartbeat(p *progress, lease bool) {
-	m := n.toMember(MessageHeartbeat, p)
+	m := n.newMessage(MessageHeartbeat, p)
 	m.Commit = min(n.commit, p.match)
 	if lease {
 		n.grantLease(p, &m)
@@ -69,56 +69,57 @@
 	n.send(m)
 }
 
-// spares reports whether what the member lacks is gathered for a while, since nothing waits
-// for it. Without that each change would cost the leader two messages for each control VM.
-func (n *Node) spares(p *progress) bool {
+// throttled reports whether entries for the member are sent in batches every LearnerEvery.
+// No commit waits for a learner, and sending each change at once would cost the leader two
+// messages per change and learner.
+func (n *Node) throttled(p *progress) bool {
 	m := n.member(p.peer)
 	return n.cfg.LearnerEvery > 0 && m != nil && !m.Voter
 }
 
-// announceCommit tells a member at once that entries it has are committed,
-// so that a change is in force after two round trips and not a heartbeat later.
+// announceCommit notifies a member at once that entries it has are committed, so that a
+// change takes effect after two round trips instead of at the next heartbeat.
 func (n *Node) announceCommit(p *progress) {
-	if min(n.commit, p.match) > p.commit && !n.spares(p) {
+	if min(n.commit, p.match) > p.commit && !n.throttled(p) {
 		n.sendHeartbeat(p, false)
 	}
 }
 
-func (n *Node) toMember(kind MessageKind, p *progress) Message {
+func (n *Node) newMessage(kind MessageKind, p *progress) Message {
 	m := Message{Kind: kind, To: p.peer, Term: n.hard.Term, Stamp: n.stampAt(n.now), Lost: p.lost}
 	n.offerAdoption(p, &m)
 	return m
 }
 
-// follow notes that the leader of the current term is alive.
-func (n *Node) follow(m Message) {
+// followLeader handles the part common to all messages from the leader of the current term.
+func (n *Node) followLeader(m Message) {
 	if n.role != Follower || n.leader != m.From {
 		n.becomeFollower(m.Term, m.From)
 	}
 	n.resetElection()
-	n.voteFrom = max(n.voteFrom, n.now.Add(n.promise()))
+	n.voteFrom = max(n.voteFrom, n.now.Add(n.voteHoldoff()))
 	n.echo = max(n.echo, m.Stamp)
-	n.answerDue = true
-	n.noteLost(m)
+	n.responseDue = true
+	n.handleLost(m)
 }
 
 func (n *Node) onAppend(m Message) {
-	n.follow(m)
+	n.followLeader(m)
 	if m.Index < n.commit {
-		// What is committed here is as the leader has it.
+		// Committed entries already match the leader's log.
 		m = skipTo(m, n.commit, n.log)
 	}
 	if t, ok := n.log.term(m.Index); !ok || t != m.LogTerm {
 		n.reject(m)
 		return
 	}
-	n.take(m.Entries)
+	n.mergeEntries(m.Entries)
 	n.verified = max(n.verified, m.Index+tackid.Revision(len(m.Entries)))
 	n.commitTo(m.Commit)
 	n.acceptAdoption(m)
 }
 
-// skipTo drops from m the entries up to i, which are committed.
+// skipTo removes the entries up to i from m, which are already committed.
 func skipTo(m Message, i tackid.Revision, l entryLog) Message {
 	drop := min(int(i-m.Index), len(m.Entries))
 	m.Entries = m.Entries[drop:]
@@ -128,8 +129,8 @@
 }
 
 func (n *Node) reject(m Message) {
-	n.answerDue = false
-	a := n.answer()
+	n.responseDue = false
+	a := n.response()
 	a.Reject, a.Last = true, n.log.last()
 	a.Index = min(m.Index-1, n.log.last())
 	if t, ok := n.log.term(m.Index); ok {
@@ -143,19 +144,20 @@
 	n.send(a)
 }
 
-// take appends entries, and drops those of its own that differ.
-func (n *Node) take(entries []Entry) {
+// mergeEntries appends entries that the log lacks, truncating the log at the first
+// conflict.
+func (n *Node) mergeEntries(entries []Entry) {
 	for i, e := range entries {
 		if t, ok := n.log.term(e.Index); ok {
 			if t == e.Term {
 				continue
 			}
 			n.log.truncate(e.Index - 1)
-			n.forgetMembership(e.Index - 1)
+			n.revertMembership(e.Index - 1)
 		}
 		for _, e := range entries[i:] {
 			n.log.append(e)
-			n.noteMembership(e)
+			n.applyMembership(e)
 		}
 		return
 	}
@@ -166,46 +168,46 @@
 }
 
 func (n *Node) onHeartbeat(m Message) {
-	n.follow(m)
+	n.followLeader(m)
 	n.commitTo(m.Commit)
-	n.takeLease(m)
+	n.acceptLease(m)
 	n.acceptAdoption(m)
 }
 
-func (n *Node) answer() Message {
+func (n *Node) response() Message {
 	m := Message{
-		Kind: MessageAnswer, To: n.leader, Term: n.hard.Term,
+		Kind: MessageResponse, To: n.leader, Term: n.hard.Term,
 		Index: n.verified, Applied: n.applied,
 		Stamp: n.stampAt(n.now), Echo: n.echo,
 	}
 	if !n.hard.Eligible {
-		m.Ineligible, m.Life = true, n.life
+		m.Ineligible, m.Instance = true, n.instance
 	}
 	return m
 }
 
-func (n *Node) sendAnswer() {
+func (n *Node) sendResponse() {
 	if n.leader == "" || n.role == Leader {
 		return
 	}
-	n.send(n.answer())
+	n.send(n.response())
 }
 
-func (n *Node) onAnswer(m Message) {
+func (n *Node) onResponse(m Message) {
 	p := n.progress[m.From]
 	if n.role != Leader || p == nil || m.Echo == 0 {
 		return
 	}
 	sent, ok := n.timeOf(m.Echo)
-	if !ok || !n.countsNow(p, m, sent) {
+	if !ok || !n.acceptResponse(p, m, sent) {
 		return
 	}
 	p.heard = n.now
 	p.stamp, p.stamped = m.Stamp, n.now
-	p.noteApplied(m.Applied, sent)
+	p.updateApplied(m.Applied, sent)
 	switch {
 	case m.Chunk != nil:
-		n.onChunkAnswer(p, m)
+		n.onChunkResponse(p, m)
 	case m.Reject:
 		n.onReject(p, m, sent)
 	default:
@@ -214,10 +216,9 @@
 	n.tickTransfer()
 }
 
-// noteApplied takes what a member has applied from the answer to the newest
-// message, so that an answer which was overtaken does not undo it, while one of
-// a member that restarted does.
-func (p *progress) noteApplied(applied tackid.Revision, sent tackclock.Time) {
+// updateApplied sets the member's applied index from the response to the newest message. A
+// delayed response cannot lower it, but a response after a restart of the member can.
+func (p *progress) updateApplied(applied tackid.Revision, sent tackclock.Time) {
 	if sent > p.acked {
 		p.acked, p.applied = sent, applied
 	}
@@ -228,16 +229,15 @@
 
 func (n *Node) onReject(p *progress, m Message, sent tackclock.Time) {
 	if m.Last < p.match && sent > p.matchAt {
-		n.foundLost(p)
+		n.markLost(p)
 	}
 	p.rewind(max(p.match+1, min(p.next-1, m.Index+1)))
 }
 
 func (n *Node) onMatch(p *progress, m Message, sent tackclock.Time) {
 	if m.Index < p.match {
-		// The member restarted: it has the entries, but no longer knows that
-		// they are as the leader's. One that must be shown anew would never
-		// commit them while the log is idle.
+		// The member restarted: it has the entries but no longer knows that they match the
+		// leader's. Without a new probe it would never commit them while the log is idle.
 		if sent >= p.matchAt && !p.probing {
 			p.rewind(p.match + 1)
 		}
@@ -255,9 +255,9 @@
 	n.advanceCommit()
 }
 
-// advanceCommit commits what a quorum holds. Only an entry of the leader's own
-// term counts: one of an earlier term may be on a quorum and still be
-// replaced by a later leader that never had it.
+// advanceCommit commits the entries that a quorum holds. Only an entry of the leader's own
+// term can be committed by counting replicas: one of an earlier term may be on a quorum and
+// still be replaced by a later leader that never had it.
 func (n *Node) advanceCommit() {
 	var matches []tackid.Revision
 	for _, m := range n.Members() {
--- a/core/tackreplica/cluster_test.go
+++ b/core/tackreplica/cluster_test.go
@@ -13,8 +13,8 @@
 
 const (
 	second = tackclock.Second
-	// snapshotEach is how many entries a fake owner applies between snapshots.
-	snapshotEach = 20
+	// snapshotInterval is how many entries a fakeVM applies between snapshots.
+	snapshotInterval = 20
 )
 
 type (
@@ -23,23 +23,23 @@
 		Fatalf(format string, args ...any)
 	}
 
-	// cluster is a fake network of nodes with fake disks and clocks that
-	// differ. After each event it checks what must always hold.
+	// cluster simulates a network of nodes with disks and drifting clocks. It checks the
+	// invariants after each event.
 	cluster struct {
-		t       fataler
-		rand    *rand.Rand
-		cfg     Config
-		now     tackclock.Time
-		events  events
-		seq     int
-		vms     []*fakeVM
-		cut     map[[2]tackid.Peer]bool
-		loss    int // of 1,000 messages
-		doubled int // of 1,000 messages
-		delay   int // at most, in milliseconds
+		t          fataler
+		rand       *rand.Rand
+		cfg        Config
+		now        tackclock.Time
+		events     events
+		seq        int
+		vms        []*fakeVM
+		cut        map[[2]tackid.Peer]bool
+		loss       int // per 1,000 messages
+		duplicated int // per 1,000 messages
+		delay      int // maximum, in milliseconds
 
 		leaders map[Term]tackid.Peer
-		log     []Entry // what any VM has applied
+		log     []Entry // applied by any VM
 		inForce tackid.Revision
 
 		messages, bytes map[tackid.Peer]int
@@ -66,7 +66,7 @@
 	return last
 }
 
-// newCluster starts one voter for each name, with an empty folder.
+// newCluster starts one voter for each name, with an empty data folder.
 func newCluster(t fataler, seed uint64, names ...tackid.Peer) *cluster {
 	var members []Member
 	for _, p := range names {
@@ -94,7 +94,7 @@
 	heap.Push(&c.events, event{at: c.now.Add(d), seq: c.seq, do: do})
 }
 
-// run plays all events of the next d milliseconds of true time.
+// run processes all events of the next d milliseconds of true time.
 func (c *cluster) run(d tackclock.Duration) {
 	end := c.now.Add(d)
 	for len(c.events) > 0 && c.events[0].at <= end {
@@ -111,7 +111,7 @@
 	return c.vms[i]
 }
 
-// leader returns the VM that holds the leader's lease.
+// leader returns the VM that holds the leader lease, or nil.
 func (c *cluster) leader() *fakeVM {
 	for _, v := range c.vms {
 		if v.awake() && v.node.LeaderLease(v.now()) {
@@ -121,16 +121,16 @@
 	return nil
 }
 
-// leads names the VM that holds the leader's lease, if any.
-func (c *cluster) leads() tackid.Peer {
+// leaderName returns the name of the VM that holds the leader lease, or "".
+func (c *cluster) leaderName() tackid.Peer {
 	if v := c.leader(); v != nil {
 		return v.peer
 	}
 	return ""
 }
 
-// settled runs until all is calm and returns the leader.
-func (c *cluster) settled() *fakeVM {
+// waitForLeader runs the cluster for 3 seconds and returns the leader.
+func (c *cluster) waitForLeader() *fakeVM {
 	c.t.Helper()
 	c.run(3 * second)
 	v := c.leader()
@@ -140,12 +140,12 @@
 	return v
 }
 
-// without returns all VMs but v.
+// without returns all VMs except v.
 func (c *cluster) without(v *fakeVM) []*fakeVM {
 	return slices.DeleteFunc(slices.Clone(c.vms), func(o *fakeVM) bool { return o == v })
 }
 
-// check asserts the invariants that hold at each moment.
+// check asserts the invariants.
 func (c *cluster) check() {
 	var holder *fakeVM
 	for _, v := range c.vms {
@@ -157,7 +157,7 @@
 		}
 		if v.node.LeaderLease(v.now()) {
 			if holder != nil {
-				c.t.Fatalf("%s and %s hold the leader's lease at %d", holder.peer, v.peer, c.now)
+				c.t.Fatalf("%s and %s hold the leader lease at %d", holder.peer, v.peer, c.now)
 			}
 			holder = v
 		}
@@ -196,7 +196,7 @@
 		c.bytes[peer] += len(data)
 	}
 	copies := 1
-	if c.rand.IntN(1000) < c.doubled {
+	if c.rand.IntN(1000) < c.duplicated {
 		copies = 2
 	}
 	for range copies {
@@ -225,14 +225,14 @@
 	c.cut[[2]tackid.Peer{a, b}] = cut
 }
 
-func (c *cluster) severLink(a, b tackid.Peer, cut bool) {
+func (c *cluster) cutLinkBothWays(a, b tackid.Peer, cut bool) {
 	c.cutLink(a, b, cut)
 	c.cutLink(b, a, cut)
 }
 
-// cutOff cuts or heals all links of v.
+// cutOff cuts or restores all links of v.
 func (c *cluster) cutOff(v *fakeVM, cut bool) {
 	for _, other := range c.vms {
-		c.severLink(v.peer, other.peer, cut)
+		c.cutLinkBothWays(v.peer, other.peer, cut)
 	}
 }
--- a/core/tackreplica/commit_test.go
+++ b/core/tackreplica/commit_test.go
@@ -6,14 +6,11 @@
 	"auburntack/core/tackid"
 )
 
-// Symptom: a VM that restarts in a data centre that is cut off serves by a
-// configuration older than the one it showed before.
-// Sequence: entries up to 8 of 10 are committed and noted, the process ends,
-// the new one hears from nobody.
-// Cause: which entries are committed was known in memory only, so that the
-// new process had nothing but its snapshot. Without noteCommit the first Ready
-// commits nothing.
-func TestRestartGoesOnFromWhatWasCommitted(t *testing.T) {
+// Guards against a VM that restarts while its data centre is cut off and serves an older
+// configuration than before, here with entries up to 8 of 10 committed and saved. The
+// commit index was kept in memory only, so the new process started from its snapshot. Fails
+// without saveCommit: the first Ready then commits nothing.
+func TestRestartContinuesFromSavedCommit(t *testing.T) {
 	var entries []Entry
 	for i := range 10 {
 		entries = append(entries, Entry{Index: tackid.Revision(i + 1), Term: 1})
--- a/core/tackreplica/cost_test.go
+++ b/core/tackreplica/cost_test.go
@@ -14,13 +14,13 @@
 const (
 	killTrials    = 200
 	changesPerDay = 3300
-	// idleBytes is what a leader may send and receive for each other VM, in
-	// bytes a second at a heartbeat of 200 ms. Measured: 264.
+	// idleBytes bounds what a leader may send and receive per other VM, in bytes per
+	// second, at a heartbeat of 200 ms. Measured: 264.
 	idleBytes = 300
 )
 
-// fleet returns n VMs of which the first voters vote, with names as long as in
-// use, and the configuration to start them.
+// fleet returns a configuration of n VMs, the first of which are voters, and their names,
+// which are as long as in production.
 func fleet(n, voters int) (Config, []tackid.Peer) {
 	var cfg Config
 	var names []tackid.Peer
@@ -44,7 +44,7 @@
 			for seed := range uint64(killTrials) {
 				cfg, names := fleet(voters, voters)
 				c := newClusterOf(t, seed, cfg, names...)
-				leader := c.settled()
+				leader := c.waitForLeader()
 				c.run(tackclock.Duration(c.rand.IntN(500)))
 				leader.kill()
 				killed := c.now
@@ -55,7 +55,7 @@
 			}
 			median, p99 := quantiles(gaps)
 			t.Logf("%d kills: median %v, p99 %v, longest %v", killTrials, median, p99, gaps[len(gaps)-1])
-			convey.Convey("Within 3 s, and within 1.5 s at the median", t, func() {
+			convey.Convey("At most 3 s, median at most 1.5 s", t, func() {
 				convey.So(gaps[len(gaps)-1], convey.ShouldBeLessThanOrEqualTo, 3*second)
 				convey.So(median, convey.ShouldBeLessThanOrEqualTo, 1500)
 			})
@@ -80,7 +80,7 @@
 	cfg, names := fleet(n, min(n, 5))
 	cfg.Heartbeat = heartbeat
 	c := newClusterOf(t, 1, cfg, names...)
-	leader := c.settled()
+	leader := c.waitForLeader()
 	clear(c.messages)
 	clear(c.bytes)
 	for i := range length {
@@ -98,9 +98,8 @@
 	})
 }
 
-// inForceAfter returns how long a change takes until no VM can rely on what
-// was before.
-func inForceAfter(c *cluster, leader *fakeVM) tackclock.Duration {
+// timeUntilInForce returns how long a change takes until no VM can serve the state before it.
+func timeUntilInForce(c *cluster, leader *fakeVM) tackclock.Duration {
 	proposed := c.now
 	i, _, _ := leader.propose()
 	for c.inForce < i {
@@ -112,18 +111,18 @@
 func TestTimeUntilInForce(t *testing.T) {
 	cfg, names := fleet(8, 5)
 	c := newClusterOf(t, 1, cfg, names...)
-	leader := c.settled()
+	leader := c.waitForLeader()
 	var committed, well, frozen []tackclock.Duration
 	for range 200 {
 		proposed := c.now
 		leader.onApply = func(*fakeVM, Entry) { committed = append(committed, c.now.Sub(proposed)) }
-		well = append(well, inForceAfter(c, leader))
+		well = append(well, timeUntilInForce(c, leader))
 		c.run(37)
 	}
 	for range 50 {
 		c.without(leader)[6].freeze(5 * second)
 		c.run(tackclock.Duration(c.rand.IntN(200)))
-		frozen = append(frozen, inForceAfter(c, leader))
+		frozen = append(frozen, timeUntilInForce(c, leader))
 		c.run(6 * second)
 	}
 	commitMedian, commitP99 := quantiles(committed[:200])
@@ -131,16 +130,16 @@
 	frozenMedian, frozenP99 := quantiles(frozen)
 	t.Logf("8 VMs, links of 1 to 2 ms, syncs of 0 to 1 ms: committed median %v, p99 %v; in force median %v, p99 %v; "+
 		"one frozen: median %v, p99 %v", commitMedian, commitP99, median, p99, frozenMedian, frozenP99)
-	convey.Convey("Within 50 ms with all well, and 4 s with one frozen", t, func() {
+	convey.Convey("Within 50 ms if all VMs are up, and 4 s if one is frozen", t, func() {
 		convey.So(p99, convey.ShouldBeLessThan, 50)
 		convey.So(frozenP99, convey.ShouldBeLessThan, 4*second)
 	})
 }
 
 func TestEntriesReplayedAtRestart(t *testing.T) {
-	convey.Convey("A restart after 1,000 changes replays less than one snapshot's interval", t, func() {
+	convey.Convey("A restart after 1,000 changes replays fewer entries than a snapshot interval", t, func() {
 		c := newCluster(t, 1, "a", "b", "c")
-		leader := c.settled()
+		leader := c.waitForLeader()
 		for range 1000 {
 			_, _, err := leader.propose()
 			convey.So(err, convey.ShouldBeNil)
@@ -152,20 +151,20 @@
 		v.replayed = 0
 		v.start()
 		c.run(2 * second)
-		t.Logf("%d entries applied after the restart, snapshots each %d", v.replayed, snapshotEach)
+		t.Logf("%d entries applied after the restart, snapshots each %d", v.replayed, snapshotInterval)
 		convey.So(v.applied, convey.ShouldBeGreaterThan, 1000)
-		convey.So(v.replayed, convey.ShouldBeLessThan, snapshotEach)
+		convey.So(v.replayed, convey.ShouldBeLessThan, snapshotInterval)
 	})
 }
 
-// messagesToLearner is how many messages a second the leader exchanges with a member that
-// does not vote, with so many members and changes a second.
+// messagesToLearner returns how many messages per second the leader exchanges with a
+// learner, given the number of members and of changes per second.
 func messagesToLearner(t *testing.T, members, changes int) int {
 	const voters, length = 5, 10
 	cfg, names := fleet(members, voters)
 	cfg.LearnerEvery = 120
 	c := newClusterOf(t, 1, cfg, names...)
-	leader := c.settled()
+	leader := c.waitForLeader()
 	clear(c.messages)
 	for range length * changes {
 		if _, _, err := leader.propose(); err != nil {
@@ -181,7 +180,8 @@
 	return c.messages[learner.peer] / length
 }
 
-// Guards against a leader whose messages grow with the product of changes and control VMs.
+// Guards against a leader whose message rate grows with the product of the change rate and
+// the number of learners.
 func TestLearnerBound(t *testing.T) {
 	for _, members := range []int{8, 24} {
 		few, many := messagesToLearner(t, members, 10), messagesToLearner(t, members, 200)
@@ -192,8 +192,8 @@
 	}
 }
 
-// BenchmarkCommit proposes one entry at a time to a leader with one follower
-// that answers at once.
+// BenchmarkCommit proposes one entry at a time to a leader with one follower that responds
+// immediately.
 func BenchmarkCommit(b *testing.B) {
 	b.ReportAllocs()
 	n, sent := elected()
@@ -233,14 +233,14 @@
 	b.ReportMetric(float64(n.commit)/float64(b.N), "commits/op")
 }
 
-// Guards against a learner that cannot become a voter under steady load, so that the loss of
-// a second voter leaves no majority.
-func TestGatheringLearnerCanBePromoted(t *testing.T) {
+// Guards against a learner that cannot become a voter under steady load, so that the loss
+// of a second voter leaves no majority.
+func TestThrottledLearnerCanBePromoted(t *testing.T) {
 	const voters, changes, samples = 3, 150, 40
 	cfg, names := fleet(voters+1, voters)
 	cfg.LearnerEvery = 120
 	c := newClusterOf(t, 1, cfg, names...)
-	leader := c.settled()
+	leader := c.waitForLeader()
 	caughtUp := 0
 	for range samples {
 		for range changes / 10 {
@@ -254,6 +254,6 @@
 		}
 	}
 	if caughtUp < samples/2 {
-		t.Errorf("it has caught up at %d of %d looks", caughtUp, samples)
+		t.Errorf("the learner had caught up in %d of %d samples", caughtUp, samples)
 	}
 }
--- a/core/tackreplica/election.go
+++ b/core/tackreplica/election.go
@@ -7,34 +7,34 @@
 	"auburntack/core/tackid"
 )
 
-// transfer is a hand-over of leadership that waits for its target to have the
-// whole log.
+// transfer is a leadership transfer that waits until its target has the whole log.
 type transfer struct {
 	to    tackid.Peer
 	until tackclock.Time
 }
 
-// resetElection puts off the next election by as long as a leader that is
-// alive may stay silent, and by a random part so that one VM comes first.
+// resetElection restarts the election timeout, with random jitter so that nodes do not all
+// campaign at once.
 func (n *Node) resetElection() {
-	n.electionAt = n.now.Add(n.cfg.Election + n.spread(n.cfg.Election/2))
+	n.electionAt = n.now.Add(n.cfg.Election + n.jitter(n.cfg.Election/2))
 }
 
-// retryElection sets when to try again. Asking is harmless, since it raises no
-// term; a whole timeout after each split vote would cost seconds.
+// retryElection schedules the next campaign attempt. A pre-vote does not raise the term, so
+// retrying early is harmless, while a full timeout after each split vote would cost
+// seconds.
 func (n *Node) retryElection() {
-	n.electionAt = n.now.Add(n.cfg.Election/4 + n.spread(n.cfg.Election/4))
+	n.electionAt = n.now.Add(n.cfg.Election/4 + n.jitter(n.cfg.Election/4))
 }
 
-func (n *Node) spread(d tackclock.Duration) tackclock.Duration {
+func (n *Node) jitter(d tackclock.Duration) tackclock.Duration {
 	return tackclock.Duration(n.rand.Int64N(int64(d) + 1))
 }
 
-// promise is how long a voter that heard a leader votes for nobody. It is
-// longer than the leader's lease by what the two clocks may drift apart; if it
-// were shorter, a new leader could be elected while the old one still answers.
-func (n *Node) promise() tackclock.Duration {
-	return n.cfg.Lease + n.cfg.Lease/driftParts
+// voteHoldoff is how long a voter grants no votes after hearing from a leader. It exceeds
+// the leader's lease by the maximum drift between two clocks; otherwise a new leader could
+// be elected while the old one still serves under its lease.
+func (n *Node) voteHoldoff() tackclock.Duration {
+	return n.cfg.Lease + n.cfg.Lease/driftDivisor
 }
 
 func (n *Node) becomeFollower(term Term, leader tackid.Peer) {
@@ -53,20 +53,21 @@
 	n.transfer = transfer{}
 }
 
-// mayCampaign also lets a voter stand that a change removes which is not known
-// to be committed. A leader that began its own removal may hold the longest log
-// of all that are left; if it did not stand, nobody could be elected.
+// mayCampaign reports whether this node may stand for election: it is a voter in the newest
+// membership or in the newest one known to be committed. A leader that proposed its own
+// removal may have the longest log of all remaining voters; if it could not campaign, no
+// leader could be elected.
 func (n *Node) mayCampaign() bool {
-	return n.hard.Eligible && (n.votesIn(n.Members()) || n.votesIn(n.membersAt(n.commit)))
+	return n.hard.Eligible && (n.isVoterIn(n.Members()) || n.isVoterIn(n.membersAt(n.commit)))
 }
 
-func (n *Node) votesIn(members []Member) bool {
+func (n *Node) isVoterIn(members []Member) bool {
 	return slices.ContainsFunc(members, func(m Member) bool { return m.Peer == n.cfg.Self && m.Voter })
 }
 
-// preCampaign asks whether an election could be won, without raising the term:
-// a VM that was cut off would otherwise come back with a higher term and
-// depose a leader that serves well.
+// preCampaign checks whether an election could be won, without raising the term. A node
+// that was partitioned would otherwise return with a higher term and depose a working
+// leader.
 func (n *Node) preCampaign() {
 	if !n.mayCampaign() || n.now < n.voteFrom {
 		n.role = Follower
@@ -103,28 +104,28 @@
 	}
 }
 
-// sticky reports whether this node must vote for nobody: it heard a leader,
-// or started, less than a lease ago, or it holds the lease itself.
-func (n *Node) sticky() bool {
+// mustNotVote reports whether this node may not vote: it heard from a leader, or started,
+// less than voteHoldoff ago, or it holds the leader lease itself.
+func (n *Node) mustNotVote() bool {
 	return n.now < n.voteFrom || n.role == Leader && n.leaderLeaseUntil() > n.now
 }
 
 func (n *Node) onPreVote(m Message) {
-	if !n.hard.Eligible || n.sticky() {
+	if !n.hard.Eligible || n.mustNotVote() {
 		return
 	}
 	granted := m.Term > n.hard.Term && n.log.upToDate(m.Index, m.LogTerm)
-	answer := Message{Kind: MessagePreVoteAnswer, To: m.From, Term: m.Term}
+	response := Message{Kind: MessagePreVoteResponse, To: m.From, Term: m.Term}
 	if !granted {
-		answer.Term, answer.Reject = n.hard.Term, true
+		response.Term, response.Reject = n.hard.Term, true
 	}
-	n.send(answer)
+	n.send(response)
 }
 
 func (n *Node) onVote(m Message) {
-	// The term is not even looked at while a leader is known to live, so a
-	// removed or returning VM can't depose it by a higher term.
-	if !n.hard.Eligible || n.sticky() && !m.Transfer {
+	// Ignore the term as well while a leader is known to be alive, so that a removed or
+	// returning node cannot depose it with a higher term.
+	if !n.hard.Eligible || n.mustNotVote() && !m.Transfer {
 		return
 	}
 	if m.Term > n.hard.Term {
@@ -136,10 +137,10 @@
 		n.hard.Vote = m.From
 		n.resetElection()
 	}
-	n.send(Message{Kind: MessageVoteAnswer, To: m.From, Term: n.hard.Term, Reject: !granted})
+	n.send(Message{Kind: MessageVoteResponse, To: m.From, Term: n.hard.Term, Reject: !granted})
 }
 
-func (n *Node) onPreVoteAnswer(m Message) {
+func (n *Node) onPreVoteResponse(m Message) {
 	if n.role != PreCandidate || m.Term != n.hard.Term+1 {
 		return
 	}
@@ -147,7 +148,7 @@
 	n.countPreVotes()
 }
 
-func (n *Node) onVoteAnswer(m Message) {
+func (n *Node) onVoteResponse(m Message) {
 	if n.role != Candidate || m.Reject {
 		return
 	}
@@ -176,26 +177,26 @@
 	n.progress = make(map[tackid.Peer]*progress)
 	for _, m := range n.Members() {
 		n.track(m.Peer)
-		// The leader before may have granted a lease a moment ago.
-		n.progress[m.Peer].grants = []grant{{until: n.now.Add(n.promise())}}
+		// The previous leader may have granted a lease just before.
+		n.progress[m.Peer].grants = []grant{{until: n.now.Add(n.voteHoldoff())}}
 	}
-	n.termStart = n.appendFirst()
+	n.termStart = n.appendTermStart()
 }
 
-// appendFirst appends the entry by whose commitment a leader learns what is
-// committed. The very first leader's also brings the configured members into
-// the log, so that from then on every VM has them from there.
-func (n *Node) appendFirst() tackid.Revision {
+// appendTermStart appends the first entry of the term; once it is committed, the leader knows
+// what is committed. The very first leader's entry also stores the configured members, so
+// that from then on every node takes them from the log.
+func (n *Node) appendTermStart() tackid.Revision {
 	if n.configs[len(n.configs)-1].index == 0 {
 		return n.appendEntry(EntryMembership, encodeMembers(n.Members()))
 	}
 	return n.appendEntry(EntryEmpty, nil)
 }
 
-// Transfer hands leadership over to a voter, or to the one that has most of
-// the log if to is empty. Proposals are refused from here on.
+// Transfer starts a transfer of leadership to the given voter, or to the voter with the
+// longest log if to is empty. Proposals are refused from then on.
 func (n *Node) Transfer(now tackclock.Time, to tackid.Peer) {
-	n.see(now)
+	n.advanceClock(now)
 	if n.role != Leader {
 		return
 	}
@@ -209,9 +210,9 @@
 	n.tickTransfer()
 }
 
-// tickTransfer sends the order as soon as the target has everything. The
-// leader steps down before the order can leave: voters will disregard their
-// promise to it, so it must not count on its lease any more in this term.
+// tickTransfer completes the transfer as soon as the target has the whole log. The leader
+// steps down before the message can leave: voters ignore their holdoff for a transfer, so
+// the leader must no longer rely on its lease in this term.
 func (n *Node) tickTransfer() {
 	if n.transfer.to == "" {
 		return
--- a/core/tackreplica/eligible.go
+++ b/core/tackreplica/eligible.go
@@ -2,30 +2,29 @@
 
 import "auburntack/core/tackclock"
 
-// A voter whose folder was lost has forgotten which entries it acknowledged
-// and for whom it voted. If its copy counted at once, it could help to elect a
-// leader without an acknowledged entry, or give a second vote in one term. So
-// a node is ineligible until it is shown that nothing is lost, in one of two
-// ways:
+// A voter that lost its data folder has forgotten which entries it acknowledged and whom it
+// voted for. If it counted at once, it could help to elect a leader that lacks an
+// acknowledged entry, or vote twice in one term. So a node is ineligible until it is
+// certain that nothing is lost, in one of two ways:
 //
-// Adoption. A leader that hears of an ineligible member appends an entry. Once
-// that entry is committed by a quorum that does not count the member, and the
-// member has the log up to it, the leader adopts that life of the member.
-// Whatever it had acknowledged is then in its log, and a candidate that still
-// holds its forgotten vote meets a voter with a newer log in every quorum.
+// Adoption. A leader that learns of an ineligible member appends an entry. Once that entry
+// is committed by a quorum without the member, and the member has the log up to it, the
+// leader adopts that instance of the member. Everything the member had acknowledged is then
+// in its log, and a candidate that still holds its forgotten vote meets a voter with a
+// newer log in every quorum.
 //
-// Bootstrap. At the very first start nobody can lead. A node becomes eligible
-// by itself if all configured voters, at one moment and within unchanged lives,
-// have no log at all; it goes above every term that they know. All, and not a
-// quorum: two voters of three that come back empty would otherwise begin a new
-// log while the third, cut off, holds the acknowledged one.
+// Bootstrap. At the very first start there is no leader. A node becomes eligible by itself
+// if all configured voters have an empty log at the same moment, without a restart in
+// between; it then moves to a term above any that they know. A quorum is not enough: two of
+// three voters that lost their folders would otherwise start a new log while the third,
+// partitioned, holds the acknowledged one.
 
-// report is what a voter said of its folder during bootstrap.
-type report struct {
-	life  Life
-	term  Term
-	first tackclock.Time // when the first answer of this life arrived
-	last  tackclock.Time // when the probe of its latest answer was sent
+// probeResult is what a voter reported about its folder during bootstrap.
+type probeResult struct {
+	instance InstanceID
+	term     Term
+	first    tackclock.Time // when the first response of this instance arrived
+	last     tackclock.Time // when the probe of its latest response was sent
 }
 
 func (n *Node) logEmpty() bool {
@@ -36,10 +35,10 @@
 	if n.hard.Eligible || !n.logEmpty() {
 		return
 	}
-	if !n.votesIn(n.Members()) {
+	if !n.isVoterIn(n.Members()) {
 		return
 	}
-	n.countReports()
+	n.tryBootstrap()
 	if n.now < n.probeAt {
 		return
 	}
@@ -53,34 +52,34 @@
 
 func (n *Node) onProbe(m Message) {
 	n.send(Message{
-		Kind: MessageProbeAnswer, To: m.From, Term: n.hard.Term,
-		Echo: m.Stamp, Life: n.life, Index: n.log.last(),
+		Kind: MessageProbeResponse, To: m.From, Term: n.hard.Term,
+		Echo: m.Stamp, Instance: n.instance, Index: n.log.last(),
 	})
 }
 
-func (n *Node) onProbeAnswer(m Message) {
+func (n *Node) onProbeResponse(m Message) {
 	sent, ok := n.timeOf(m.Echo)
 	if !ok || n.hard.Eligible || n.member(m.From) == nil {
 		return
 	}
 	if m.Index > 0 {
-		delete(n.reports, m.From)
+		delete(n.probeResults, m.From)
 		return
 	}
-	r := n.reports[m.From]
-	if r == nil || r.life != m.Life {
-		r = &report{life: m.Life, first: n.now, last: sent}
-		n.reports[m.From] = r
+	r := n.probeResults[m.From]
+	if r == nil || r.instance != m.Instance {
+		r = &probeResult{instance: m.Instance, first: n.now, last: sent}
+		n.probeResults[m.From] = r
 	}
 	r.term = max(r.term, m.Term)
 	r.last = max(r.last, sent)
-	n.countReports()
+	n.tryBootstrap()
 }
 
-// countReports makes the node eligible if there was a moment at which every
-// voter's log was empty: after the last of them first said so, and before the
-// first of them was last asked.
-func (n *Node) countReports() {
+// tryBootstrap makes the node eligible if there was a moment at which the log of every
+// voter was empty: after the last voter first reported it and before the first voter was
+// last probed.
+func (n *Node) tryBootstrap() {
 	if !n.logEmpty() || n.hard.Eligible {
 		return
 	}
@@ -91,7 +90,7 @@
 		if !m.Voter || m.Peer == n.cfg.Self {
 			continue
 		}
-		r := n.reports[m.Peer]
+		r := n.probeResults[m.Peer]
 		if r == nil {
 			return
 		}
@@ -106,21 +105,20 @@
 	n.hard.Eligible = true
 }
 
-// countsNow notes whether the answer's sender is eligible, and reports whether
-// the answer can be used. Answers that an earlier life of an ineligible member
-// sent may still arrive; they say what its folder no longer holds. One that
-// answers what was sent after the ineligible life was noted is of that life or
-// a later one, which has been adopted since.
-func (n *Node) countsNow(p *progress, m Message, sent tackclock.Time) bool {
+// acceptResponse updates the eligibility of the sender and reports whether the response can
+// be used. Responses of an earlier instance of an ineligible member may still arrive; they
+// describe a folder that is gone. A response to a message sent after the instance was found
+// ineligible is from that instance or a later one, which has been adopted since.
+func (n *Node) acceptResponse(p *progress, m Message, sent tackclock.Time) bool {
 	if !m.Ineligible {
-		if p.ineligible && sent <= p.lifeAt {
+		if p.ineligible && sent <= p.ineligibleAt {
 			return false
 		}
 		p.ineligible, p.lost = false, false
 		return true
 	}
-	if !p.ineligible || p.life != m.Life {
-		n.noteIneligible(p, m.Life)
+	if !p.ineligible || p.instance != m.Instance {
+		n.markIneligible(p, m.Instance)
 		p.rewind(p.next)
 	}
 	if p.adopt == 0 && n.commit >= n.termStart {
@@ -129,21 +127,21 @@
 	return true
 }
 
-// foundLost notes that a member which claims to be eligible lacks entries that
-// it acknowledged in this term: its folder is an older copy.
-func (n *Node) foundLost(p *progress) {
-	n.noteIneligible(p, 0)
+// markLost records that a member which claims to be eligible lacks entries that it
+// acknowledged in this term: its folder was replaced by an older copy.
+func (n *Node) markLost(p *progress) {
+	n.markIneligible(p, 0)
 	p.lost = true
 }
 
-func (n *Node) noteIneligible(p *progress, life Life) {
+func (n *Node) markIneligible(p *progress, instance InstanceID) {
 	p.ineligible, p.lost = true, false
-	p.life, p.lifeAt = life, n.now
+	p.instance, p.ineligibleAt = instance, n.now
 	p.match, p.adopt = 0, 0
 	p.chunk = outgoingSnapshot{}
 }
 
-func (n *Node) noteLost(m Message) {
+func (n *Node) handleLost(m Message) {
 	if m.Lost && n.hard.Eligible {
 		n.hard.Eligible = false
 	}
@@ -151,12 +149,12 @@
 
 func (n *Node) offerAdoption(p *progress, m *Message) {
 	if p.ineligible && p.adopt > 0 && p.match >= p.adopt && n.commit >= p.adopt {
-		m.Adopt = p.life
+		m.Adopt = p.instance
 	}
 }
 
 func (n *Node) acceptAdoption(m Message) {
-	if m.Adopt == n.life {
+	if m.Adopt == n.instance {
 		n.hard.Eligible = true
 	}
 }
--- a/core/tackreplica/errors.go
+++ b/core/tackreplica/errors.go
@@ -7,34 +7,34 @@
 )
 
 const (
-	// ProblemPending means that an earlier change is not committed yet.
+	// ProblemPending means that an earlier membership change is not committed yet.
 	ProblemPending MembershipProblem = "a change is still pending"
-	// ProblemSeveral means that more than one member would change.
+	// ProblemSeveral means that the change affects more than one member.
 	ProblemSeveral MembershipProblem = "more than one member would change"
-	// ProblemName means that a member has no name or one that stands twice.
+	// ProblemName means that a member has an empty or duplicate name.
 	ProblemName MembershipProblem = "a name is empty or stands twice"
-	// ProblemBehind means that a voter was to be made of a VM that is not a
-	// learner with the whole log.
+	// ProblemBehind means that the change promotes a VM to voter that is not a learner with
+	// the whole log.
 	ProblemBehind MembershipProblem = "only a learner that has caught up can become a voter"
-	// ProblemQuorum means that too few of the voters that would be left were
-	// heard of within the lease and hold the log.
+	// ProblemQuorum means that too few of the remaining voters responded within the lease
+	// and have the log.
 	ProblemQuorum MembershipProblem = "no quorum of the voters that would be left is at hand"
-	// ProblemNoVoter means that no voter would be left.
+	// ProblemNoVoter means that no voter would remain.
 	ProblemNoVoter MembershipProblem = "no voter would be left"
 )
 
 type (
-	// MembershipProblem says why a membership was refused.
+	// MembershipProblem is the reason why a membership change was refused.
 	MembershipProblem string
 
-	// NotLeaderError reports that this VM does not lead. Leader is empty if
-	// it knows of none.
+	// NotLeaderError reports that this node is not the leader. Leader is empty if the
+	// leader is unknown.
 	NotLeaderError struct {
 		Leader tackid.Peer
 	}
 
-	// MembershipError reports a membership that was refused; Peer is the
-	// member at fault, if there is one.
+	// MembershipError reports a refused membership change. Peer is the member that caused
+	// the refusal, if any.
 	MembershipError struct {
 		Peer    tackid.Peer
 		Problem MembershipProblem
--- a/core/tackreplica/history_test.go
+++ b/core/tackreplica/history_test.go
@@ -17,14 +17,14 @@
 	historySeeds = 100
 	historySteps = 60
 
-	clientPatience = 2 * second
+	clientTimeout = 2 * second
 )
 
 type (
 	// registerInput is a write of value, or a read if value is empty.
 	registerInput struct{ value string }
 
-	// pendingWrite was proposed and has not been seen applied.
+	// pendingWrite is a proposed write that has not been applied anywhere yet.
 	pendingWrite struct {
 		op    porcupine.Operation
 		at    tackclock.Time
@@ -32,8 +32,8 @@
 		term  Term
 	}
 
-	// history records what concurrent clients saw. Its clock counts the calls
-	// and returns, which the fake network plays one after the other.
+	// history records the operations of concurrent clients. Its clock counts calls and
+	// returns, which the simulation runs one after the other.
 	history struct {
 		*cluster
 		clock   int64
@@ -42,7 +42,7 @@
 	}
 )
 
-// register is one register that takes the last write.
+// register is the model of a single register.
 var register = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
@@ -53,12 +53,10 @@
 	},
 }
 
-// Symptom: a clerk reads a setting older than one that was accepted.
-// Sequence: several clients write and read while VMs are killed, frozen, cut
-// off and handed leadership.
-// Cause: a leader answers before it has applied what earlier ones committed, or
-// after its lease. Fails with the comparison to termStart left out of
-// LeaderLease.
+// Guards against stale reads: several clients write and read while VMs are killed, frozen,
+// cut off or given leadership. A leader must not serve reads before it has applied what
+// earlier leaders committed, or after its lease. Fails if LeaderLease does not compare
+// applied with termStart.
 func TestHistoryIsLinearizable(t *testing.T) {
 	convey.Convey("Writes and lease-confirmed reads are linearizable", t, func() {
 		reads := 0
@@ -127,11 +125,11 @@
 	return h.clock
 }
 
-// waits reports whether the client still waits for a write; it gives up after
-// a while, not knowing what became of it.
+// waits reports whether the client still waits for a write. It gives up after
+// clientTimeout, without knowing the outcome.
 func (h *history) waits(client int) bool {
 	return slices.ContainsFunc(h.pending, func(w *pendingWrite) bool {
-		return w.op.ClientId == client && h.now.Sub(w.at) < clientPatience
+		return w.op.ClientId == client && h.now.Sub(w.at) < clientTimeout
 	})
 }
 
@@ -162,9 +160,9 @@
 	}
 }
 
-// onApply ends the writes that were proposed for the entry's position when any
-// VM first applies it, which is the earliest that a client could learn of it:
-// the one of its term took effect, the others never will.
+// onApply completes the writes proposed at the entry's index when any VM first applies it,
+// which is the earliest that a client could learn the outcome: the write with the entry's
+// term took effect, the others never will.
 func (h *history) onApply(_ *fakeVM, e Entry) {
 	var left []*pendingWrite
 	for _, w := range h.pending {
--- a/core/tackreplica/lease.go
+++ b/core/tackreplica/lease.go
@@ -7,29 +7,29 @@
 	"auburntack/core/tackid"
 )
 
-// grant is a lease: the right to rely on what was applied, until a moment, if
-// at least required has been applied. A VM holds several that overlap, since a
-// newer one may ask for a revision that it is just about to apply.
+// grant is a lease: until the given time, a member may serve reads from its applied state
+// if it has applied at least required. A member holds several overlapping leases, since a
+// newer one may require a revision that it has not applied yet.
 type grant struct {
 	required tackid.Revision
 	until    tackclock.Time
 }
 
-// stampAt returns now in a form that a later life of this VM refuses: after a
-// restart the clock may have been set back, and an echo of the former life
-// would seem to grant a lease far into the future.
+// stampAt encodes now in a form that other instances of this node reject. After a restart
+// the clock may have been set back, and the echo of an earlier instance's stamp would seem
+// to grant a lease far into the future.
 func (n *Node) stampAt(now tackclock.Time) Stamp {
 	return Stamp(n.salt + uint64(now.Sub(n.started)) + 1)
 }
 
-// timeOf turns an echo of this node's own stamp back into its time.
+// timeOf decodes an echo of this node's own stamp into the time at which it was made.
 func (n *Node) timeOf(s Stamp) (tackclock.Time, bool) {
 	t := n.started.Add(tackclock.Duration(uint64(s) - n.salt - 1))
 	return t, t >= n.started && t <= n.now
 }
 
-// leaderLeaseUntil is when the promises of a quorum of voters end, counted
-// from when the leader sent what they answered.
+// leaderLeaseUntil is when the leader lease ends, counted from when the leader sent the
+// messages that a quorum of voters acknowledged.
 func (n *Node) leaderLeaseUntil() tackclock.Time {
 	if n.role != Leader {
 		return 0
@@ -37,8 +37,8 @@
 	return n.quorumAcked().Add(n.cfg.Lease)
 }
 
-// quorumAcked is the newest time such that a quorum answered a message sent
-// then or later.
+// quorumAcked is the latest time such that a quorum has acknowledged a message sent at that
+// time or later.
 func (n *Node) quorumAcked() tackclock.Time {
 	var acked []tackclock.Time
 	for _, m := range n.Members() {
@@ -61,33 +61,33 @@
 	return p.acked
 }
 
-// quorumLost reports whether a leader has been without a quorum for so long
-// that another one may be there.
+// quorumLost reports whether a leader has been without a quorum for so long that another
+// leader may exist.
 func (n *Node) quorumLost() bool {
 	return n.now.Sub(max(n.quorumAcked(), n.electedAt)) > n.cfg.Election
 }
 
-// LeaderLease reports whether this node leads and a quorum has confirmed it
-// within the lease, by its own clock, and it has applied everything that
-// earlier leaders committed. Reads that decide anything may then be answered.
+// LeaderLease reports whether this node is the leader, a quorum has confirmed that within
+// the lease by its own clock, and it has applied everything that earlier leaders committed.
+// Only then may it serve linearizable reads.
 func (n *Node) LeaderLease(now tackclock.Time) bool {
-	n.see(now)
+	n.advanceClock(now)
 	return n.role == Leader && n.now < n.leaderLeaseUntil() && n.applied >= n.termStart
 }
 
-// grantLease puts a lease for p into m. Only a leader that holds its own lease
-// grants any: so all leases of one leader begin before the next is elected. And
-// only members by a committed entry get one: the next leader knows of no other,
-// and would not wait for their leases to run out.
+// grantLease adds a lease for p to m. Only a leader that holds the leader lease grants any,
+// so all leases granted by one leader start before the next is elected. Only members in a
+// committed membership get one: the next leader knows no others and would not wait for
+// their leases to expire.
 //
-// The member counts its lease from when it sent the stamp, which is before it
-// came here. Counted from now instead, the lease of a member that fell silent
-// would never seem to end, and every command would wait for it anew.
+// The member counts its lease from when it sent the stamp, so the leader counts from when
+// the stamp arrived, which is later. If it counted from now, the lease of a member that
+// stopped responding would never seem to end, and every command would wait for it again.
 func (n *Node) grantLease(p *progress, m *Message) {
 	if p.stamp == 0 || n.commit < n.termStart || n.now >= n.leaderLeaseUntil() || !n.committedMember(p.peer) {
 		return
 	}
-	until := p.stamped.Add(n.promise())
+	until := p.stamped.Add(n.voteHoldoff())
 	if until <= n.now {
 		return
 	}
@@ -96,9 +96,9 @@
 	p.grants = addGrant(p.grants, g, n.now)
 }
 
-// takeLease counts a granted lease from when this node sent the stamp that
-// came back with it, which is earlier than when the leader granted it.
-func (n *Node) takeLease(m Message) {
+// acceptLease records a granted lease. It counts from when this node sent the echoed stamp,
+// which is earlier than when the leader granted the lease.
+func (n *Node) acceptLease(m Message) {
 	if m.Required == 0 {
 		return
 	}
@@ -110,8 +110,8 @@
 	n.grants = addGrant(n.grants, g, n.now)
 }
 
-// addGrant adds g and drops what has run out or is implied by g. There are at
-// most as many as heartbeats in a lease.
+// addGrant adds g and removes grants that have expired or are implied by g. At most as many
+// remain as there are heartbeats in a lease.
 func addGrant(grants []grant, g grant, now tackclock.Time) []grant {
 	grants = slices.DeleteFunc(grants, func(h grant) bool {
 		return h.until <= now || h.required >= g.required && h.until <= g.until
@@ -119,10 +119,10 @@
 	return append(grants, g)
 }
 
-// Leased reports whether this VM may rely on what it has applied: it holds a
-// lease and has applied the revision that the lease asks for.
+// Leased reports whether this node may serve reads from its applied state: it holds a lease
+// and has applied the revision that the lease requires.
 func (n *Node) Leased(now tackclock.Time) bool {
-	n.see(now)
+	n.advanceClock(now)
 	return n.leasedUntil() > n.now
 }
 
@@ -142,15 +142,14 @@
 	return until
 }
 
-// InForce reports, on the leader, whether no VM can still rely on a state
-// before i: each member has applied i, or every lease that did not ask for i
-// has run out. Missing are the members that have not applied i and hold no
-// such lease.
+// InForce reports, on the leader, whether no node can still serve a state before i: each
+// member has applied i, or every lease that does not require i has expired. Missing lists
+// the members that have not applied i and hold no such lease.
 func (n *Node) InForce(now tackclock.Time, i tackid.Revision) (done bool, missing []tackid.Peer) {
 	if !n.LeaderLease(now) || i > n.commit || i > n.applied {
 		return false, nil
 	}
-	done = !n.removedLeased()
+	done = !n.removedMayHoldLease()
 	for _, p := range n.others() {
 		if p.applied >= i {
 			continue
@@ -164,8 +163,7 @@
 	return done, missing
 }
 
-// leasedBefore reports whether the member may hold a lease that is valid
-// without having applied i.
+// leasedBefore reports whether the member may hold a lease that does not require i.
 func (p *progress) leasedBefore(i tackid.Revision, now tackclock.Time) bool {
 	for _, g := range p.grants {
 		if g.required < i && g.until > now {
--- a/core/tackreplica/log.go
+++ b/core/tackreplica/log.go
@@ -5,17 +5,17 @@
 	"auburntack/core/tackid"
 )
 
-// entryOverhead is what an entry is taken to cost on the wire beside its data.
+// entryOverhead is the estimated encoded size of an entry in bytes, without its data.
 const entryOverhead = 24
 
-// entryLog is the part of the log that is held in memory: the entries after
-// base, which was compacted away.
+// entryLog is the part of the log that is held in memory: the entries after base. Entries
+// up to base are compacted.
 type entryLog struct {
 	base     tackid.Revision
 	baseTerm Term
 	baseTime tackclock.Time
 	entries  []Entry
-	stable   tackid.Revision // the last entry that is on disk
+	stable   tackid.Revision // the last entry that is durable
 }
 
 func (l *entryLog) last() tackid.Revision {
@@ -57,8 +57,8 @@
 	return l.entries[from-l.base : to-l.base : to-l.base]
 }
 
-// batch returns the entries from next on that fit into limit bytes, at least
-// one if there is one, and their size.
+// batch returns the entries from next on that fit into limit bytes, at least one if any
+// exists, and their size.
 func (l *entryLog) batch(next tackid.Revision, limit int) ([]Entry, int) {
 	size := 0
 	end := next
@@ -94,13 +94,13 @@
 	l.base, l.baseTerm, l.baseTime = i, e.Term, e.Time
 }
 
-// reset makes the log one that holds nothing after the snapshot s.
+// reset replaces the log by an empty one that starts after the snapshot s.
 func (l *entryLog) reset(s *Snapshot) {
 	*l = entryLog{base: s.Index, baseTerm: s.Term, baseTime: s.Time, stable: s.Index}
 }
 
-// upToDate reports whether a log that ends at index and term holds everything
-// that this one may have committed.
+// upToDate reports whether a log that ends at index and term contains every entry that this
+// log may have committed.
 func (l *entryLog) upToDate(index tackid.Revision, term Term) bool {
 	if term != l.lastTerm() {
 		return term > l.lastTerm()
--- a/core/tackreplica/membership.go
+++ b/core/tackreplica/membership.go
@@ -10,22 +10,22 @@
 )
 
 type (
-	// config is a membership and the entry that brought it.
+	// config is a membership and the index of the entry that contains it.
 	config struct {
 		index   tackid.Revision
 		members []Member
 	}
 
-	// removal remembers that a member was removed and may hold a lease. It
-	// has no name if the node can't know whether there was one.
+	// removal is a removed member that may still hold a lease. Its name is empty if the
+	// node cannot know whether a member was removed.
 	removal struct {
 		peer  tackid.Peer
 		until tackclock.Time
 	}
 )
 
-// Members returns the members that count now: those of the newest membership
-// in the log, committed or not.
+// Members returns the effective members: those of the newest membership in the log,
+// committed or not.
 func (n *Node) Members() []Member {
 	return n.configs[len(n.configs)-1].members
 }
@@ -44,7 +44,7 @@
 	return slices.ContainsFunc(n.membersAt(n.commit), func(m Member) bool { return m.Peer == peer })
 }
 
-// others returns what the leader knows of every other member.
+// others returns the progress of every other member.
 func (n *Node) others() []*progress {
 	var ps []*progress
 	for _, m := range n.Members() {
@@ -69,8 +69,8 @@
 	return granted > voters/2
 }
 
-// noteMembership takes a membership as soon as its entry is in the log.
-func (n *Node) noteMembership(e Entry) {
+// applyMembership makes the membership in e effective as soon as the entry is in the log.
+func (n *Node) applyMembership(e Entry) {
 	if e.Kind != EntryMembership {
 		return
 	}
@@ -86,7 +86,7 @@
 	n.configs = append(n.configs, config{index: index, members: members})
 	for _, m := range before {
 		if n.member(m.Peer) == nil {
-			n.noteRemoval(m.Peer)
+			n.recordRemoval(m.Peer)
 		}
 	}
 	if n.role != Leader {
@@ -102,29 +102,29 @@
 	}
 }
 
-// noteRemoval remembers a removed member for as long as a lease that it was
-// granted before can last. Without it a change would be reported in force
-// while the removed VM still serves by the state before.
-func (n *Node) noteRemoval(peer tackid.Peer) {
-	n.removed = append(n.removed, removal{peer: peer, until: n.now.Add(n.promise())})
+// recordRemoval records a removed member for as long as a lease granted to it may last.
+// Without it, a change would be reported in force while the removed member still serves the
+// state before it.
+func (n *Node) recordRemoval(peer tackid.Peer) {
+	n.removed = append(n.removed, removal{peer: peer, until: n.now.Add(n.voteHoldoff())})
 }
 
-func (n *Node) removedLeased() bool {
+func (n *Node) removedMayHoldLease() bool {
 	n.removed = slices.DeleteFunc(n.removed, func(d removal) bool { return d.until <= n.now })
 	return len(n.removed) > 0
 }
 
-// forgetMembership goes back to the membership that held at i.
-func (n *Node) forgetMembership(i tackid.Revision) {
+// revertMembership restores the membership that was effective at index i.
+func (n *Node) revertMembership(i tackid.Revision) {
 	for len(n.configs) > 1 && n.configs[len(n.configs)-1].index > i {
 		n.configs = n.configs[:len(n.configs)-1]
 	}
 }
 
-// ProposeMembership appends a membership that differs from the present one in
-// one member. The error is a *NotLeaderError or a *MembershipError.
+// ProposeMembership appends a membership that differs from the effective one in one member.
+// The error is a *NotLeaderError or a *MembershipError.
 func (n *Node) ProposeMembership(now tackclock.Time, members []Member) (tackid.Revision, Term, error) {
-	n.see(now)
+	n.advanceClock(now)
 	if err := n.mayPropose(); err != nil {
 		return 0, 0, err
 	}
@@ -135,8 +135,8 @@
 }
 
 func (n *Node) checkMembership(members []Member) error {
-	// A leader that has committed nothing may not know of a change that an
-	// earlier one began; two begun changes can have quorums that do not meet.
+	// A leader that has committed nothing in its term may not know of a change that an
+	// earlier leader started, and two changes in progress can have disjoint quorums.
 	if n.commit < n.termStart || n.configs[len(n.configs)-1].index > n.commit {
 		return &MembershipError{Problem: ProblemPending}
 	}
@@ -147,22 +147,22 @@
 	if len(changed) > 1 {
 		return &MembershipError{Peer: changed[1], Problem: ProblemSeveral}
 	}
-	if !n.quorumAtHand(members) {
+	if !n.quorumReachable(members) {
 		return &MembershipError{Problem: ProblemQuorum}
 	}
 	return nil
 }
 
-// quorumAtHand reports whether the voters of members could commit the change.
-// Removing a sound voter while another is down, or came back empty, would
-// leave a membership that can commit nothing, not even its own repair.
-func (n *Node) quorumAtHand(members []Member) bool {
-	sound := make(map[tackid.Peer]bool)
+// quorumReachable reports whether the voters among members could commit the change.
+// Removing a healthy voter while another is down, or came back with an empty folder, would
+// leave a membership that cannot commit anything, not even its own repair.
+func (n *Node) quorumReachable(members []Member) bool {
+	healthy := make(map[tackid.Peer]bool)
 	for _, m := range members {
 		p := n.progress[m.Peer]
-		sound[m.Peer] = m.Peer == n.cfg.Self || p != nil && !p.ineligible && n.now.Sub(p.heard) <= n.cfg.Lease
+		healthy[m.Peer] = m.Peer == n.cfg.Self || p != nil && !p.ineligible && n.now.Sub(p.heard) <= n.cfg.Lease
 	}
-	return quorumOf(members, sound)
+	return quorumOf(members, healthy)
 }
 
 func (n *Node) changedMembers(members []Member) ([]tackid.Peer, error) {
@@ -197,26 +197,26 @@
 	return changed, nil
 }
 
-// caughtUp reports whether a learner can become a voter without holding up
-// the commitment of entries.
+// caughtUp reports whether a learner can become a voter without delaying commits.
 func (n *Node) caughtUp(peer tackid.Peer) bool {
 	p := n.progress[peer]
-	return p != nil && !p.ineligible && (p.match >= n.commit || n.hasGathered(p)) && n.now.Sub(p.heard) <= n.cfg.Lease
+	return p != nil && !p.ineligible && (p.match >= n.commit || n.withinThrottle(p)) && n.now.Sub(p.heard) <= n.cfg.Lease
 }
 
-// hasGathered reports whether a member lacks only what is gathered for it since it was last
-// sent all that there was. Under steady load it never has all at any other moment than that
-// of its answer.
-func (n *Node) hasGathered(p *progress) bool {
-	return n.spares(p) && p.sentAll && !p.probing && len(p.inflight) == 0 && n.now.Sub(p.sentAt) <= 2*n.cfg.LearnerEvery
+// withinThrottle reports whether a member lacks only entries that throttling has held back
+// since it was last sent the whole log. Under steady load it has all entries only at the
+// moment of its response.
+func (n *Node) withinThrottle(p *progress) bool {
+	return n.throttled(p) && p.sentAll && !p.probing && len(p.inflight) == 0 && n.now.Sub(p.sentAt) <= 2*n.cfg.LearnerEvery
 }
 
-// stepAside hands over once it is committed that the leader is no voter.
-func (n *Node) stepAside() {
+// transferIfRemoved transfers leadership once a membership in which the leader is not a
+// voter is committed.
+func (n *Node) transferIfRemoved() {
 	if n.transfer.to != "" || n.configs[len(n.configs)-1].index > n.commit {
 		return
 	}
-	if !n.votesIn(n.Members()) {
+	if !n.isVoterIn(n.Members()) {
 		n.Transfer(n.now, "")
 	}
 }
--- a/core/tackreplica/membership_test.go
+++ b/core/tackreplica/membership_test.go
@@ -7,11 +7,9 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-// Symptom: two halves of the members go on independently.
-// Sequence: memberships are changed in larger steps, or at once, or to VMs that
-// lag, or away from those that are up.
-// Cause: two memberships whose quorums do not meet. Each case fails with its
-// check left out.
+// Guards against two memberships with disjoint quorums: changes of several members at once,
+// concurrent changes, promotion of VMs that lag, and changes without a reachable quorum
+// must be refused. Each case fails without its check.
 func TestMembershipIsChangedInSafeSteps(t *testing.T) {
 	d := Member{Peer: "d"}
 	cases := map[MembershipProblem][]Member{
@@ -26,7 +24,7 @@
 		t.Run(string(problem), func(t *testing.T) {
 			convey.Convey("The change is refused", t, func() {
 				c := newCluster(t, 10, "a", "b", "c")
-				leader := c.settled()
+				leader := c.waitForLeader()
 				switch problem {
 				case ProblemPending:
 					leader.node.appendEntry(EntryMembership, encodeMembers(threeVoters))
@@ -45,22 +43,21 @@
 	}
 }
 
-// Symptom: nobody leads, or a VM that was removed does.
-// Sequence: the leader is removed, and dies just after it proposed that or
-// lives on.
-// Cause: it did not hand over. Fails with stepAside doing nothing.
+// Guards against a cluster without a leader, or led by a removed VM: the leader is removed,
+// and lives on or dies just after it proposed that. Fails if transferIfRemoved does
+// nothing.
 func TestLeaderIsRemoved(t *testing.T) {
 	for name, dies := range map[string]bool{"and lives": false, "and dies": true} {
 		t.Run(name, func(t *testing.T) {
 			convey.Convey("Another leads, with one membership", t, func() {
 				c := newCluster(t, 11, "a", "b", "c")
-				old := c.settled()
+				old := c.waitForLeader()
 				convey.So(old.removeMember(old.peer), convey.ShouldBeNil)
 				if dies {
 					c.run(1)
 					old.kill()
 				}
-				next := c.settled()
+				next := c.waitForLeader()
 				convey.So(next.peer, convey.ShouldNotEqual, old.peer)
 				if dies {
 					old.start()
@@ -76,56 +73,53 @@
 	}
 }
 
-// Symptom: no leader is found although three of four voters are up.
-// Sequence: the leader begins its own removal and is cut off, another voter
-// dies, the cut heals.
-// Cause: only the old leader has the longest log, and it did not stand. Fails
-// with mayCampaign looking at the newest membership only.
-func TestLeaderThatBeganItsRemovalStands(t *testing.T) {
-	convey.Convey("The old leader is elected and hands over", t, func() {
+// Guards against a cluster that elects no leader although three of four voters are up. The
+// leader proposes its own removal and is cut off, another voter dies, and the partition
+// heals: only the old leader has the longest log. Fails if mayCampaign checks only the
+// newest membership.
+func TestLeaderThatProposedItsRemovalCanCampaign(t *testing.T) {
+	convey.Convey("The old leader is elected and transfers leadership", t, func() {
 		c := newCluster(t, 17, "a", "b", "c", "d")
-		old := c.settled()
+		old := c.waitForLeader()
 		c.cutOff(old, true)
 		c.without(old)[0].kill()
 		convey.So(old.removeMember(old.peer), convey.ShouldBeNil)
 		c.run(5 * second)
-		convey.So(c.leads(), convey.ShouldBeEmpty)
+		convey.So(c.leaderName(), convey.ShouldBeEmpty)
 		clear(c.cut)
-		next := c.settled()
+		next := c.waitForLeader()
 		convey.So(next.node.Members(), convey.ShouldHaveLength, 3)
 		c.run(second)
-		convey.So(c.leads(), convey.ShouldNotEqual, old.peer)
+		convey.So(c.leaderName(), convey.ShouldNotEqual, old.peer)
 	})
 }
 
-// Symptom: a VM goes by a membership that was never accepted.
-// Sequence: a leader that is cut off proposes one; the others elect another.
-// Cause: the entry was replaced and its members were not. Fails without
-// forgetMembership.
-func TestReplacedMembershipIsForgotten(t *testing.T) {
-	convey.Convey("The membership goes with its entry", t, func() {
+// Guards against a VM that uses a membership that was never committed: a leader that is cut
+// off proposes one and the others elect another leader, which replaces the entry. Fails
+// without revertMembership.
+func TestReplacedMembershipIsReverted(t *testing.T) {
+	convey.Convey("The membership is reverted with its entry", t, func() {
 		c := newCluster(t, 13, "a", "b", "c")
-		old := c.settled()
+		old := c.waitForLeader()
 		c.cutOff(old, true)
 		convey.So(old.removeMember(c.without(old)[0].peer), convey.ShouldBeNil)
-		c.settled()
+		c.waitForLeader()
 		clear(c.cut)
 		c.run(second)
 		convey.So(old.node.Members(), convey.ShouldResemble, threeVoters)
 	})
 }
 
-// Symptom: a change is reported in force while a VM that was just removed still
-// serves by the state before.
-// Sequence: a learner is removed, and leadership is handed to a VM that has
-// restarted, or that learned of it by a snapshot only.
-// Cause: the new leader did not know that there was a lease to wait for. Fails,
-// by cluster.check, with noteRemoval left out of New and installSnapshot.
+// Guards against a change that is reported in force while a VM that was just removed still
+// serves the state before it. A learner is removed, and leadership is transferred to a VM
+// that restarted or learned of the removal from a snapshot only, so that it does not know
+// of the learner's lease. Fails, by cluster.check, if New and installSnapshot do not call
+// recordRemoval.
 func TestRemovedMembersLeaseIsWaitedFor(t *testing.T) {
 	for name, restart := range map[string]bool{"restarted": true, "by snapshot": false} {
 		t.Run(name, func(t *testing.T) {
 			c := newClusterOf(t, 14, Config{Members: threeVoters, KeepEntries: 5, Heartbeat: 50}, "a", "b", "c", "d")
-			leader := c.settled()
+			leader := c.waitForLeader()
 			next := c.without(leader)[0]
 			c.cutOff(next, !restart)
 			_, _, err := leader.node.ProposeMembership(leader.now(), append([]Member{{Peer: "d"}}, threeVoters...))
@@ -146,10 +140,10 @@
 			for deadline := c.now + 300; c.leader() != next && c.now < deadline; {
 				c.run(5)
 			}
-			convey.Convey("The handed-over leader waits", t, func() {
+			convey.Convey("The new leader waits", t, func() {
 				convey.So(err, convey.ShouldBeNil)
 				convey.So(removed, convey.ShouldBeNil)
-				convey.So(c.leads(), convey.ShouldEqual, next.peer)
+				convey.So(c.leaderName(), convey.ShouldEqual, next.peer)
 				i, _, _ := next.propose()
 				c.run(20)
 				convey.So(c.vm("d").node.Leased(c.vm("d").now()), convey.ShouldBeTrue)
@@ -161,22 +155,19 @@
 	}
 }
 
-// Symptom: a change is reported in force while a VM that no membership names
-// serves by the state before.
-// Sequence: a leader adds a learner and is cut off with it; the others, who
-// never heard of the learner, elect another leader.
-// Cause: the learner was granted a lease before its membership was committed.
-// Fails, by cluster.check, with the look at the committed members left out of
-// grantLease.
+// Guards against a change that is reported in force while a VM that is in no committed
+// membership serves the state before it. A leader adds a learner and is cut off together
+// with it; the others, which do not know the learner, elect another leader. Fails, by
+// cluster.check, if grantLease does not check the committed members.
 func TestUncommittedMemberHoldsNoLease(t *testing.T) {
-	convey.Convey("A learner is granted nothing before it is committed", t, func() {
+	convey.Convey("A learner gets no lease before its membership is committed", t, func() {
 		for seed := range uint64(20) {
 			c := newClusterOf(t, seed, Config{Members: threeVoters}, "a", "b", "c", "d")
-			old := c.settled()
+			old := c.waitForLeader()
 			_, _, err := old.node.ProposeMembership(old.now(), append([]Member{{Peer: "d"}}, threeVoters...))
 			convey.So(err, convey.ShouldBeNil)
 			for _, v := range c.without(old) {
-				c.severLink(old.peer, v.peer, v.peer != "d")
+				c.cutLinkBothWays(old.peer, v.peer, v.peer != "d")
 			}
 			for range 400 {
 				c.run(5)
@@ -185,7 +176,7 @@
 					_, _, _ = v.propose()
 				}
 			}
-			convey.So(c.leads(), convey.ShouldNotEqual, old.peer)
+			convey.So(c.leaderName(), convey.ShouldNotEqual, old.peer)
 			convey.So(c.inForce, convey.ShouldBeGreaterThan, 20)
 		}
 	})
--- a/core/tackreplica/node.go
+++ b/core/tackreplica/node.go
@@ -1,12 +1,11 @@
-// Package tackreplica keeps one log the same on every VM of the system.
+// Package tackreplica implements a replicated log based on the Raft consensus algorithm.
 //
-// A Node is one VM's share of it: elections, replication, leases, membership
-// and snapshots. It decides only. Its owner hands it messages and the time,
-// makes durable and sends what Ready returns, and applies what is committed;
-// so every failure can be played through in steps.
+// A Node is one VM's replica: elections, replication, leases, membership and snapshots. It
+// performs no I/O. Its owner passes in messages and the time, stores and sends what Ready
+// returns, and applies committed entries, so tests can step through any failure.
 //
-// The time that is handed in must be read after the message it comes with
-// was received, and must never run backwards during one process's life.
+// The time passed in must be read after the accompanying message was received, and must
+// never decrease while the process runs.
 package tackreplica
 
 import (
@@ -21,39 +20,38 @@
 	defaultElection  = 1000 * tackclock.Millisecond
 	defaultLease     = 900 * tackclock.Millisecond
 
-	// commitNote is the least time between two notes of what is committed.
-	commitNote   = 200 * tackclock.Millisecond
-	defaultBatch = 64 << 10
-	// windowBatches bounds how many full batches may be under way to one
-	// member, so that a slow member does not fill the leader's memory.
-	windowBatches = 16
-	// driftParts is the share of a lease by which two VMs' clocks may drift
-	// apart during it: one part in sixteen, far above what machines show.
-	driftParts  = 16
-	defaultKeep = 1000
+	// commitSaveInterval is the minimum time between two writes of the commit index to
+	// disk.
+	commitSaveInterval = 200 * tackclock.Millisecond
+	defaultBatchBytes  = 64 << 10
+	// maxInflightBatches is the maximum number of full batches in flight to one member, so that
+	// a slow member does not use up the leader's memory.
+	maxInflightBatches = 16
+	// driftDivisor bounds clock drift: during a lease, the clocks of two VMs may drift
+	// apart by at most lease/driftDivisor. One sixteenth is far above what machines show.
+	driftDivisor       = 16
+	defaultKeepEntries = 1000
 )
 
 const (
-	// Follower takes entries from a leader.
+	// Follower receives entries from a leader.
 	Follower Role = iota
-	// PreCandidate asks whether it would be elected.
+	// PreCandidate checks whether it could win an election.
 	PreCandidate
-	// Candidate stands for election.
+	// Candidate requests votes.
 	Candidate
-	// Leader appends to the log.
+	// Leader appends entries to the log.
 	Leader
 )
 
 type (
-	// Role is what a node is doing in its term.
+	// Role is the role of a node in its term.
 	Role uint8
 
-	// Config is what a node is started with. Members are those of the very
-	// first start; once the log holds a membership, that one counts. Zero
-	// durations and sizes take their defaults. Seed must differ from process
-	// to process, because it also tells one life of a VM from the next.
-	// KeepEntries is how many entries stay in memory behind a compaction, so
-	// that a slow member need not be sent the whole snapshot.
+	// Config configures a node. Members is used only until the log contains a membership.
+	// Zero durations and sizes select defaults. Seed must differ between processes, because
+	// instance IDs are derived from it. KeepEntries is the number of entries kept in memory
+	// after a compaction, so that a slow member need not be sent the whole snapshot.
 	Config struct {
 		Self          tackid.Peer
 		Members       []Member
@@ -63,33 +61,33 @@
 		Seed          uint64
 		MaxBatchBytes int
 		KeepEntries   int
-		// LearnerEvery spaces out what is sent to a member that does not vote; with zero
-		// each entry is sent there at once, as to those that vote.
+		// LearnerEvery is the interval at which entries are sent to learners. If it is
+		// zero, entries are sent to them at once, as to voters.
 		LearnerEvery tackclock.Duration
 	}
 
-	// Node is one VM's share of the replicated log. It is not safe for
-	// concurrent use, and questions count as use, since they note the time.
+	// Node is one replica of the log. It is not safe for concurrent use; this includes
+	// methods that only return information, since they advance the node's clock.
 	Node struct {
-		cfg     Config
-		rand    *rand.Rand
-		now     tackclock.Time
-		started tackclock.Time
-		salt    uint64
-		life    Life
-		failed  bool
+		cfg      Config
+		rand     *rand.Rand
+		now      tackclock.Time
+		started  tackclock.Time
+		salt     uint64
+		instance InstanceID
+		failed   bool
 
 		role      Role
 		leader    tackid.Peer
 		hard      HardState
 		savedHard HardState
 
-		log      entryLog
-		snapshot Snapshot
-		commit   tackid.Revision
-		handed   tackid.Revision // committed entries up to here were handed out
-		applied  tackid.Revision
-		verified tackid.Revision // equal to the leader's log up to here
+		log       entryLog
+		snapshot  Snapshot
+		commit    tackid.Revision
+		delivered tackid.Revision // committed entries up to here were returned by Ready
+		applied   tackid.Revision
+		verified  tackid.Revision // the log matches the leader's up to here
 
 		configs []config
 		removed []removal
@@ -97,48 +95,48 @@
 		electionAt tackclock.Time
 		votes      map[tackid.Peer]bool
 		transfer   transfer
-		voteFrom   tackclock.Time // votes for nobody before
+		voteFrom   tackclock.Time // grants no votes before
 
 		progress    map[tackid.Peer]*progress
 		electedAt   tackclock.Time
 		termStart   tackid.Revision
 		heartbeatAt tackclock.Time
 
-		grants    []grant
-		echo      Stamp
-		answerDue bool
-		incoming  incomingSnapshot
-		install   *Snapshot
+		grants      []grant
+		echo        Stamp
+		responseDue bool
+		incoming    incomingSnapshot
+		install     *Snapshot
 
-		probeAt      tackclock.Time
-		commitNoteAt tackclock.Time
-		reports      map[tackid.Peer]*report
+		probeAt       tackclock.Time
+		commitSaveDue tackclock.Time
+		probeResults  map[tackid.Peer]*probeResult
 
 		messages []Message
 	}
 )
 
-// New returns a node that goes on from what its folder held.
+// New returns a node that continues from its stored state.
 func New(cfg Config, stored Stored, now tackclock.Time) *Node {
 	cfg = cfg.withDefaults()
 	n := &Node{
-		cfg:       cfg,
-		rand:      rand.New(rand.NewPCG(cfg.Seed, uint64(now))),
-		now:       now,
-		started:   now,
-		hard:      stored.Hard,
-		savedHard: stored.Hard,
-		snapshot:  stored.Snapshot,
-		reports:   make(map[tackid.Peer]*report),
+		cfg:          cfg,
+		rand:         rand.New(rand.NewPCG(cfg.Seed, uint64(now))),
+		now:          now,
+		started:      now,
+		hard:         stored.Hard,
+		savedHard:    stored.Hard,
+		snapshot:     stored.Snapshot,
+		probeResults: make(map[tackid.Peer]*probeResult),
 	}
 	n.salt = n.rand.Uint64N(1 << 47)
-	n.life = Life(n.rand.Uint64N(1<<47) + 1)
+	n.instance = InstanceID(n.rand.Uint64N(1<<47) + 1)
 	n.restore(stored)
-	// A voter that restarted has forgotten when it last heard a leader. If it
-	// voted at once, that leader could still be answering by its lease.
-	n.voteFrom = now.Add(n.promise())
-	// It has also forgotten which members were removed just now.
-	n.noteRemoval("")
+	// A voter that restarted has forgotten when it last heard from a leader. If it voted at
+	// once, that leader could still be serving under its lease.
+	n.voteFrom = now.Add(n.voteHoldoff())
+	// It has also forgotten which members were removed recently.
+	n.recordRemoval("")
 	n.resetElection()
 	return n
 }
@@ -154,10 +152,10 @@
 		c.Lease = defaultLease
 	}
 	if c.MaxBatchBytes == 0 {
-		c.MaxBatchBytes = defaultBatch
+		c.MaxBatchBytes = defaultBatchBytes
 	}
 	if c.KeepEntries == 0 {
-		c.KeepEntries = defaultKeep
+		c.KeepEntries = defaultKeepEntries
 	}
 	return c
 }
@@ -170,36 +168,37 @@
 		base = s.Members
 	}
 	n.configs = []config{{index: s.Index, members: base}}
-	n.commit, n.handed, n.applied, n.verified = s.Index, s.Index, s.Index, s.Index
+	n.commit, n.delivered, n.applied, n.verified = s.Index, s.Index, s.Index, s.Index
 	for _, e := range stored.Entries {
 		if e.Index != n.log.last()+1 {
 			continue
 		}
 		n.log.append(e)
-		n.noteMembership(e)
+		n.applyMembership(e)
 	}
 	n.log.stable = n.log.last()
 	n.commit = max(n.commit, min(stored.Hard.Commit, n.log.last()))
 }
 
-// noteCommit has the newest committed revision written to the folder, at most
-// once in commitNote. A VM that restarts while it is cut off would otherwise
-// go by its snapshot and take back what it had shown.
-func (n *Node) noteCommit() {
-	if n.commit <= n.hard.Commit || n.now < n.commitNoteAt {
+// saveCommit stores the newest committed revision in HardState, at most once per
+// commitSaveInterval. A node that restarts while it is partitioned would otherwise continue
+// from its snapshot and serve an older state than before.
+func (n *Node) saveCommit() {
+	if n.commit <= n.hard.Commit || n.now < n.commitSaveDue {
 		return
 	}
-	n.commitNoteAt = n.now.Add(commitNote)
+	n.commitSaveDue = n.now.Add(commitSaveInterval)
 	n.hard.Commit = min(n.commit, n.log.stable)
 }
 
-// Tick moves the node's time to now: heartbeats, elections, step-down.
+// Tick advances the node's clock to now and handles timeouts: heartbeats, elections and
+// loss of quorum.
 func (n *Node) Tick(now tackclock.Time) {
-	n.see(now)
+	n.advanceClock(now)
 	if n.failed {
 		return
 	}
-	n.noteCommit()
+	n.saveCommit()
 	if n.role == Leader {
 		n.tickLeader()
 		return
@@ -217,29 +216,29 @@
 		n.becomeFollower(n.hard.Term, "")
 		return
 	}
-	n.stepAside()
+	n.transferIfRemoved()
 	n.tickTransfer()
 	if n.now < n.heartbeatAt {
 		return
 	}
 	n.heartbeatAt = n.now.Add(n.cfg.Heartbeat)
 	for _, p := range n.others() {
-		n.rewindSilent(p)
+		n.rewindStalled(p)
 		n.sendHeartbeat(p, true)
 	}
 }
 
-// Step takes in a message from another node.
+// Step handles a message from another node.
 func (n *Node) Step(now tackclock.Time, m Message) {
-	n.see(now)
+	n.advanceClock(now)
 	if n.failed || m.To != n.cfg.Self || m.From == n.cfg.Self || !m.Kind.known() {
 		return
 	}
 	switch m.Kind {
 	case MessageProbe:
 		n.onProbe(m)
-	case MessageProbeAnswer:
-		n.onProbeAnswer(m)
+	case MessageProbeResponse:
+		n.onProbeResponse(m)
 	case MessagePreVote:
 		n.onPreVote(m)
 	case MessageVote:
@@ -254,12 +253,12 @@
 		n.refuseOldTerm(m)
 		return
 	}
-	if m.Kind == MessagePreVoteAnswer && !m.Reject {
-		n.onPreVoteAnswer(m)
+	if m.Kind == MessagePreVoteResponse && !m.Reject {
+		n.onPreVoteResponse(m)
 		return
 	}
 	if m.Term > n.hard.Term {
-		if m.Kind == MessageAnswer && n.member(m.From) == nil {
+		if m.Kind == MessageResponse && n.member(m.From) == nil {
 			return
 		}
 		n.becomeFollower(m.Term, "")
@@ -271,35 +270,36 @@
 		n.onHeartbeat(m)
 	case MessageChunk:
 		n.onChunk(m)
-	case MessageAnswer:
-		n.onAnswer(m)
-	case MessageVoteAnswer:
-		n.onVoteAnswer(m)
+	case MessageResponse:
+		n.onResponse(m)
+	case MessageVoteResponse:
+		n.onVoteResponse(m)
 	case MessageTransfer:
 		n.onTransfer(m)
 	}
 }
 
-// refuseOldTerm tells a leader that was deposed without noticing.
+// refuseOldTerm notifies a leader of an earlier term that it was deposed.
 func (n *Node) refuseOldTerm(m Message) {
 	switch m.Kind {
 	case MessageAppend, MessageHeartbeat, MessageChunk:
-		n.send(Message{Kind: MessageAnswer, To: m.From, Term: n.hard.Term, Reject: true})
+		n.send(Message{Kind: MessageResponse, To: m.From, Term: n.hard.Term, Reject: true})
 	}
 }
 
-// Propose appends data to the log and returns where it stands if it gets
-// committed. The error is a *NotLeaderError.
+// Propose appends data to the log and returns the index and term of the entry, which may or
+// may not be committed later. The error is a *NotLeaderError.
 func (n *Node) Propose(now tackclock.Time, data []byte) (tackid.Revision, Term, error) {
-	n.see(now)
+	n.advanceClock(now)
 	if err := n.mayPropose(); err != nil {
 		return 0, 0, err
 	}
 	return n.appendEntry(EntryNormal, data), n.hard.Term, nil
 }
 
-// mayPropose also looks at the clock: a leader that was frozen would otherwise
-// take a proposal that it can never commit, before its next Tick tells it.
+// mayPropose returns an error if this node cannot accept proposals. It checks the quorum
+// against the clock: a leader that was suspended would otherwise accept a proposal that it
+// can never commit before its next Tick notices.
 func (n *Node) mayPropose() error {
 	if n.role == Leader && n.quorumLost() {
 		n.becomeFollower(n.hard.Term, "")
@@ -322,11 +322,11 @@
 		Data:  data,
 	}
 	n.log.append(e)
-	n.noteMembership(e)
+	n.applyMembership(e)
 	return e.Index
 }
 
-func (n *Node) see(now tackclock.Time) {
+func (n *Node) advanceClock(now tackclock.Time) {
 	n.now = max(n.now, now)
 }
 
--- a/core/tackreplica/node_test.go
+++ b/core/tackreplica/node_test.go
@@ -11,7 +11,7 @@
 func TestThreeVotersAgree(t *testing.T) {
 	convey.Convey("Given three voters with empty folders", t, func() {
 		c := newCluster(t, 1, "a", "b", "c")
-		leader := c.settled()
+		leader := c.waitForLeader()
 
 		convey.Convey("a proposal is applied by all and in force", func() {
 			i, _, err := leader.node.Propose(leader.now(), []byte("x"))
--- a/core/tackreplica/power_test.go
+++ b/core/tackreplica/power_test.go
@@ -9,13 +9,14 @@
 	"auburntack/core/tackid"
 )
 
-// Some VMs lose their disks right after a command was acknowledged, as many as may be
-// lost at once, and at the same moment all others lose their power, those without a
-// vote as well. Two more were cut off and missed the command, so it is on one disk only
-// of those that remain. Nothing that is only in a memory is left. That disk must prevail,
-// without a vote of the empty ones, and these must count again before the next is lost.
+// Guards against the loss of an acknowledged command when some VMs lose their disks right
+// after the acknowledgement, as many as the system tolerates, and all others lose power at
+// the same moment, learners included. Two more voters were cut off and missed the command,
+// so only one remaining disk has it and everything in memory is gone. That disk must
+// prevail without the votes of the emptied voters, which must be eligible again before the
+// next loss.
 func TestDisksAndPowerLostTogether(t *testing.T) {
-	const lossesBorne = 2 // of five votes
+	const lossesBorne = 2 // of five voters
 	voters := []tackid.Peer{"a", "b", "c", "d", "e"}
 	cfg := Config{KeepEntries: 5}
 	for _, p := range voters {
@@ -26,7 +27,7 @@
 		for second := first + 1; second < len(voters); second++ {
 			t.Run(fmt.Sprint(voters[first], voters[second]), func(t *testing.T) {
 				c := newClusterOf(t, uint64(10*first+second), cfg, append(voters, "f")...)
-				c.run(2 * refilled)
+				c.run(2 * recoveryTime)
 				for range lossesBorne {
 					c.loseDisksAndPower(t, voters[first], voters[second])
 				}
@@ -35,14 +36,14 @@
 	}
 }
 
-// refilled is long enough for an election and for empty disks to be filled.
-const refilled = 10 * tackclock.Second
+// recoveryTime is long enough for an election and for the emptied disks to be filled again.
+const recoveryTime = 10 * tackclock.Second
 
-// loseDisksAndPower has VMs lose their disks and all others their power as soon as a
-// command is acknowledged, and checks that it stands when they are back.
+// loseDisksAndPower wipes the disks of some VMs and cuts the power of all others as soon as
+// a command is acknowledged, and checks that it is applied everywhere after the restart.
 func (c *cluster) loseDisksAndPower(t *testing.T, emptied ...tackid.Peer) {
 	t.Helper()
-	leader := c.settled()
+	leader := c.waitForLeader()
 	behind := c.behind(leader, emptied)
 	for _, v := range behind {
 		c.cutOff(v, true)
@@ -70,19 +71,19 @@
 	for _, v := range c.vms {
 		v.start()
 	}
-	c.run(2 * refilled)
+	c.run(2 * recoveryTime)
 	for _, v := range c.vms {
 		if v.applied < i {
-			t.Errorf("%s holds %d, and %d was acknowledged", v.peer, v.applied, i)
+			t.Errorf("%s has applied %d, but %d was acknowledged", v.peer, v.applied, i)
 		}
 		if !v.node.hard.Eligible {
-			t.Errorf("%s does not count yet", v.peer)
+			t.Errorf("%s is not eligible yet", v.peer)
 		}
 	}
 }
 
-// behind are all voters but one that are neither emptied nor the leader: they miss what
-// is acknowledged next.
+// behind returns two voters that are neither emptied nor the leader; they miss the next
+// acknowledged command.
 func (c *cluster) behind(leader *fakeVM, emptied []tackid.Peer) []*fakeVM {
 	var left []*fakeVM
 	for _, v := range c.vms {
--- a/core/tackreplica/progress.go
+++ b/core/tackreplica/progress.go
@@ -6,44 +6,44 @@
 )
 
 type (
-	// progress is what a leader knows of one member.
+	// progress is the leader's view of one member.
 	progress struct {
 		peer          tackid.Peer
-		match         tackid.Revision // the member has the leader's log up to here
+		match         tackid.Revision // the member's log matches the leader's up to here
 		matchAt       tackclock.Time
 		next          tackid.Revision
 		applied       tackid.Revision
 		commit        tackid.Revision // the highest commit index sent to it
-		probing       bool            // where the logs agree is not known yet
+		probing       bool            // the last matching index is not known yet
 		inflight      []inflightBatch
 		inflightBytes int
 		sentAt        tackclock.Time
-		sentAll       bool // all that there was at sentAt has been sent
+		sentAll       bool // the whole log as of sentAt has been sent
 
 		heard tackclock.Time
-		acked tackclock.Time // newest of the leader's stamps it answered
+		acked tackclock.Time // newest of the leader's stamps that it echoed
 		stamp Stamp
-		// stamped is when stamp came.
+		// stamped is when stamp arrived.
 		stamped tackclock.Time
 		grants  []grant
 
 		chunk outgoingSnapshot
 
-		ineligible bool
-		lost       bool
-		life       Life
-		lifeAt     tackclock.Time // when the ineligible life was noted
-		adopt      tackid.Revision
+		ineligible   bool
+		lost         bool
+		instance     InstanceID
+		ineligibleAt tackclock.Time // when the member was found ineligible
+		adopt        tackid.Revision
 	}
 
-	// inflightBatch is one batch that was sent and not yet acknowledged.
+	// inflightBatch is a batch that was sent and not yet acknowledged.
 	inflightBatch struct {
 		last tackid.Revision
 		size int
 	}
 )
 
-// track starts to follow a member that is new to the leader.
+// track adds a member to the leader's progress map.
 func (n *Node) track(peer tackid.Peer) {
 	if n.progress[peer] == nil {
 		n.progress[peer] = &progress{peer: peer, next: n.log.last() + 1, probing: true}
@@ -66,7 +66,7 @@
 	p.inflight = append(p.inflight[:0], p.inflight[i:]...)
 }
 
-// rewind goes back to the last entry that the member is known to have.
+// rewind discards the batches in flight and probes again from next.
 func (p *progress) rewind(next tackid.Revision) {
 	p.inflight = p.inflight[:0]
 	p.inflightBytes = 0
--- a/core/tackreplica/ready.go
+++ b/core/tackreplica/ready.go
@@ -2,19 +2,19 @@
 
 import "auburntack/core/tackid"
 
-// Applied tells the node that the state machine has applied up to i, by
-// entries or by a snapshot, and that nothing goes by an older state any more.
-// The next Ready reports it to the leader, which waits for it.
+// Applied tells the node that the state machine has applied entries or a snapshot up to i,
+// and that nothing uses an older state any more. The next Ready reports this to the leader,
+// which waits for it.
 func (n *Node) Applied(i tackid.Revision) {
 	if i <= n.applied {
 		return
 	}
 	n.applied = i
-	n.answerDue = n.leader != "" && n.role != Leader
+	n.responseDue = n.leader != "" && n.role != Leader
 }
 
-// Fail tells the node that its disk has failed. It does nothing any more: what
-// it would promise or acknowledge could be gone after a restart.
+// Fail tells the node that its disk has failed. The node stops: anything it acknowledged
+// could be lost after a restart.
 func (n *Node) Fail() {
 	n.failed = true
 	n.role = Follower
@@ -23,7 +23,7 @@
 	n.grants = nil
 }
 
-// Ready returns what the owner must do next, and false if there is nothing.
+// Ready returns the work that the owner must do next, and false if there is none.
 func (n *Node) Ready() (Ready, bool) {
 	if n.failed {
 		return Ready{}, false
@@ -33,7 +33,7 @@
 		Snapshot:  n.install,
 		Entries:   n.log.between(n.log.stable, n.log.last()),
 		Messages:  n.messages,
-		Committed: n.log.between(max(n.handed, n.log.base), n.commit),
+		Committed: n.log.between(max(n.delivered, n.log.base), n.commit),
 	}
 	if n.hard != n.savedHard {
 		h := n.hard
@@ -43,7 +43,7 @@
 	return r, ok
 }
 
-// Advance tells the node that everything in r was done.
+// Advance tells the node that all work in r is done.
 func (n *Node) Advance(r Ready) {
 	if n.failed {
 		return
@@ -57,7 +57,7 @@
 	n.advanceStable(r.Entries)
 	n.messages = append([]Message(nil), n.messages[len(r.Messages):]...)
 	if len(r.Committed) > 0 {
-		n.handed = max(n.handed, r.Committed[len(r.Committed)-1].Index)
+		n.delivered = max(n.delivered, r.Committed[len(r.Committed)-1].Index)
 	}
 }
 
@@ -75,8 +75,8 @@
 	}
 }
 
-// flush turns what is due into messages, so that everything proposed or
-// received since the last Ready goes out together.
+// flush creates the messages that are due, so that everything proposed or received since
+// the last Ready is sent together.
 func (n *Node) flush() {
 	if n.role == Leader {
 		for _, p := range n.others() {
@@ -85,8 +85,8 @@
 		}
 		return
 	}
-	if n.answerDue {
-		n.answerDue = false
-		n.sendAnswer()
+	if n.responseDue {
+		n.responseDue = false
+		n.sendResponse()
 	}
 }
--- a/core/tackreplica/schedule_test.go
+++ b/core/tackreplica/schedule_test.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// scheduleShards run at a time; each plays -rapid.checks schedules.
+	// scheduleShards is how many shards run in parallel; each runs -rapid.checks schedules.
 	scheduleShards = 4
 	shardSchedules = "260"
 )
 
-// schedule plays one random sequence of faults. Four VMs: three voters and a
-// learner at first, any of which may change its part.
+// schedule runs one random sequence of faults on four VMs: initially three voters and a
+// learner, whose roles may change.
 type schedule struct {
 	*cluster
 	rt *rapid.T
@@ -34,10 +34,9 @@
 	os.Exit(m.Run())
 }
 
-// TestRandomSchedules plays random faults against the invariants of
-// cluster.check, and at the end heals everything and asks for a leader within
-// 3 s and for every member to have caught up. For more schedules: go test -run
-// TestRandomSchedules -rapid.checks=25000 plays 100,000.
+// TestRandomSchedules injects random faults and checks the invariants of cluster.check. At
+// the end it heals all faults and expects a leader within 3 s and every member to catch up.
+// To run 100,000 schedules: go test -run TestRandomSchedules -rapid.checks=25000.
 func TestRandomSchedules(t *testing.T) {
 	for shard := range scheduleShards {
 		t.Run(fmt.Sprint(shard), func(t *testing.T) {
@@ -57,8 +56,8 @@
 	s := &schedule{rt: rt, cluster: newClusterOf(rt, rapid.Uint64().Draw(rt, "seed"), cfg, "a", "b", "c", "d")}
 	s.run(1600)
 	actions := map[string]func(){
-		"propose": s.propose, "kill": s.kill, "restart": s.restart, "empty": s.empty, "freeze": s.freeze,
-		"bounce": s.bounce, "cut": s.cutOne, "sever": s.sever, "isolate": s.isolate, "heal": s.heal, "degrade": s.degrade,
+		"propose": s.propose, "kill": s.kill, "restart": s.restart, "empty": s.wipe, "freeze": s.freeze,
+		"bounce": s.bounce, "cut": s.cutOne, "sever": s.cutBothWays, "isolate": s.isolate, "heal": s.heal, "degrade": s.degrade,
 		"transfer": s.transfer, "members": s.changeMembers,
 	}
 	names := make([]string, 0, len(actions))
@@ -78,7 +77,7 @@
 	return s.vm(rapid.SampledFrom([]tackid.Peer{"a", "b", "c", "d"}).Draw(s.rt, "vm"))
 }
 
-// propose proposes at every VM that takes itself for the leader.
+// propose proposes at every VM that considers itself the leader.
 func (s *schedule) propose() {
 	for _, v := range s.vms {
 		if v.awake() && v.node.role == Leader {
@@ -112,16 +111,16 @@
 	}
 }
 
-// empty loses a folder, but never so many that a majority of the copies that
-// count is gone: no log survives that.
-func (s *schedule) empty() {
+// wipe erases a data folder, unless a majority of the eligible copies would be lost: no log
+// survives that.
+func (s *schedule) wipe() {
 	v := s.pick()
 	for _, other := range s.vms {
 		if other != v && !other.disk.Hard.Eligible || other.voters() < 3 {
 			return
 		}
 	}
-	v.empty()
+	v.wipe()
 }
 
 func (s *schedule) freeze() {
@@ -134,8 +133,8 @@
 	s.cutLink(s.pick().peer, s.pick().peer, true)
 }
 
-func (s *schedule) sever() {
-	s.severLink(s.pick().peer, s.pick().peer, true)
+func (s *schedule) cutBothWays() {
+	s.cutLinkBothWays(s.pick().peer, s.pick().peer, true)
 }
 
 func (s *schedule) isolate() {
@@ -144,12 +143,12 @@
 
 func (s *schedule) heal() {
 	clear(s.cut)
-	s.loss, s.doubled, s.delay = 0, 0, 2
+	s.loss, s.duplicated, s.delay = 0, 0, 2
 }
 
 func (s *schedule) degrade() {
 	s.loss = rapid.SampledFrom([]int{0, 20, 200}).Draw(s.rt, "loss")
-	s.doubled = rapid.SampledFrom([]int{0, 50, 300}).Draw(s.rt, "doubled")
+	s.duplicated = rapid.SampledFrom([]int{0, 50, 300}).Draw(s.rt, "doubled")
 	s.delay = rapid.SampledFrom([]int{2, 20, 400}).Draw(s.rt, "delay")
 }
 
@@ -160,8 +159,8 @@
 	}
 }
 
-// changeMembers removes a member, or brings it back one step: as a learner,
-// then as a voter. Two voters are left at least.
+// changeMembers removes a member, or brings it back in one step: as a learner, then as a
+// voter. At least two voters remain.
 func (s *schedule) changeMembers() {
 	v, target := s.leader(), s.pick().peer
 	if v == nil {
@@ -186,7 +185,7 @@
 	v.work()
 }
 
-// voters counts the voters by the newest membership that v has.
+// voters counts the voters of the newest membership in the log of v.
 func (v *fakeVM) voters() int {
 	n := v.node
 	if n == nil {
@@ -201,8 +200,8 @@
 	return count
 }
 
-// recover heals all and asserts that the log goes on within 3 s and that all
-// members then have everything.
+// recover heals all faults and asserts that there is a leader within 3 s and that all
+// members then catch up.
 func (s *schedule) recover() {
 	s.heal()
 	for _, v := range s.vms {
@@ -220,11 +219,11 @@
 			return
 		}
 	}
-	s.t.Fatalf("no leader 3 s after everything was healed")
+	s.t.Fatalf("no leader 3 s after all faults were healed")
 }
 
-// untilInForce is how long an entry may take until all members have applied it. One that
-// does not vote may be sent it late, and learns with the next heartbeat that it is committed.
+// untilInForce is how long an entry may take until all members have applied it. Entries for
+// a learner may be delayed, and it learns with the next heartbeat that they are committed.
 func (s *schedule) untilInForce() tackclock.Duration {
 	const atOnce = 50
 	if s.cfg.LearnerEvery == 0 {
@@ -237,11 +236,11 @@
 	s.t.Helper()
 	leader := s.leader()
 	if leader == nil {
-		s.t.Fatalf("no leader while all is well")
+		s.t.Fatalf("no leader after all faults were healed")
 	}
 	i, _, err := leader.propose()
 	if err != nil {
-		s.t.Fatalf("propose while all is well: %v", err)
+		s.t.Fatalf("propose after all faults were healed: %v", err)
 	}
 	s.run(s.untilInForce())
 	if done, missing := leader.node.InForce(leader.now(), i); !done || len(missing) > 0 {
@@ -250,7 +249,7 @@
 	for _, m := range leader.node.Members() {
 		v := s.vm(m.Peer)
 		if !v.node.Leased(v.now()) || !v.node.hard.Eligible {
-			s.t.Fatalf("%s: leased %v, eligible %v while all is well", m.Peer, v.node.Leased(v.now()), v.node.hard.Eligible)
+			s.t.Fatalf("%s: leased %v, eligible %v after all faults were healed", m.Peer, v.node.Leased(v.now()), v.node.hard.Eligible)
 		}
 	}
 }
--- a/core/tackreplica/silent_test.go
+++ b/core/tackreplica/silent_test.go
@@ -8,16 +8,13 @@
 	"auburntack/core/tackclock"
 )
 
-// Symptom: while one VM is down every change takes as long as a lease, that VM
-// is shown as leased for as long as it is down, and no wave goes on, since its
-// last lease never seems to have run out.
-// Sequence: a VM that held a lease falls silent for good; changes follow, each
-// long after the one before.
-// Cause: the leader counts a new lease with each heartbeat that it sends to the
-// silent VM, though each echoes the same old stamp and so grants nothing.
-func TestLeaseOfSilentMemberRunsOut(t *testing.T) {
+// Guards against a VM that is down but shown as leased for as long as it is down, so that
+// every change waits for a lease and no wave continues. The leader counted a new lease with
+// each heartbeat that it sent to the silent VM, although each echoed the same old stamp and
+// so granted nothing.
+func TestLeaseOfSilentMemberExpires(t *testing.T) {
 	c := newCluster(t, 1, "a", "b", "c")
-	leader := c.settled()
+	leader := c.waitForLeader()
 	silent := c.without(leader)[0]
 	silent.kill()
 	c.run(10 * second)
@@ -30,7 +27,7 @@
 	_, _, err := leader.propose()
 	c.run(100)
 	done, missing := leader.node.InForce(leader.now(), leader.applied)
-	convey.Convey("Its lease has run out, and nothing waits for it", t, func() {
+	convey.Convey("Its lease has expired, and nothing waits for it", t, func() {
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(until, convey.ShouldBeLessThan, leader.now())
 		convey.So(done, convey.ShouldBeTrue)
--- a/core/tackreplica/snapshot.go
+++ b/core/tackreplica/snapshot.go
@@ -6,14 +6,14 @@
 )
 
 type (
-	// outgoingSnapshot is how far a member has been sent a snapshot.
+	// outgoingSnapshot is the progress of sending a snapshot to a member.
 	outgoingSnapshot struct {
 		snap   *Snapshot
 		offset int
 		sentAt tackclock.Time
 	}
 
-	// incomingSnapshot gathers the chunks of one snapshot.
+	// incomingSnapshot collects the chunks of one snapshot.
 	incomingSnapshot struct {
 		from tackid.Peer
 		term Term
@@ -21,9 +21,9 @@
 	}
 )
 
-// SnapshotAt makes the snapshot that the owner is to store before it calls
-// Compact: data is the state machine's encoding after applying up to i. It
-// returns false if i is not in the log any more or not yet applied.
+// SnapshotAt creates the snapshot that the owner must store before it calls Compact; data
+// is the encoded state machine after applying up to i. It returns false if i is not applied
+// yet or no longer in the log.
 func (n *Node) SnapshotAt(i tackid.Revision, data []byte) (Snapshot, bool) {
 	if i > n.applied || i <= n.snapshot.Index || i <= n.log.base {
 		return Snapshot{}, false
@@ -42,8 +42,8 @@
 	return members
 }
 
-// Compact tells the node that the owner has stored the snapshot s. The log up
-// to it is dropped, but for a tail that slow members may still ask for.
+// Compact tells the node that the owner has stored the snapshot s. The log up to it is
+// dropped, except for the last KeepEntries entries, which slow members may still need.
 func (n *Node) Compact(s Snapshot) {
 	if s.Index <= n.snapshot.Index || s.Index > n.applied {
 		return
@@ -57,10 +57,10 @@
 	}
 }
 
-// sendChunk sends the next part of the snapshot to a member that needs
-// entries which were compacted away; one part at a time. It stays with the
-// snapshot that it began with while the log goes on from there: a member on a
-// slow link would otherwise begin anew at each compaction and never finish.
+// sendChunk sends the next chunk of a snapshot to a member that needs compacted entries,
+// one chunk at a time. It continues with the same snapshot as long as the log follows on
+// from it: a member on a slow link would otherwise start over at each compaction and never
+// finish.
 func (n *Node) sendChunk(p *progress) {
 	c := &p.chunk
 	if c.snap == nil || c.snap.Index < n.log.base {
@@ -71,7 +71,7 @@
 		return
 	}
 	c.sentAt = n.now
-	m := n.toMember(MessageChunk, p)
+	m := n.newMessage(MessageChunk, p)
 	m.Chunk = c.next(n.cfg.MaxBatchBytes)
 	n.send(m)
 }
@@ -87,9 +87,9 @@
 }
 
 func (n *Node) onChunk(m Message) {
-	n.follow(m)
+	n.followLeader(m)
 	c := m.Chunk
-	if c == nil || n.holds(c) {
+	if c == nil || n.coveredByLog(c) {
 		return
 	}
 	in := &n.incoming
@@ -103,16 +103,16 @@
 		n.installSnapshot(in.snap)
 		return
 	}
-	n.answerDue = false
-	a := n.answer()
+	n.responseDue = false
+	a := n.response()
 	a.Chunk = &Chunk{Index: c.Index, Offset: len(in.snap.Data)}
 	n.send(a)
 }
 
-// holds reports whether the log has all that the snapshot covers, and notes
-// that it is committed. A snapshot that arrives late must not be installed
-// over it: the entries after it may have been acknowledged, and would be gone.
-func (n *Node) holds(c *Chunk) bool {
+// coveredByLog reports whether the log already contains what the snapshot covers, and
+// commits it if so. A delayed snapshot must not replace the log: later entries may have
+// been acknowledged and would be lost.
+func (n *Node) coveredByLog(c *Chunk) bool {
 	if t, ok := n.log.term(c.Index); c.Index > n.commit && (!ok || t != c.Term) {
 		return false
 	}
@@ -128,19 +128,19 @@
 	in.snap.Data = append(in.snap.Data, c.Data...)
 }
 
-// installSnapshot puts s in place of the log, which does not lead up to it.
+// installSnapshot replaces the log by s.
 func (n *Node) installSnapshot(s Snapshot) {
 	n.incoming = incomingSnapshot{}
 	n.log.reset(&s)
 	n.configs = []config{{index: s.Index, members: s.Members}}
-	// Members may have come and gone within the snapshot.
-	n.noteRemoval("")
+	// Members may have been added and removed in entries that the snapshot replaces.
+	n.recordRemoval("")
 	n.snapshot = s
 	n.install = &s
-	n.commit, n.handed, n.verified = s.Index, s.Index, s.Index
+	n.commit, n.delivered, n.verified = s.Index, s.Index, s.Index
 }
 
-func (n *Node) onChunkAnswer(p *progress, m Message) {
+func (n *Node) onChunkResponse(p *progress, m Message) {
 	s := p.chunk.snap
 	if s == nil || m.Chunk.Index != s.Index || m.Chunk.Offset > len(s.Data) {
 		return
--- a/core/tackreplica/status.go
+++ b/core/tackreplica/status.go
@@ -6,9 +6,9 @@
 )
 
 type (
-	// Status is what a node knows of itself and, if it leads, of the members.
-	// LeaseUntil and LeaderLeaseUntil are when Leased and LeaderLease end, zero
-	// if they do not hold: readers beside the owner compare them with the clock.
+	// Status describes a node and, on the leader, its members. LeaseUntil and
+	// LeaderLeaseUntil are when Leased and LeaderLease expire, or zero if they do not hold;
+	// concurrent readers other than the owner compare them with the clock.
 	Status struct {
 		Self     tackid.Peer
 		Role     Role
@@ -28,9 +28,9 @@
 		LeaderLeaseUntil tackclock.Time
 	}
 
-	// MemberStatus is what the leader knows of one member; on other nodes
-	// only Member is set. LeaseUntil is when the last lease it was granted
-	// has surely run out. LastHeard is zero if it never answered.
+	// MemberStatus is the leader's view of one member; on other nodes only Member is set.
+	// LeaseUntil is when the last lease granted to the member has certainly expired.
+	// LastHeard is zero if the member never responded.
 	MemberStatus struct {
 		Member
 		Match      tackid.Revision
@@ -53,9 +53,9 @@
 	return "unknown"
 }
 
-// Status returns what the node knows at now.
+// Status returns the status of the node at now.
 func (n *Node) Status(now tackclock.Time) Status {
-	n.see(now)
+	n.advanceClock(now)
 	s := Status{
 		Self: n.cfg.Self, Role: n.role, Leader: n.leader, Term: n.hard.Term,
 		Last: n.log.last(), Commit: n.commit, Applied: n.applied, Snapshot: n.snapshot.Index,
--- a/core/tackreplica/vm_test.go
+++ b/core/tackreplica/vm_test.go
@@ -14,9 +14,9 @@
 	peer   tackid.Peer
 	node   *Node
 	disk   Stored
-	life   int
+	runID  int
 	offset tackclock.Time
-	drift  int64 // of 1,000
+	drift  int64 // per 1,000
 	frozen tackclock.Time
 	ready  *Ready
 	inbox  []Message
@@ -27,8 +27,8 @@
 	onApply  func(*fakeVM, Entry)
 }
 
-// empty loses the folder of v.
-func (v *fakeVM) empty() {
+// wipe erases the data folder of v and restarts it.
+func (v *fakeVM) wipe() {
 	v.kill()
 	v.disk = Stored{}
 	v.start()
@@ -42,52 +42,52 @@
 	return v.node != nil && v.frozen <= v.c.now
 }
 
-// start begins a new life with what is on the disk and a clock set anew.
+// start starts a new process with the contents of the disk and a new clock offset.
 func (v *fakeVM) start() {
 	c := v.c
-	v.life++
+	v.runID++
 	v.offset = tackclock.Time(c.rand.Int64N(100_000))
 	cfg := c.cfg
 	cfg.Self, cfg.Seed = v.peer, c.rand.Uint64()
 	v.applied, v.value = v.disk.Snapshot.Index, v.disk.Snapshot.Data
 	v.node = New(cfg, v.disk, v.now())
-	v.tick(v.life)
+	v.tick(v.runID)
 }
 
-// kill ends the life. What was not synced is gone; of what was being synced a
-// part is on the disk, and nothing of it was sent.
+// kill ends the process. Unsynced data is lost; part of the data being synced may be on the
+// disk, and no message that depends on it was sent.
 func (v *fakeVM) kill() {
 	if v.ready != nil && v.c.rand.IntN(2) == 0 {
 		r := *v.ready
 		r.Entries = r.Entries[:v.c.rand.IntN(len(r.Entries)+1)]
 		v.persist(r)
 	}
-	v.life++
+	v.runID++
 	v.node, v.ready, v.inbox, v.frozen = nil, nil, nil, 0
 }
 
 func (v *fakeVM) freeze(d tackclock.Duration) {
 	v.frozen = v.c.now.Add(d)
-	life := v.life
+	runID := v.runID
 	v.c.after(d, func() {
-		if v.life == life {
+		if v.runID == runID {
 			v.work()
 		}
 	})
 }
 
-func (v *fakeVM) tick(life int) {
-	if v.life != life {
+func (v *fakeVM) tick(runID int) {
+	if v.runID != runID {
 		return
 	}
 	if v.awake() {
 		v.node.Tick(v.now())
 		v.work()
 	}
-	v.c.after(25, func() { v.tick(life) })
+	v.c.after(25, func() { v.tick(runID) })
 }
 
-// work steps what has arrived and begins to sync what the node has ready.
+// work passes received messages to the node and starts to sync its Ready.
 func (v *fakeVM) work() {
 	if !v.awake() || v.ready != nil {
 		return
@@ -101,16 +101,16 @@
 		return
 	}
 	v.ready = &r
-	life := v.life
-	v.c.after(tackclock.Duration(v.c.rand.IntN(2)), func() { v.finish(life) })
+	runID := v.runID
+	v.c.after(tackclock.Duration(v.c.rand.IntN(2)), func() { v.finish(runID) })
 }
 
-func (v *fakeVM) finish(life int) {
-	if v.life != life {
+func (v *fakeVM) finish(runID int) {
+	if v.runID != runID {
 		return
 	}
 	if !v.awake() {
-		v.c.after(20, func() { v.finish(life) })
+		v.c.after(20, func() { v.finish(runID) })
 		return
 	}
 	r := *v.ready
@@ -134,7 +134,7 @@
 	}
 	if s := r.Snapshot; s != nil {
 		if s.Index < v.applied {
-			v.c.t.Fatalf("%s falls from %d to %d", v.peer, v.applied, s.Index)
+			v.c.t.Fatalf("%s goes back from %d to %d", v.peer, v.applied, s.Index)
 		}
 		v.disk.Snapshot, v.disk.Entries = *s, nil
 		v.applied, v.value = s.Index, s.Data
@@ -152,12 +152,12 @@
 	}
 	if int(e.Index) > len(c.log) {
 		if len(c.log) > 0 && e.Time < c.log[len(c.log)-1].Time {
-			c.t.Fatalf("the time of entry %d falls", e.Index)
+			c.t.Fatalf("the time of entry %d is earlier than that of the entry before", e.Index)
 		}
 		c.log = append(c.log, e)
 	}
 	if known := c.log[e.Index-1]; known.Term != e.Term || !bytes.Equal(known.Data, e.Data) {
-		c.t.Fatalf("%s applies another entry at %d", v.peer, e.Index)
+		c.t.Fatalf("%s applies a different entry at %d", v.peer, e.Index)
 	}
 	v.applied++
 	v.replayed++
@@ -170,7 +170,7 @@
 }
 
 func (v *fakeVM) compact() {
-	if v.applied < v.disk.Snapshot.Index+snapshotEach {
+	if v.applied < v.disk.Snapshot.Index+snapshotInterval {
 		return
 	}
 	s, ok := v.node.SnapshotAt(v.applied, v.value)
