--- a/core/tackrelay/message.go
+++ b/core/tackrelay/message.go
@@ -1,14 +1,15 @@
-// Package tackrelay has control VMs that do not lead take workers' heartbeats and pass
-// them on to the one that does.
+// Package tackrelay implements relaying of worker heartbeats: control VMs that are not the
+// leader receive them and forward them to the leader.
 //
-// Load pattern: thousands of workers, each of which sends heartbeats several times a
-// second on a connection of its own. All on the leader, they take its files, its memory
-// and its processor, and after its loss they look for the next one in the same instant.
-// Through relays the leader has a few connections, on which many reports come at a time,
-// and workers need not know who leads.
+// There are thousands of workers, each of which sends heartbeats several times a second on
+// a connection of its own. If all of them reported to the leader, they would use up its
+// file descriptors, memory and CPU, and after its loss they would look for the next leader
+// all at once. With relays the leader has a few connections, each of which carries many
+// reports per message, and workers need not know which VM leads.
 //
-// A relay decides nothing. The leader counts a lease from when a report reaches it, which
-// is after the worker has sent it, so leases stay right however long a report is under way.
+// A relay makes no decisions. The leader counts a lease from when a report reaches it,
+// which is after the worker has sent it, so leases are correct however long a report is in
+// transit.
 package tackrelay
 
 import (
@@ -17,26 +18,26 @@
 )
 
 type (
-	// Reports is what a relay sends to the leader: reports of workers, or none to say that
-	// it can take some.
+	// Reports is a message from a relay to the leader. It contains worker reports, or none
+	// if it only says that the relay is available.
 	Reports struct {
-		// DataCentre is the relay's.
+		// DataCentre is the data centre of the relay.
 		DataCentre tackid.DataCentre `cbor:"1,keyasint"`
 		List       []Numbered        `cbor:"2,keyasint,omitempty"`
-		// On says that it passes reports on, by the word of the last leader.
+		// On reports whether the relay forwards reports, as the last leader told it.
 		On bool `cbor:"3,keyasint,omitempty"`
 	}
 
-	// Numbered is a report under the number by which the relay knows the answer to it.
+	// Numbered is a report with the number by which the relay identifies the answer to it.
 	Numbered struct {
 		Number uint64              `cbor:"1,keyasint"`
 		Report tackdispatch.Report `cbor:"2,keyasint"`
 	}
 
-	// Answers is what the leader sends back.
+	// Answers is a message from the leader to a relay.
 	Answers struct {
-		// On says that the relay is to pass reports on, and not to send workers to the
-		// leader.
+		// On reports whether the relay must forward reports instead of redirecting workers
+		// to the leader.
 		On   bool     `cbor:"1,keyasint,omitempty"`
 		List []Answer `cbor:"2,keyasint,omitempty"`
 	}
@@ -45,11 +46,11 @@
 	Answer struct {
 		Number uint64              `cbor:"1,keyasint"`
 		Orders tackdispatch.Orders `cbor:"2,keyasint"`
-		// Ask is the control VM that the worker is to ask next.
+		// Ask is the control VM that the worker must report to next.
 		Ask tackid.Peer `cbor:"3,keyasint,omitempty"`
-		// NotLeader says that the VM that answered cannot decide.
+		// NotLeader reports that the VM that answered is not the leader.
 		NotLeader bool `cbor:"4,keyasint,omitempty"`
-		// Problem says why the report is of no worker; empty if it is of one.
+		// Problem is the reason why the report is not that of a worker, or empty if it is.
 		Problem string `cbor:"5,keyasint,omitempty"`
 	}
 )
--- a/core/tackrelay/outbox.go
+++ b/core/tackrelay/outbox.go
@@ -9,30 +9,32 @@
 )
 
 const (
-	// mostWaiting bounds the reports that wait for their answers. A leader that is
-	// behind is sent no more, since workers give up a report after a second.
-	mostWaiting = 1024
-	// mostInBatch bounds the reports of one message.
-	mostInBatch = 256
-	// againAfter spaces out the tries to have a VM answer that says that it cannot.
-	againAfter = 60 * tackclock.Millisecond
+	// maxPending is the maximum number of reports that wait for their answers. Workers give
+	// up a report after a second, so a leader that cannot keep up is not sent more.
+	maxPending = 1024
+	// maxBatch is the maximum number of reports in one message.
+	maxBatch = 256
+	// retryAfter is the delay before reports are sent again to a leader that said it cannot
+	// answer yet.
+	retryAfter = 60 * tackclock.Millisecond
 )
 
 type (
-	// Outbox has the reports that a relay passes on, until they are answered. Its zero
+	// Outbox stores the reports that a relay forwards until they are answered. Its zero
 	// value is empty. It is not safe for concurrent use.
 	Outbox struct {
 		number  uint64
-		waiting map[uint64]*held
+		pending map[uint64]*pendingReport
 		unsent  []uint64
-		leader  tackid.Peer // that the others were sent to
-		// againAt is when all are sent again, after the leader said that it cannot answer.
-		againAt tackclock.Time
+		leader  tackid.Peer // that the reports were sent to
+		// retryAt is when all reports are sent again, after the leader said that it cannot
+		// answer; zero if that is not planned.
+		retryAt tackclock.Time
 	}
 
-	held struct {
-		report *tackdispatch.Report
-		tell   func(Answer)
+	pendingReport struct {
+		report  *tackdispatch.Report
+		deliver func(Answer)
 	}
 
 	// FullError reports that too many reports wait for their answers.
@@ -46,71 +48,71 @@
 	return fmt.Sprintf("relay: %d reports wait for the leader", e.Waiting)
 }
 
-// Len is how many reports wait for their answers.
+// Len returns the number of reports that wait for their answers.
 func (o *Outbox) Len() int {
-	return len(o.waiting)
+	return len(o.pending)
 }
 
-// Add takes in a report and returns its number. tell is called with the answer, unless
-// the report is dropped before. The error is a *FullError.
-func (o *Outbox) Add(r *tackdispatch.Report, tell func(Answer)) (uint64, error) {
-	if len(o.waiting) >= mostWaiting {
-		return 0, &FullError{Waiting: len(o.waiting)}
+// Add adds a report and returns its number. deliver is called with the answer, unless the
+// report is dropped first. The error is a *FullError.
+func (o *Outbox) Add(r *tackdispatch.Report, deliver func(Answer)) (uint64, error) {
+	if len(o.pending) >= maxPending {
+		return 0, &FullError{Waiting: len(o.pending)}
 	}
-	if o.waiting == nil {
-		o.waiting = make(map[uint64]*held)
+	if o.pending == nil {
+		o.pending = make(map[uint64]*pendingReport)
 	}
 	o.number++
-	o.waiting[o.number] = &held{report: r, tell: tell}
+	o.pending[o.number] = &pendingReport{report: r, deliver: deliver}
 	o.unsent = append(o.unsent, o.number)
 	return o.number, nil
 }
 
-// Drop forgets a report whose worker has given it up.
+// Drop removes a report that its worker has given up.
 func (o *Outbox) Drop(number uint64) {
-	delete(o.waiting, number)
+	delete(o.pending, number)
 }
 
-// Next returns reports to send to the leader now, none if there are none. After a change of
-// the leader all that wait are sent again: each worker's reports are numbered, so the one
-// that comes second changes nothing.
+// Next returns the reports to send to the leader now. After a change of leader all pending
+// reports are sent again: the reports of each worker carry sequence numbers, so a duplicate
+// changes nothing.
 func (o *Outbox) Next(now tackclock.Time, leader tackid.Peer) []Numbered {
-	if leader == "" || leader == o.leader && now < o.againAt {
+	if leader == "" || leader == o.leader && now < o.retryAt {
 		return nil
 	}
-	if leader != o.leader || o.againAt != 0 {
-		o.leader, o.againAt = leader, 0
+	if leader != o.leader || o.retryAt != 0 {
+		o.leader, o.retryAt = leader, 0
 		o.unsent = o.unsent[:0]
-		for number := range o.waiting {
+		for number := range o.pending {
 			o.unsent = append(o.unsent, number)
 		}
 	}
 	var list []Numbered
-	for len(o.unsent) > 0 && len(list) < mostInBatch {
+	for len(o.unsent) > 0 && len(list) < maxBatch {
 		number := o.unsent[0]
 		o.unsent = o.unsent[1:]
-		if h := o.waiting[number]; h != nil {
+		if h := o.pending[number]; h != nil {
 			list = append(list, Numbered{Number: number, Report: *h.report})
 		}
 	}
 	return list
 }
 
-// Take hands answers to whom they are for. A report that another VM than the leader has
-// answered waits on.
+// Take delivers answers to the callers of Add. A report stays pending if the VM that
+// answered is not the leader.
 func (o *Outbox) Take(now tackclock.Time, from tackid.Peer, list []Answer) {
 	for _, a := range list {
-		h := o.waiting[a.Number]
+		h := o.pending[a.Number]
 		if h == nil {
 			continue
 		}
 		if a.NotLeader {
-			if from == o.leader && o.againAt == 0 {
-				o.againAt = now.Add(againAfter)
+			if from == o.leader && o.retryAt == 0 {
+				o.retryAt = now.Add(retryAfter)
 			}
 			continue
 		}
-		delete(o.waiting, a.Number)
-		h.tell(a)
+		delete(o.pending, a.Number)
+		h.deliver(a)
 	}
 }
--- a/core/tackrelay/relay_test.go
+++ b/core/tackrelay/relay_test.go
@@ -19,9 +19,9 @@
 	second tackid.Peer = "10.0.0.2"
 )
 
-func add(t *testing.T, o *Outbox, sequence uint64, tell func(Answer)) uint64 {
+func add(t *testing.T, o *Outbox, sequence uint64, deliver func(Answer)) uint64 {
 	t.Helper()
-	number, err := o.Add(&tackdispatch.Report{Worker: "i-1", Sequence: sequence}, tell)
+	number, err := o.Add(&tackdispatch.Report{Worker: "i-1", Sequence: sequence}, deliver)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 		assertSent(t, o.Next(0, first), a, b)
 		assertSent(t, o.Next(0, first))
 	})
-	t.Run("all that wait are sent to the next leader", func(t *testing.T) {
+	t.Run("pending reports are sent to the next leader", func(t *testing.T) {
 		var o Outbox
 		a, b := add(t, &o, 1, none), add(t, &o, 2, none)
 		o.Next(0, first)
@@ -60,46 +60,47 @@
 		assertSent(t, o.Next(0, ""))
 		assertSent(t, o.Next(0, second), b)
 	})
-	t.Run("an answer is told once", func(t *testing.T) {
+	t.Run("an answer is delivered once", func(t *testing.T) {
 		var o Outbox
-		told := 0
-		a := add(t, &o, 1, func(Answer) { told++ })
+		delivered := 0
+		a := add(t, &o, 1, func(Answer) { delivered++ })
 		o.Next(0, first)
 		o.Take(0, first, []Answer{{Number: a}, {Number: a}})
 		o.Take(0, second, []Answer{{Number: a}})
-		if told != 1 || o.Len() != 0 {
-			t.Errorf("told %d times, %d wait", told, o.Len())
+		if delivered != 1 || o.Len() != 0 {
+			t.Errorf("delivered %d times, %d pending", delivered, o.Len())
 		}
 	})
-	t.Run("one that has not begun to lead is asked again, but not at once", func(t *testing.T) {
+	t.Run("a leader that is not ready is asked again after a delay", func(t *testing.T) {
 		var o Outbox
 		a := add(t, &o, 1, none)
 		o.Next(0, first)
 		o.Take(0, first, []Answer{{Number: a, NotLeader: true}})
-		assertSent(t, o.Next(tackclock.Time(againAfter)-1, first))
-		assertSent(t, o.Next(tackclock.Time(againAfter), first), a)
+		assertSent(t, o.Next(tackclock.Time(retryAfter)-1, first))
+		assertSent(t, o.Next(tackclock.Time(retryAfter), first), a)
 	})
-	t.Run("one that was given up is not sent", func(t *testing.T) {
+	t.Run("a dropped report is not sent", func(t *testing.T) {
 		var o Outbox
 		o.Drop(add(t, &o, 1, none))
 		assertSent(t, o.Next(0, first))
 	})
-	t.Run("what waits is bounded", func(t *testing.T) {
+	t.Run("pending reports are bounded", func(t *testing.T) {
 		var o Outbox
-		for range mostWaiting {
+		for range maxPending {
 			add(t, &o, 1, none)
 		}
 		var full *FullError
-		if _, err := o.Add(&tackdispatch.Report{}, none); !errors.As(err, &full) || full.Waiting != mostWaiting {
+		if _, err := o.Add(&tackdispatch.Report{}, none); !errors.As(err, &full) || full.Waiting != maxPending {
 			t.Errorf("error %v, want a *FullError", err)
 		}
-		if got := len(o.Next(0, first)); got != mostInBatch {
-			t.Errorf("%d in one message, want %d", got, mostInBatch)
+		if got := len(o.Next(0, first)); got != maxBatch {
+			t.Errorf("%d in one message, want %d", got, maxBatch)
 		}
 	})
 }
 
-// roster has relays 0 to n-1, those with even numbers in rennes, the others in brest.
+// roster returns a roster of relays 0 to n-1, those with even numbers in rennes, the others
+// in brest.
 func roster(n int) *Roster {
 	r := &Roster{}
 	for i := range n {
@@ -114,45 +115,45 @@
 }
 
 func TestRoster(t *testing.T) {
-	t.Run("few workers ask the leader", func(t *testing.T) {
+	t.Run("a small fleet reports to the leader", func(t *testing.T) {
 		r := roster(4)
 		for _, test := range []struct {
 			workers int
 			on      bool
 		}{{799, false}, {999, false}, {1000, true}, {800, true}, {799, false}} {
 			if r.Judge(test.workers, 1000, true); r.On() != test.on {
-				t.Errorf("with %d workers relays are used: %v", test.workers, r.On())
+				t.Errorf("with %d workers: relays enabled %v", test.workers, r.On())
 			}
 		}
 		if got := r.Choose(0, "i-1", "rennes", relayOf(0)); got != "" {
 			t.Errorf("sent to %s", got)
 		}
 	})
-	t.Run("a new leader goes on as the one before", func(t *testing.T) {
+	t.Run("a new leader keeps the state of the previous one", func(t *testing.T) {
 		r := &Roster{}
 		r.Inherit()
 		if r.Judge(3, 1000, false); !r.On() {
-			t.Error("relays are not used any more before the workers are known")
+			t.Error("relays are disabled before the workers are known")
 		}
 		if r.Judge(3, 1000, true); r.On() {
-			t.Error("relays are used for three workers")
+			t.Error("relays are enabled for three workers")
 		}
 	})
-	t.Run("a relay of the worker's data centre", func(t *testing.T) {
+	t.Run("a relay in the worker's data centre is preferred", func(t *testing.T) {
 		r := roster(4)
 		if got := r.Choose(0, "i-1", "brest", relayOf(0)); got != relayOf(1) && got != relayOf(3) {
 			t.Errorf("sent to %s", got)
 		}
 		if got := r.Choose(0, "i-1", "rennes", relayOf(2)); got != relayOf(2) {
-			t.Errorf("sent to %s from a relay that does", got)
+			t.Errorf("sent to %s from a relay in the same data centre", got)
 		}
 		if got := r.Choose(0, "i-1", "quimper", ""); got == "" {
-			t.Error("sent to the leader, though relays elsewhere do")
+			t.Error("sent to the leader although there are relays elsewhere")
 		}
 	})
-	t.Run("none that is silent", func(t *testing.T) {
+	t.Run("a silent relay is not chosen", func(t *testing.T) {
 		r := roster(4)
-		later := tackclock.Time(0).Add(heardWithin + 1)
+		later := tackclock.Time(0).Add(liveTimeout + 1)
 		if got := r.Choose(later, "i-1", "rennes", ""); got != "" {
 			t.Errorf("sent to %s, want to the leader", got)
 		}
@@ -163,8 +164,8 @@
 	})
 }
 
-// Guards against relays of which one has most of the workers, and against a lost one that
-// moves more workers than its own.
+// Guards against relays of which one has most of the workers, and against the loss of a
+// relay moving workers of other relays.
 func TestWorkersAreSpreadBound(t *testing.T) {
 	const workers, relays = 6000, 24
 	choose := func(r *Roster) map[string]tackid.Peer {
@@ -197,7 +198,7 @@
 	}
 }
 
-// Guards against reports and orders that lose a part on their way through a relay.
+// Guards against reports and orders that lose a field when they are encoded.
 func TestMessagesKeepAll(t *testing.T) {
 	report := tackdispatch.Report{
 		Worker: "i-1@5", VM: "m-1", Fixed: true, Service: "names-api", Zone: "rennes", Labels: []string{"a", "r-1"},
@@ -228,15 +229,15 @@
 	}
 }
 
-// TestRandomRelays has a relay lose messages in both directions, have them late and twice,
-// and follow one leader after the other. Each report is answered once or not at all, never
-// with the answer to another, and what is lost leaves nothing behind.
+// TestRandomRelays loses, delays and duplicates messages in both directions and changes the
+// leader. Each report must be answered at most once, never with the answer to another, and
+// lost messages must leave nothing pending.
 func TestRandomRelays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var o Outbox
 		var now tackclock.Time
 		leader := first
-		told := make(map[uint64]int)
+		delivered := make(map[uint64]int)
 		var sent []Numbered
 		var open []uint64
 		for range rapid.IntRange(1, 60).Draw(t, "acts") {
@@ -246,9 +247,9 @@
 				var number uint64
 				number, err := o.Add(&tackdispatch.Report{}, func(a Answer) {
 					if a.Number != number {
-						t.Fatalf("report %d is answered as %d", number, a.Number)
+						t.Fatalf("the answer to report %d has number %d", number, a.Number)
 					}
-					told[number]++
+					delivered[number]++
 				})
 				if err != nil {
 					t.Fatal(err)
@@ -272,18 +273,18 @@
 				}
 			}
 		}
-		for number, n := range told {
+		for number, n := range delivered {
 			if n > 1 {
 				t.Fatalf("report %d is answered %d times", number, n)
 			}
 		}
-		// What is left reaches a leader that answers.
-		now = now.Add(againAfter)
+		// Pending reports reach a leader that answers.
+		now = now.Add(retryAfter)
 		for _, n := range append(o.Next(now, "10.0.0.9"), o.Next(now, "10.0.0.9")...) {
 			o.Take(now, "10.0.0.9", []Answer{{Number: n.Number}})
 		}
 		if o.Len() != 0 {
-			t.Fatalf("%d reports wait for good", o.Len())
+			t.Fatalf("%d reports are never answered", o.Len())
 		}
 	})
 }
--- a/core/tackrelay/roster.go
+++ b/core/tackrelay/roster.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// HelloEvery is how often a relay without reports says that it can take some.
+	// HelloEvery is the interval at which a relay without reports says that it is
+	// available.
 	HelloEvery = 500 * tackclock.Millisecond
-	// heardWithin is within which time a relay must have been heard to be given workers:
-	// three hellos.
-	heardWithin = 3 * HelloEvery
-	// keepPercent is the part of the workers that have relays used, below which they
-	// are not any more. Between both figures all stays as it is.
-	keepPercent = 80
+	// liveTimeout is how long a relay stays eligible for workers after it was last heard
+	// from: three hellos.
+	liveTimeout = 3 * HelloEvery
+	// disablePercent is the percentage of the threshold for enabling relays below which
+	// they are disabled. Between the two the state does not change.
+	disablePercent = 80
 )
 
 type (
-	// Roster is the relays that a leader can use. Its zero value knows none. It is not
+	// Roster is the set of relays that a leader can use. Its zero value is empty. It is not
 	// safe for concurrent use.
 	Roster struct {
 		relays map[tackid.Peer]relay
@@ -34,7 +35,7 @@
 	}
 )
 
-// Heard takes in that a relay was heard.
+// Heard records a message from a relay.
 func (r *Roster) Heard(now tackclock.Time, p tackid.Peer, dc tackid.DataCentre) {
 	if r.relays == nil {
 		r.relays = make(map[tackid.Peer]relay)
@@ -42,18 +43,19 @@
 	r.relays[p] = relay{heard: now, dataCentre: dc}
 }
 
-// Inherit takes in that workers reported to relays under the leader before. They go on to:
-// a leader that knew none of them yet would else have all of them ask itself.
+// Inherit records that workers reported to relays under the previous leader. They continue
+// to do so: otherwise a new leader, which knows no workers yet, would have all of them
+// report to itself.
 func (r *Roster) Inherit() {
 	r.on = true
 }
 
-// Judge decides whether workers report to relays, now that so many are known, or all of
-// them if all is set. A small fleet's workers report to the leader itself, which is one hop
-// less.
+// Judge decides whether workers report to relays, given the number of workers known so far;
+// all says that no more are expected. The workers of a small fleet report to the leader
+// directly, which saves a hop.
 func (r *Roster) Judge(workers, from int, all bool) {
 	if r.on && all {
-		r.on = workers*100 >= from*keepPercent
+		r.on = workers*100 >= from*disablePercent
 		return
 	}
 	r.on = r.on || workers >= from
@@ -64,10 +66,10 @@
 	return r.on
 }
 
-// Choose returns the control VM that a worker is to ask next: the relay that its report
-// came by, if that is one in its data centre, or one of those there, or of any; empty for
-// the leader itself. Workers are spread evenly, and a relay that is lost moves its own
-// workers alone.
+// Choose returns the control VM that a worker must report to next: the relay that forwarded
+// its report, if that is in the worker's data centre, otherwise another relay there,
+// otherwise any relay; empty for the leader itself. Workers are spread evenly, and the loss
+// of a relay moves only its own workers.
 func (r *Roster) Choose(now tackclock.Time, worker string, dc tackid.DataCentre, by tackid.Peer) tackid.Peer {
 	if !r.on {
 		return ""
@@ -84,22 +86,22 @@
 	})
 }
 
-// Live returns the relays that were heard lately.
+// Live returns the relays that were heard from within liveTimeout.
 func (r *Roster) Live(now tackclock.Time) []tackid.Peer {
 	return r.live(now, func(relay) bool { return true })
 }
 
-func (r *Roster) live(now tackclock.Time, suits func(relay) bool) []tackid.Peer {
+func (r *Roster) live(now tackclock.Time, match func(relay) bool) []tackid.Peer {
 	var list []tackid.Peer
 	for p, x := range r.relays {
-		if now.Sub(x.heard) <= heardWithin && suits(x) {
+		if now.Sub(x.heard) <= liveTimeout && match(x) {
 			list = append(list, p)
 		}
 	}
 	return list
 }
 
-// weight is how much a relay suits a worker, as a hash of both.
+// weight returns the rendezvous hash of a worker and a relay.
 func weight(worker string, p tackid.Peer) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(worker)) // never fails
@@ -107,8 +109,8 @@
 	return mix(h.Sum64())
 }
 
-// mix spreads the bits of a hash, so that names that differ in their ends alone differ in
-// the highest bits as well.
+// mix distributes the bits of a hash, so that names that differ only at the end also differ
+// in the highest bits.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
