--- a/core/tackstate/state.go
+++ b/core/tackstate/state.go
@@ -1,6 +1,6 @@
-// Package tackstate puts together the state machines that one replicated log
-// drives: the fleet, the at-most-once records and the service levels. It
-// defines what a log entry carries and what a snapshot holds.
+// Package tackstate combines the state machines that are driven by one replicated log: the
+// fleet, the ledger of idempotency records and the service levels. It defines the contents
+// of log entries and of snapshots.
 package tackstate
 
 import (
@@ -18,19 +18,18 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// snapshotVersion is raised when an older reader could not make sense of a
-// newer snapshot.
+// snapshotVersion is increased when older programs cannot read a newer snapshot.
 const (
 	snapshotVersion = 1
-	// snapshotMax bounds what a snapshot may unpack to, so that a damaged one
-	// cannot take all memory.
-	snapshotMax = 1 << 30
+	// maxSnapshotBytes bounds the decompressed size of a snapshot, so that a damaged one
+	// cannot exhaust memory.
+	maxSnapshotBytes = 1 << 30
 )
 
 type (
-	// Proposal is the data of a log entry: exactly one of Fleet, Ledger and
-	// Burn. Origin and Serial tell the peer that proposed it which of its
-	// callers waits for the outcome.
+	// Proposal is the data of a log entry: exactly one of Fleet, Ledger and Burn. Origin is
+	// the peer that proposed it, and Serial identifies the caller on that peer that waits
+	// for the outcome.
 	Proposal struct {
 		Origin tackid.Peer        `cbor:"1,keyasint"`
 		Serial uint64             `cbor:"2,keyasint"`
@@ -39,8 +38,8 @@
 		Burn   *tackburn.Sample   `cbor:"5,keyasint,omitempty"`
 	}
 
-	// Outcome is what applying a proposal came to. Fleet or Claim is set as
-	// the proposal was for the fleet or the ledger.
+	// Outcome is the result of applying a proposal. Fleet or Claim is set, depending on
+	// whether the proposal was for the fleet or the ledger.
 	Outcome struct {
 		Revision tackid.Revision
 		Fleet    tackfleet.Result
@@ -55,8 +54,8 @@
 		Burn   tackburn.State
 	}
 
-	// EntryError reports an entry that cannot be read. The log was checked
-	// when it was written and sent, so a peer that meets one must not go on.
+	// EntryError reports an entry that cannot be decoded. Entries are verified when they
+	// are written and sent, so a peer that finds one must stop.
 	EntryError struct {
 		Index tackid.Revision
 		Err   error
@@ -72,26 +71,25 @@
 
 // Error implements error.
 func (e *EntryError) Error() string {
-	return fmt.Sprintf("state: entry %d: %v", e.Index, e.Err)
+	return fmt.Sprintf("tackstate: entry %d: %v", e.Index, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *EntryError) Unwrap() error {
 	return e.Err
 }
 
-// Encode returns the proposal as the data of a log entry.
+// Encode encodes the proposal as the data of a log entry.
 func (p *Proposal) Encode() ([]byte, error) {
 	data, err := cbor.Marshal(p)
 	if err != nil {
-		return nil, fmt.Errorf("state: encode proposal: %w", err)
+		return nil, fmt.Errorf("tackstate: encode proposal: %w", err)
 	}
 	return data, nil
 }
 
-// Apply takes a committed entry into the state and returns the proposal that
-// it carried with what came of it. Entries of other kinds change nothing. The
-// error is an *EntryError.
+// Apply applies a committed entry and returns its proposal and the outcome. Entries of
+// other kinds than EntryNormal have no effect. The error is an *EntryError.
 func (s *State) Apply(e tackreplica.Entry) (Proposal, Outcome, error) {
 	var p Proposal
 	out := Outcome{Revision: e.Index}
@@ -116,33 +114,33 @@
 func (s *State) Snapshot() ([]byte, error) {
 	fleet, err := s.Fleet.Snapshot()
 	if err != nil {
-		return nil, fmt.Errorf("state: snapshot of the fleet: %w", err)
+		return nil, fmt.Errorf("tackstate: encode fleet: %w", err)
 	}
 	ledger, err := s.Ledger.Snapshot()
 	if err != nil {
-		return nil, fmt.Errorf("state: snapshot of the ledger: %w", err)
+		return nil, fmt.Errorf("tackstate: encode ledger: %w", err)
 	}
 	burn, err := s.Burn.Snapshot()
 	if err != nil {
-		return nil, fmt.Errorf("state: snapshot of the service levels: %w", err)
+		return nil, fmt.Errorf("tackstate: encode service levels: %w", err)
 	}
 	return pack(snapshot{Version: snapshotVersion, Fleet: fleet, Ledger: ledger, Burn: burn})
 }
 
-// pack encodes and deflates a snapshot. A new VM of the system gets the whole
-// of it over a link on which control may take only so many bytes a second, and
-// names that repeat in every VM's record are most of it.
+// pack encodes and compresses a snapshot. A new VM of the system receives all of it over a
+// link on which control traffic is rate-limited, and most of it is names that repeat in the
+// record of every VM.
 func pack(s snapshot) ([]byte, error) {
 	var packed bytes.Buffer
 	w, err := flate.NewWriter(&packed, flate.BestSpeed)
 	if err != nil {
-		return nil, fmt.Errorf("state: pack snapshot: %w", err)
+		return nil, fmt.Errorf("tackstate: compress snapshot: %w", err)
 	}
 	if err := cbor.NewEncoder(w).Encode(s); err != nil {
-		return nil, fmt.Errorf("state: pack snapshot: %w", err)
+		return nil, fmt.Errorf("tackstate: compress snapshot: %w", err)
 	}
 	if err := w.Close(); err != nil {
-		return nil, fmt.Errorf("state: pack snapshot: %w", err)
+		return nil, fmt.Errorf("tackstate: compress snapshot: %w", err)
 	}
 	return packed.Bytes(), nil
 }
@@ -150,34 +148,34 @@
 func unpack(data []byte) (snapshot, error) {
 	var s snapshot
 	r := flate.NewReader(bytes.NewReader(data))
-	plain, err := io.ReadAll(io.LimitReader(r, snapshotMax))
+	plain, err := io.ReadAll(io.LimitReader(r, maxSnapshotBytes))
 	if err != nil {
-		return s, fmt.Errorf("state: unpack snapshot: %w", err)
+		return s, fmt.Errorf("tackstate: decompress snapshot: %w", err)
 	}
 	if err := cbor.Unmarshal(plain, &s); err != nil {
-		return s, fmt.Errorf("state: read snapshot: %w", err)
+		return s, fmt.Errorf("tackstate: decode snapshot: %w", err)
 	}
 	return s, nil
 }
 
-// Restore replaces the state by what a snapshot holds.
+// Restore replaces the state by the contents of a snapshot.
 func (s *State) Restore(data []byte) error {
 	snap, err := unpack(data)
 	if err != nil {
 		return err
 	}
 	if snap.Version > snapshotVersion {
-		return fmt.Errorf("state: snapshot has version %d, this program reads up to %d", snap.Version, snapshotVersion)
+		return fmt.Errorf("tackstate: snapshot version %d, this program reads up to %d", snap.Version, snapshotVersion)
 	}
 	var next State
 	if err := next.Fleet.Restore(snap.Fleet); err != nil {
-		return fmt.Errorf("state: restore the fleet: %w", err)
+		return fmt.Errorf("tackstate: restore fleet: %w", err)
 	}
 	if err := next.Ledger.Restore(snap.Ledger); err != nil {
-		return fmt.Errorf("state: restore the ledger: %w", err)
+		return fmt.Errorf("tackstate: restore ledger: %w", err)
 	}
 	if err := next.Burn.Restore(snap.Burn); err != nil {
-		return fmt.Errorf("state: restore the service levels: %w", err)
+		return fmt.Errorf("tackstate: restore service levels: %w", err)
 	}
 	*s = next
 	return nil
--- a/core/tackstate/state_test.go
+++ b/core/tackstate/state_test.go
@@ -15,8 +15,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// filled returns a state of n VMs that announced themselves, made from entries.
-func filled(t testing.TB, n int) *State {
+// newFilledState returns a state with n VMs that have announced themselves, built by applying
+// entries.
+func newFilledState(t testing.TB, n int) *State {
 	t.Helper()
 	s := new(State)
 	var index tackid.Revision
@@ -49,32 +50,32 @@
 	return s
 }
 
-// Symptom: a VM that took a snapshot shows another state than the leader.
-// Sequence: a state is packed, unpacked and packed again.
-// Cause: a part that is not in the snapshot, or not read back.
+// Guards against a VM whose state differs from the leader's after it restored a snapshot,
+// because a part is missing from the snapshot or not restored.
 func TestSnapshotRoundTrip(t *testing.T) {
-	s := filled(t, 100)
+	s := newFilledState(t, 100)
 	data, err := s.Snapshot()
 	var back State
 	restored := back.Restore(data)
 	again, _ := back.Snapshot()
-	Convey("The copy gives the same snapshot", t, func() {
+	Convey("The restored state has the same snapshot", t, func() {
 		So(err, ShouldBeNil)
 		So(restored, ShouldBeNil)
 		So(bytes.Equal(again, data), ShouldBeTrue)
 		So(back.Ledger.Len(), ShouldEqual, 1)
 		So(back.Fleet.VMs(), ShouldHaveLength, 100)
 	})
-	Convey("A damaged one changes nothing", t, func() {
+	Convey("A damaged snapshot changes nothing", t, func() {
 		So(back.Restore(data[:len(data)/2]), ShouldNotBeNil)
 		So(back.Fleet.VMs(), ShouldHaveLength, 100)
 	})
 }
 
-// TestSnapshotBytes holds the size of a snapshot at the size to design for.
+// TestSnapshotBytes bounds the size of a snapshot at the fleet size that the system is
+// designed for.
 func TestSnapshotBytes(t *testing.T) {
 	for _, n := range []int{100, 500, 2300} {
-		data, err := filled(t, n).Snapshot()
+		data, err := newFilledState(t, n).Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -86,7 +87,7 @@
 }
 
 func BenchmarkSnapshot(b *testing.B) {
-	s := filled(b, 2300)
+	s := newFilledState(b, 2300)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := s.Snapshot(); err != nil {
