--- a/core/tackentry/entry.go
+++ b/core/tackentry/entry.go
@@ -1,5 +1,5 @@
-// Package tackentry is what the parts of the fleet's state machine share: the
-// position of the log entry that is being applied, and the refusal of it.
+// Package tackentry defines the types that the state machines of the fleet share: the
+// position of the log entry being applied, and the error for a refused command.
 package tackentry
 
 import (
@@ -10,39 +10,38 @@
 )
 
 const (
-	// CodeBudget refuses what would break an availability budget.
+	// CodeBudget means that the change would violate an availability budget.
 	CodeBudget Code = "budget"
-	// CodeStale refuses a command whose expected revision has passed.
+	// CodeStale means that the revision that the command expects is no longer current.
 	CodeStale Code = "stale_revision"
-	// CodeExists refuses to create what exists.
+	// CodeExists means that the object to create exists already.
 	CodeExists Code = "exists"
-	// CodeMissing refuses to change what does not exist.
+	// CodeMissing means that the object to change does not exist.
 	CodeMissing Code = "not_found"
-	// CodeInUse refuses to take what something else holds.
+	// CodeInUse means that another object holds the resource.
 	CodeInUse Code = "in_use"
-	// CodeState refuses what the thing's state does not allow.
+	// CodeState means that the state of the object does not allow the change.
 	CodeState Code = "wrong_state"
-	// CodeInvalid refuses a value out of range.
+	// CodeInvalid means that a value is out of range.
 	CodeInvalid Code = "invalid"
-	// CodeQuota refuses what goes beyond a team's quota.
+	// CodeQuota means that the change would exceed the quota of a team.
 	CodeQuota Code = "quota"
-	// CodeReused refuses a command id that came with another command.
+	// CodeReused means that the command ID was already used for a different command.
 	CodeReused Code = "command_id_reused"
 )
 
 type (
-	// At is the position in the log at which a change is applied, and the
-	// time of the entry.
+	// At is the index of the log entry that contains a change, and the time of the entry.
 	At struct {
 		Revision tackid.Revision
 		Time     tackclock.Time
 	}
 
-	// Code says in one word why a change was refused.
+	// Code is the machine-readable reason why a change was refused.
 	Code string
 
-	// RefusedError says why a change was refused. Nothing was done. At is the
-	// revision that made a command stale.
+	// RefusedError reports that a change was refused and had no effect. For CodeStale, At
+	// is the revision that made the command stale.
 	RefusedError struct {
 		Code   Code            `cbor:"1,keyasint"`
 		Reason string          `cbor:"2,keyasint"`
@@ -55,13 +54,13 @@
 	return fmt.Sprintf("refused: %s: %s", e.Code, e.Reason)
 }
 
-// Refuse returns a refusal with a formatted reason.
+// Refuse returns a RefusedError with a formatted reason.
 func Refuse(code Code, format string, args ...any) *RefusedError {
 	return &RefusedError{Code: code, Reason: fmt.Sprintf(format, args...)}
 }
 
-// NameOf returns the name of a value of an enumeration. A value of a later
-// version has no name here and is told by its number.
+// NameOf returns the name of an enumeration value. A value that a later version has added
+// has no name here and is formatted as a number.
 func NameOf[T ~uint8](names []string, value T) string {
 	if int(value) < len(names) {
 		return names[value]
