--- a/core/tackclock/clock.go
+++ b/core/tackclock/clock.go
@@ -1,9 +1,8 @@
-// Package tackclock gives the one notion of time that auburntack uses:
-// whole milliseconds, read from a clock that never runs backwards while a
-// process lives.
+// Package tackclock defines the time types of auburntack, in whole milliseconds, and a
+// clock that never runs backwards while a process runs.
 //
-// Decision packages never read a clock. They are handed a Time, so that a
-// test can drive them through hours in a few steps.
+// Packages that make decisions never read a clock. They are passed a Time, so that tests
+// can simulate hours in a few steps.
 package tackclock
 
 import (
@@ -28,19 +27,18 @@
 var started = time.Now()
 
 type (
-	// Time is a moment, in milliseconds since the Unix epoch.
+	// Time is a point in time, in milliseconds since the Unix epoch.
 	Time int64
 
-	// Duration is a span of time in milliseconds.
+	// Duration is a duration in milliseconds.
 	Duration int64
 
-	// Clock tells the time. Its zero value follows a clock of the machine that
-	// never steps from the wall time at which the process started, so a step of
-	// the wall clock neither shortens nor lengthens a lease. Time for which the
-	// machine was suspended counts, where the system tells it: a leader that
-	// wakes would otherwise go on by a lease that others saw run out. After Set
-	// it stands still and is moved by Set and Advance only, which is what tests
-	// use.
+	// Clock returns the current time. Its zero value starts at the wall time at which the
+	// process started and then follows a clock that is never adjusted, so a step of the
+	// wall clock does not change the length of a lease. Time during which the machine was
+	// suspended is included where the system supports that: a leader would otherwise resume
+	// with a lease that has expired for the others. After Set the clock stands still and is
+	// changed only by Set and Advance, for tests.
 	Clock struct {
 		manual atomic.Pointer[atomic.Int64]
 	}
@@ -61,8 +59,8 @@
 	c.manual.Store(m)
 }
 
-// Advance moves a clock that was stopped by Set forward by d and returns the
-// new time. On a running clock it only returns the time.
+// Advance moves a clock that was stopped by Set forward by d and returns the new time. It
+// does not change a running clock.
 func (c *Clock) Advance(d Duration) Time {
 	if m := c.manual.Load(); m != nil {
 		return Time(m.Add(int64(d)))
@@ -75,7 +73,7 @@
 	return t + Time(d)
 }
 
-// Sub returns the span from u to t.
+// Sub returns the duration t-u.
 func (t Time) Sub(u Time) Duration {
 	return Duration(t - u)
 }
@@ -95,7 +93,7 @@
 	return time.UnixMilli(int64(t)).UTC().Format("2006-01-02T15:04:05.000Z07:00")
 }
 
-// Std returns d as a time.Duration, for the libraries that want one.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration {
 	return time.Duration(d) * time.Millisecond
 }
--- a/core/tackclock/since_linux.go
+++ b/core/tackclock/since_linux.go
@@ -8,8 +8,8 @@
 
 var bootAtStart = bootTime()
 
-// bootTime is the time since the machine started, with the time for which it
-// was suspended; zero if the system does not tell.
+// bootTime returns the time since the machine booted, including time for which it was
+// suspended, or zero if the system does not provide it.
 func bootTime() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -18,8 +18,8 @@
 	return time.Duration(ts.Nano())
 }
 
-// sinceStart is how long the process has lived. The monotonic clock alone
-// stands still while the machine is suspended.
+// sinceStart returns the time since the process started. The monotonic clock is only a
+// fallback, since it stops while the machine is suspended.
 func sinceStart() time.Duration {
 	if b := bootTime(); b > 0 && bootAtStart > 0 {
 		return b - bootAtStart
--- a/core/tackclock/since_other.go
+++ b/core/tackclock/since_other.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// sinceStart is how long the process has lived.
+// sinceStart returns the time since the process started.
 func sinceStart() time.Duration {
 	return time.Since(started)
 }
