--- a/core/tackid/id.go
+++ b/core/tackid/id.go
@@ -1,16 +1,15 @@
-// Package tackid names the things that auburntack keeps track of. Each kind
-// of name is a type of its own, so that the compiler refuses a pool where a
-// service is due.
+// Package tackid defines the identifier types of auburntack. Each kind of identifier has
+// its own type, so that the compiler rejects, for example, a pool in place of a service.
 package tackid
 
 import "fmt"
 
 const (
-	// ClassNormal is the class of a request or task that names none.
+	// ClassNormal is the default class of a request or task.
 	ClassNormal Class = iota
 	// ClassUrgent is work that must start within 2.3 s.
 	ClassUrgent
-	// ClassBatch is work that yields to the other classes.
+	// ClassBatch is work that gives way to the other classes.
 	ClassBatch
 )
 
@@ -22,13 +21,13 @@
 	Peer string
 	// Pool names a set of VMs.
 	Pool string
-	// Service names what callers ask for; it is placed on one pool.
+	// Service names something that callers send requests to; it is placed on one pool.
 	Service string
-	// Team names a customer that quotas are given to.
+	// Team names a customer that has quotas.
 	Team string
-	// Workspace names a customer with keys and a share of the workers.
+	// Workspace names a customer that has API keys and a share of the workers.
 	Workspace string
-	// DataCentre names a failure domain that a network partition may cut off.
+	// DataCentre names a failure domain that a network partition may isolate.
 	DataCentre string
 	// Rack names a failure domain within a data centre.
 	Rack string
@@ -38,31 +37,31 @@
 	Wave string
 	// Task names a unit of work that workers run under leases.
 	Task string
-	// CommandID makes a command idempotent: sent twice, it takes effect once.
+	// CommandID makes a command idempotent: a command sent twice takes effect once.
 	CommandID string
 	// Operation makes a request to the platform idempotent.
 	Operation string
 	// RequestID names one dispatch of a request to a backend server.
 	RequestID string
-	// Key is an idempotency key that a caller gave.
+	// Key is an idempotency key provided by a caller.
 	Key string
 
-	// Revision is the position of a change in the replicated log. Every
-	// accepted command stands at a revision, and later ones stand higher.
+	// Revision is the index of a change in the replicated log. Every accepted command has a
+	// revision, and later commands have higher ones.
 	Revision uint64
-	// Incarnation counts the lives of one backend server or worker. What a
-	// later life says goes before all that an earlier one said.
+	// Incarnation counts the restarts of a backend server or worker. Information from a
+	// later incarnation takes precedence over all from an earlier one.
 	Incarnation uint64
-	// Token is a fencing token: a holder with a lower one is refused.
+	// Token is a fencing token: a holder with a lower token is rejected.
 	Token uint64
 
-	// Class is how urgent a piece of work is.
+	// Class is the urgency of a request or task.
 	Class uint8
 )
 
 var classNames = [...]string{ClassNormal: "normal", ClassUrgent: "urgent", ClassBatch: "batch"}
 
-// UnknownClassError reports a text that names no class.
+// UnknownClassError reports a text that is not the name of a class.
 type UnknownClassError struct {
 	Text string
 }
@@ -72,7 +71,7 @@
 	return fmt.Sprintf("unknown class %q, want urgent, normal or batch", e.Text)
 }
 
-// String returns the name that callers and operators use.
+// String returns the name of the class, as callers and operators write it.
 func (c Class) String() string {
 	if int(c) < len(classNames) {
 		return classNames[c]
@@ -80,8 +79,8 @@
 	return fmt.Sprintf("class_%d", uint8(c))
 }
 
-// ParseClass returns the class that text names; the empty text is
-// ClassNormal. The error is an *UnknownClassError.
+// ParseClass returns the class with the given name; the empty text is ClassNormal. The
+// error is an *UnknownClassError.
 func ParseClass(text string) (Class, error) {
 	if text == "" {
 		return ClassNormal, nil
