--- a/core/tackmember/announcement.go
+++ b/core/tackmember/announcement.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// StateServing is what a backend server or worker that takes work says.
+	// StateServing is the state of a backend server or worker that accepts work.
 	StateServing State = "serving"
-	// StateLeaving is what one that takes no new work says. It is final for
-	// the incarnation.
+	// StateLeaving is the state of one that accepts no new work. It is final for the
+	// incarnation.
 	StateLeaving State = "leaving"
 )
 
 type (
-	// State is what an announcement says of its sender.
+	// State is the state that a sender announces.
 	State string
 
-	// BackendServer is the announcement of one backend server. Address is an
-	// IP number with a port; Slots is how many requests it runs at once and
-	// Connections how many it keeps open.
+	// BackendServer is the announcement of a backend server. Address is an IP address with
+	// a port; Slots is how many requests it runs concurrently, and Connections is how many
+	// connections it keeps open.
 	BackendServer struct {
 		ID          tackid.BackendServer `json:"backend_server" cbor:"1,keyasint"`
 		VM          tackid.VM            `json:"vm" cbor:"2,keyasint"`
@@ -36,7 +36,7 @@
 		State       State                `json:"state" cbor:"10,keyasint"`
 	}
 
-	// Worker is the announcement of one worker, whose name is its VM's.
+	// Worker is the announcement of a worker, which has the same name as its VM.
 	Worker struct {
 		ID           tackid.VM          `json:"worker" cbor:"1,keyasint"`
 		DataCentre   tackid.DataCentre  `json:"data_centre" cbor:"2,keyasint"`
@@ -48,22 +48,22 @@
 		State        State              `json:"state" cbor:"8,keyasint"`
 	}
 
-	// Announcement is exactly one of its fields. Its JSON form is that of the
-	// field that is set; the member worker tells the two apart.
+	// Announcement has exactly one field set. Its JSON form is that of the field; the JSON
+	// member worker distinguishes the two.
 	Announcement struct {
 		BackendServer *BackendServer `cbor:"1,keyasint,omitempty"`
 		Worker        *Worker        `cbor:"2,keyasint,omitempty"`
 	}
 
-	// Reply is the answer to an announcement. Accepted is false for one that
-	// a newer one has overtaken. The sender is taken as lost when it does not
-	// come again within NextWithin, give or take a missed one.
+	// Reply is the response to an announcement. Accepted is false if a newer announcement
+	// was already accepted. The sender is considered lost unless it announces itself again
+	// within NextWithin, with tolerance for one missed announcement.
 	Reply struct {
 		Accepted   bool
 		NextWithin tackclock.Duration
 	}
 
-	// FieldError reports a field of an announcement that cannot be right.
+	// FieldError reports an invalid field of an announcement.
 	FieldError struct {
 		Field   string
 		Problem string
--- a/core/tackmember/announcement_test.go
+++ b/core/tackmember/announcement_test.go
@@ -20,11 +20,9 @@
 	})
 }
 
-// Symptom: a peer routes to nowhere, a table breaks, or the links fill up.
-// Sequence: a broken backend server announces nonsense; the peer takes it in
-// and spreads it to every other.
-// Cause: announcements come from outside and were not checked at the door.
-func TestAnnounceRefusesNonsense(t *testing.T) {
+// Guards against invalid announcements from a faulty backend server that would be spread to
+// every peer, where they misroute requests, corrupt tables or saturate the links.
+func TestAnnounceRejectsInvalidFields(t *testing.T) {
 	cases := []struct{ field, old, new string }{
 		{"backend_server", "names-api-3", ""},
 		{"vm", "w-17", strings.Repeat("w", maxName+1)},
--- a/core/tackmember/bounds_test.go
+++ b/core/tackmember/bounds_test.go
@@ -10,10 +10,9 @@
 	"auburntack/core/tackid"
 )
 
-// Symptom: the daemon's memory grows from week to week.
-// Sequence: backend servers restart, names come and go, peers restart.
-// Cause: what had ended was kept for ever.
-func TestMemoryEndsWithWhatEnded(t *testing.T) {
+// Guards against memory that grows from week to week, because ended entries are kept
+// forever while backend servers and peers restart and names change.
+func TestEndedEntriesAreReleased(t *testing.T) {
 	c := newCluster(3, 3)
 	for i := range 300 {
 		c.announce(i%3, c.server(1, 0, tackid.Incarnation(i+1), StateServing))
@@ -28,9 +27,9 @@
 	c.checked = func() { c.announce(0, live) }
 	c.run(3 * tackclock.Hour)
 	for i, d := range c.dirs {
-		got := fmt.Sprint(len(d.entries), len(d.vms), len(d.spaces), len(d.nearby), len(d.wanted), len(d.unsent))
+		got := fmt.Sprint(len(d.entries), len(d.vms), len(d.spaces), len(d.heldElsewhere), len(d.pendingWants), len(d.unsent))
 		if got != "1 1 3 0 0 0" {
-			t.Errorf("peer %d keeps %s of entries, VMs, spaces, nearby, wanted, unsent; want 1 1 3 0 0 0", i, got)
+			t.Errorf("peer %d has %s entries, VMs, spaces, heldElsewhere, pendingWants, unsent; want 1 1 3 0 0 0", i, got)
 		}
 		for _, s := range d.spaces {
 			if len(s.records) > 1 {
@@ -40,12 +39,10 @@
 	}
 }
 
-// Symptom: a peer that comes back routes by half a directory, or is not ready
-// for seconds.
-// Sequence: it restarts empty, among many backend servers or beside one peer.
-// Cause: the directory came by refreshes only, a minute apart; or the peer took
-// the first that it was told of for all there is; or it had to wait until all
-// was told again.
+// Guards against a restarted peer that routes by an incomplete directory or is not ready
+// for seconds, among many backend servers or with a single other peer. It must request the
+// records at once instead of waiting for the next full heartbeat, and must not take the
+// first space that it learns of for the whole directory.
 func TestNewPeerGetsTheWholeDirectory(t *testing.T) {
 	cases := []struct {
 		peers, dcs, servers int
@@ -64,15 +61,15 @@
 			c.step()
 		}
 		took, n := c.now.Sub(start), len(d.BackendServers())
-		t.Logf("%d backend servers were known after %v by the model clock, 100 ms a hop", n, took)
+		t.Logf("%d backend servers were known after %v of simulated time, 100 ms per hop", n, took)
 		if n != k.servers || took > k.limit {
 			t.Errorf("want %d backend servers within %v", k.servers, k.limit)
 		}
 	}
 }
 
-// BenchmarkSecond takes 12 peers through a second of the model clock, with
-// announcements, ticks and messages, and reports what one peer takes of it.
+// BenchmarkSecond simulates 12 peers for a second, with announcements, ticks and messages,
+// and reports the cost per peer.
 func BenchmarkSecond(b *testing.B) {
 	for _, n := range []int{100, 500, 2300} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
--- a/core/tackmember/bytes_test.go
+++ b/core/tackmember/bytes_test.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	steadyBound = 3_000 // bytes a second a peer, sent and received
-	minuteBound = 6_000 // the same in the worst minute
+	steadyBound = 3_000 // bytes per second and peer, sent and received
+	minuteBound = 6_000 // the same, in the worst minute
 )
 
 type (
-	// announcers is a number of backend servers that keep announcing
-	// themselves to the peers of their own data centre, each time to any.
+	// announcers is a set of backend servers that repeatedly announce themselves, each time
+	// to a random peer in their data centre.
 	announcers struct {
-		c     *cluster
-		dcs   int
-		dice  uint64
-		inc   []tackid.Incarnation
-		next  []tackclock.Time
-		calls int
+		c        *cluster
+		dcs      int
+		rngState uint64
+		inc      []tackid.Incarnation
+		next     []tackclock.Time
+		calls    int
 	}
 
-	// traffic is what one peer, the busiest, sent and received a second.
+	// traffic is the number of bytes per second that the busiest peer sent and received.
 	traffic struct {
 		servers, peers        int
 		steady, storm, healed int
-		whole, ids            int     // steady, by the plain ways
-		calls                 float64 // announcements a second a peer
+		whole, ids            int     // steady, with the baseline protocols
+		calls                 float64 // announcements per second and peer
 	}
 )
 
@@ -54,15 +54,15 @@
 	}
 }
 
-// peer returns one of the peers of the data centre of backend server n.
+// peer returns a random peer in the data centre of backend server n.
 func (a *announcers) peer(n int) int {
-	a.dice = a.dice*6364136223846793005 + 1442695040888963407
+	a.rngState = a.rngState*6364136223846793005 + 1442695040888963407
 	home := n % a.dcs
 	peers := (len(a.c.dirs) - home + a.dcs - 1) / a.dcs
-	return home + a.dcs*int((a.dice>>33)%uint64(peers))
+	return home + a.dcs*int((a.rngState>>33)%uint64(peers))
 }
 
-// restart lets one backend server leave and come back as its next life.
+// restart has a backend server leave and return with the next incarnation.
 func (a *announcers) restart(n int) {
 	p := a.peer(n)
 	a.c.announce(p, a.c.server(n, p, a.inc[n], StateLeaving))
@@ -71,7 +71,7 @@
 	a.inc[n]++
 }
 
-// measure returns the bytes a second of the busiest peer while f runs.
+// measure returns the bytes per second of the busiest peer while f runs.
 func (a *announcers) measure(f func()) int {
 	clear(a.c.bytes)
 	a.c.count = true
@@ -89,7 +89,7 @@
 	c.run(2 * tackclock.Minute)
 	a.calls = 0
 	m.steady = a.measure(func() {
-		a.restart(7) // 530 a day are one in 163 s
+		a.restart(7) // 530 a day is one per 163 s
 		c.run(149 * tackclock.Second)
 	})
 	m.calls = float64(a.calls) / 150 / float64(peers)
@@ -105,9 +105,9 @@
 	return m
 }
 
-// baselines returns what two plain ways would take at the same announcements:
-// passing each on to every peer whole, and passing on eight bytes of each in
-// one message a second.
+// baselines returns the traffic of two simple protocols for the same announcements:
+// forwarding each announcement in full to every peer, and forwarding eight bytes of each in
+// one message per second.
 func (m traffic) baselines(c *cluster) (whole, ids int) {
 	p := Part{Space: 1 << 31, Peer: c.ids[0], Epoch: Epoch(c.now), DataCentre: c.dcs[0], From: 1 << 16, To: 1 << 16, Last: 1 << 16}
 	p.Records = []Record{newRecord(c.server(7, 0, 1, StateServing))}
@@ -119,10 +119,10 @@
 	return int(ways * m.calls * float64(len(data)+envelope)), int(ways * (m.calls*9 + envelope))
 }
 
-// Symptom: control uses up the links of small VMs as the fleet grows.
-// Sequence: the fleet grows to 2,300 backend servers; all announce anew at
-// once; a peer restarts empty while a cut heals.
-// Cause: what is sent grows with the fleet times the peers.
+// Guards against control traffic that grows with the number of backend servers times the
+// number of peers and saturates the links of small VMs: with up to 2,300 backend servers,
+// when all announce themselves again at once, and when a peer restarts empty while a
+// partition heals.
 func TestBytesASecondOfAPeer(t *testing.T) {
 	cases := []struct{ servers, peers, dcs int }{
 		{100, 3, 3}, {500, 3, 3}, {2300, 3, 3},
@@ -134,10 +134,10 @@
 	}
 	for _, c := range cases {
 		m := measureTraffic(c.servers, c.peers, c.dcs)
-		t.Logf("%4d backend servers, %2d peers: steady %5d B/s, all announce anew %5d B/s, restart and heal %5d B/s, %.2f announcements a second a peer; passed on whole %5d B/s, by id %5d B/s",
+		t.Logf("%4d backend servers, %2d peers: steady %5d B/s, all announce again %5d B/s, restart and heal %5d B/s, %.2f announcements per second and peer; forwarded in full %5d B/s, by id %5d B/s",
 			m.servers, m.peers, m.steady, m.storm, m.healed, m.calls, m.whole, m.ids)
 		if m.steady > steadyBound || m.storm > minuteBound || m.healed > minuteBound {
-			t.Errorf("over the bound of %d B/s steady, %d B/s in the worst minute", steadyBound, minuteBound)
+			t.Errorf("exceeds the bound of %d B/s steady, %d B/s in the worst minute", steadyBound, minuteBound)
 		}
 	}
 }
--- a/core/tackmember/cluster_test.go
+++ b/core/tackmember/cluster_test.go
@@ -13,7 +13,7 @@
 
 const (
 	step     = 100 * tackclock.Millisecond
-	envelope = 48 // bytes of the link's own around a message: sender, kind, frame
+	envelope = 48 // bytes that the link adds to a message: sender, kind, frame
 )
 
 type (
@@ -25,8 +25,8 @@
 		m   Message
 	}
 
-	// cluster joins directories by links with a delay that tests can cut,
-	// and steps them all by one clock.
+	// cluster connects directories by links with a delay, which tests can cut, and advances
+	// them all by one clock.
 	cluster struct {
 		now     tackclock.Time
 		stride  tackclock.Duration
@@ -36,14 +36,14 @@
 		down    []bool
 		cut     map[path]bool
 		flight  []packet
-		bytes   []int // sent and received by each, envelopes counted
+		bytes   []int // sent and received by each, including envelopes
 		count   bool
 		delay   func(way path) (delay tackclock.Duration, lost bool)
 		checked func()
 	}
 )
 
-// newCluster returns n peers spread over dcs data centres, in contact.
+// newCluster returns n connected peers spread over dcs data centres.
 func newCluster(n, dcs int) *cluster {
 	c := &cluster{now: 1_000_000, stride: step, cut: map[path]bool{}, bytes: make([]int, n), down: make([]bool, n)}
 	c.delay = func(path) (tackclock.Duration, bool) { return 2, false }
@@ -66,7 +66,7 @@
 	c.down[i] = false
 }
 
-// run steps the cluster through d.
+// run advances the cluster by d.
 func (c *cluster) run(d tackclock.Duration) {
 	for end := c.now.Add(d); c.now < end; {
 		c.step()
@@ -87,7 +87,7 @@
 	}
 }
 
-// deliver hands over what is due and reports whether there was any.
+// deliver delivers the messages that are due and reports whether there were any.
 func (c *cluster) deliver() bool {
 	due := c.flight
 	c.flight = nil
@@ -132,12 +132,12 @@
 	panic("no such peer")
 }
 
-// part cuts, or heals, the links between a and b both ways.
+// part cuts or restores the link between a and b in both directions.
 func (c *cluster) part(a, b int, cut bool) {
 	c.cut[path{a, b}], c.cut[path{b, a}] = cut, cut
 }
 
-// isolate cuts, or heals, all links of the peers given to all others.
+// isolate cuts or restores all links between the given peers and all others.
 func (c *cluster) isolate(cut bool, group ...int) {
 	in := map[int]bool{}
 	for _, g := range group {
@@ -152,7 +152,7 @@
 	}
 }
 
-// server returns the announcement of one backend server of a peer's region.
+// server returns the announcement of a backend server in the region of a peer.
 func (c *cluster) server(n, peer int, inc tackid.Incarnation, s State) Announcement {
 	return Announcement{BackendServer: &BackendServer{
 		ID: tackid.BackendServer(fmt.Sprintf("names-api-%04d", n)), VM: tackid.VM(fmt.Sprintf("w-%04d", n)),
@@ -162,7 +162,7 @@
 	}}
 }
 
-// announce announces to a peer, which ticks at once, and returns its answer.
+// announce sends an announcement to a peer, which ticks at once, and returns the reply.
 func (c *cluster) announce(peer int, a Announcement) Reply {
 	r, err := c.dirs[peer].Announce(c.now, a)
 	if err != nil {
@@ -172,8 +172,8 @@
 	return r
 }
 
-// states returns what each peer that is up shows of a backend server: its
-// state, "unknown", or "" for none.
+// states returns the state of a backend server that each running peer shows: its state,
+// "unknown", or "" if it is not listed.
 func (c *cluster) states(n int) []string {
 	id := c.server(n, 0, 1, StateServing).BackendServer.ID
 	var list []string
@@ -199,13 +199,13 @@
 	return ""
 }
 
-// assertEverywhere checks that every peer that is up shows a backend server
-// in the state given.
+// assertEverywhere checks that every running peer shows a backend server in the given
+// state.
 func assertEverywhere(t *testing.T, c *cluster, n int, want string) {
 	t.Helper()
 	for i, got := range c.states(n) {
 		if got != want {
-			t.Fatalf("at %d ms: peer %d of those up shows backend server %d as %q, want %q", c.now, i, n, got, want)
+			t.Fatalf("at %d ms: running peer %d shows backend server %d as %q, want %q", c.now, i, n, got, want)
 		}
 	}
 }
--- a/core/tackmember/failure_test.go
+++ b/core/tackmember/failure_test.go
@@ -7,10 +7,9 @@
 	"auburntack/core/tackfleet"
 )
 
-// Symptom: work goes to a backend server that has said it leaves.
-// Sequence: it announces leaving to one peer; its older announcement, held up
-// on another connection, arrives at a second peer afterwards.
-// Cause: the last to arrive was taken for the last that was said.
+// Guards against work sent to a backend server that has announced that it is leaving: an
+// older announcement of it is delayed and arrives at another peer later. The order of
+// arrival must not decide.
 func TestLeavingThenOlderServingArrivesLate(t *testing.T) {
 	c := newCluster(4, 2)
 	c.announce(0, c.server(1, 0, 3, StateServing))
@@ -20,7 +19,7 @@
 	c.run(tackclock.Second)
 	for _, late := range []int{2, 0} {
 		if c.announce(late, c.server(1, 0, 3, StateServing)).Accepted {
-			t.Fatalf("peer %d accepted an announcement that leaving had overtaken", late)
+			t.Fatalf("peer %d accepted a serving announcement after leaving", late)
 		}
 		if c.announce(late, c.server(1, 0, 2, StateServing)).Accepted {
 			t.Fatalf("peer %d accepted a lower incarnation", late)
@@ -30,15 +29,13 @@
 	assertEverywhere(t, c, 1, "leaving")
 }
 
-// Symptom: one peer goes on routing to a backend server that leaves.
-// Sequence: peer 0 accepts leaving; of the links that are left, one or two in a
-// row lead to each peer. They were cut long before or only now, and some carry
-// only one way, so that a peer hears of what it lacks from others that never
-// hear its asking for it.
-// Cause: changes went straight from their owner and by no other way; or were
-// passed on with the next beat only, up to a second later at each peer; or the
-// first that had them was asked again and again.
-func TestLeavingGetsRoundCuts(t *testing.T) {
+// Guards against a peer that continues to route to a backend server that is leaving. Peer 0
+// accepts the announcement; of the remaining links, one or two in a row lead to each peer.
+// They were cut long before or just now, and some work in one direction only, so that a
+// peer learns of records from peers that never receive its request. Changes must spread by
+// way of other peers, within less than a heartbeat interval per hop, and a peer that does
+// not answer must not be asked again and again.
+func TestLeavingSpreadsAroundCutLinks(t *testing.T) {
 	both := func(p ...path) []path {
 		for _, w := range p {
 			p = append(p, path{w.to, w.from})
@@ -76,11 +73,9 @@
 	}
 }
 
-// Symptom: a backend server that was withdrawn is shown again, or its next
-// life is not.
-// Sequence: withdraw is sent twice, to two peers; an announcement of the
-// ended incarnation follows; then the next incarnation announces itself.
-// Cause: the end was not remembered, or was held against later lives too.
+// Guards against a withdrawn incarnation that is shown again, and against a next
+// incarnation that is not shown: withdraw is sent twice, to two peers, followed by an
+// announcement of the ended incarnation and one of the next.
 func TestWithdrawTwice(t *testing.T) {
 	c := newCluster(3, 1)
 	a := c.server(1, 0, 1, StateServing)
@@ -92,7 +87,7 @@
 	c.run(tackclock.Second)
 	for _, d := range c.dirs {
 		if d.Withdraw(c.now, a.BackendServer.ID, 1) {
-			t.Fatal("a doubled withdraw ended something")
+			t.Fatal("a repeated withdraw ended something")
 		}
 	}
 	if c.announce(2, a).Accepted {
@@ -106,10 +101,9 @@
 	assertEverywhere(t, c, 1, "serving")
 }
 
-// Symptom: an address that no process listens on any more is routed to.
-// Sequence: a backend server restarts and announces a higher incarnation to
-// one peer, while its former life's last words reach another one.
-// Cause: incarnations were not compared.
+// Guards against routing to an address on which no process listens any more: a backend
+// server restarts and announces a higher incarnation to one peer, while the last
+// announcement of the previous one reaches another peer.
 func TestRestartWithLowerIncarnationArrivingLate(t *testing.T) {
 	c := newCluster(3, 1)
 	c.announce(0, c.server(1, 0, 7, StateServing))
@@ -122,12 +116,10 @@
 	}
 }
 
-// Symptom: when one peer dies, all backend servers that announced themselves
-// to it are taken as lost or unknown.
-// Sequence: the peer dies; the balancer sends their next announcements to
-// another one, of its own or of a far data centre, or did so already before.
-// Cause: the death of who hears was taken for the death of who speaks.
-func TestPeerDiesThatAllAnnouncementsCameTo(t *testing.T) {
+// Guards against backend servers taken as lost or unknown because the peer that received
+// their announcements died. The balancer sends the next announcements to another peer, in
+// the same or a distant data centre, or did so already before.
+func TestDeathOfPeerThatReceivedAllAnnouncements(t *testing.T) {
 	cases := []struct {
 		name    string
 		dcs     int
@@ -135,7 +127,7 @@
 		before  bool
 	}{
 		{"next announcement to one of the same data centre", 2, 40, false},
-		{"announced to one of a far data centre before", 4, 100, true},
+		{"announced to one of a distant data centre before", 4, 100, true},
 	}
 	for _, k := range cases {
 		t.Run(k.name, func(t *testing.T) {
@@ -170,8 +162,7 @@
 	}
 }
 
-// assertAll checks that every peer that is up shows n backend servers, all
-// serving.
+// assertAll checks that every running peer shows n backend servers, all of them serving.
 func assertAll(t *testing.T, c *cluster, n int) {
 	t.Helper()
 	for i, d := range c.dirs {
@@ -190,12 +181,11 @@
 	}
 }
 
-// Symptom: while two peers of one data centre have lost each other, backend
-// servers come and go in the tables, or the links fill up with changes.
-// Sequence: the link between them is cut for minutes, one way or both, and
-// the balancer sends announcements now to the one, now to the other, in turn
-// or for minutes on end.
-// Cause: each took the other's silence for that of the backend servers.
+// Guards against backend servers that come and go in the directory, and links saturated
+// with changes, while two peers of a data centre cannot reach each other. The link between
+// them is cut for minutes, in one or both directions, and the balancer alternates between
+// them with each announcement or every few minutes. Neither peer may take the silence of
+// the other for that of the backend servers.
 func TestTwoPeersLoseEachOtherForMinutes(t *testing.T) {
 	for _, cut := range [][]path{{{0, 1}}, {{1, 0}}, {{0, 1}, {1, 0}}} {
 		for _, turns := range []int{1, 100} {
@@ -218,7 +208,7 @@
 			before := changes(c)
 			c.run(5 * tackclock.Minute)
 			if grown := changes(c) - before; grown > 6 {
-				t.Fatalf("%d changes were published in 5 quiet minutes of a cut", grown)
+				t.Fatalf("%d changes were published in 5 minutes of a steady cut", grown)
 			}
 			clear(c.cut)
 			c.run(2 * tackclock.Minute)
@@ -235,11 +225,9 @@
 	return n
 }
 
-// Symptom: a cut-off peer makes the others believe that a far data centre is
-// lost, or gives it up itself.
-// Sequence: one data centre's only peer cannot be heard for 20 minutes, then
-// can.
-// Cause: loss was judged by those who cannot hear.
+// Guards against a data centre that is shown as lost, by itself or by others, while its
+// only peer is cut off for 20 minutes. Peers that cannot hear its senders must show them as
+// unknown.
 func TestCutOffDataCentreIsUnknownNotLost(t *testing.T) {
 	c := newCluster(5, 5)
 	next := make([]tackclock.Time, 5)
@@ -271,10 +259,9 @@
 	}
 }
 
-// Symptom: a backend server that died is routed to for ever.
-// Sequence: it falls silent; its holder gives it up.
-// Cause: nothing counted silence, or the end was not spread.
-func TestSilenceIsLoss(t *testing.T) {
+// Guards against routing to a dead backend server forever: its holder must detect its
+// silence and spread the end.
+func TestSilentServerIsLost(t *testing.T) {
 	c := newCluster(4, 2)
 	within := c.announce(0, c.server(1, 0, 1, StateServing)).NextWithin
 	c.run(within)
@@ -286,13 +273,10 @@
 	assertEverywhere(t, c, 1, "serving")
 }
 
-// Symptom: a peer that comes back from a long cut shows a backend server that
-// no other peer has, for ever.
-// Sequence: the peer is cut off; the backend server is withdrawn, and the
-// memory of that ends after an hour; the cut heals.
-// Cause: the end was spread as a record that no longer existed, and nothing
-// said that one had.
-func TestEndThatWasForgottenDuringACut(t *testing.T) {
+// Guards against a peer that returns from a long partition and forever shows a backend
+// server that no other peer has. The backend server was withdrawn during the partition and
+// its tombstone expired after an hour, before the partition healed.
+func TestTombstoneExpiresDuringPartition(t *testing.T) {
 	c := newCluster(3, 3)
 	c.announce(0, c.server(1, 0, 1, StateServing))
 	c.announce(0, c.server(2, 0, 1, StateServing))
@@ -308,13 +292,12 @@
 	assertEverywhere(t, c, 1, "")
 	assertEverywhere(t, c, 2, "serving")
 	if _, ok := c.dirs[2].entries[key{id: "names-api-0001"}]; ok {
-		t.Fatal("the record that was forgotten elsewhere is still there")
+		t.Fatal("the record that expired elsewhere is still there")
 	}
 }
 
-// Symptom: a restarted peer's announcements are not seen by the others.
-// Sequence: it restarts with a clock behind the one of its earlier life.
-// Cause: its changes bore numbers that the others took for known.
+// Guards against a restarted peer whose changes are ignored: its clock is behind that of
+// its previous run, so it uses versions that the others already have.
 func TestPeerRestartsWithItsClockBehind(t *testing.T) {
 	c := newCluster(3, 1)
 	c.announce(0, c.server(1, 0, 1, StateServing))
@@ -328,12 +311,10 @@
 	assertEverywhere(t, c, 2, "serving")
 }
 
-// Symptom: a withdrawn backend server is shown again, minutes later.
-// Sequence: it is withdrawn by way of a peer that then restarts, while another
-// peer that still holds it is cut off; the cut heals.
-// Cause: the memory of its end was dropped with the restarted peer's former
-// life.
-func TestEndOutlivesThePeerThatAcceptedIt(t *testing.T) {
+// Guards against a withdrawn backend server that is shown again minutes later. It is
+// withdrawn through a peer that then restarts, while another peer that still has it is cut
+// off. Its tombstone must outlive the earlier epoch of the restarted peer.
+func TestTombstoneOutlivesEpochOfPeer(t *testing.T) {
 	c := newCluster(4, 4)
 	live := true
 	c.checked = func() {
--- a/core/tackmember/fuzz_test.go
+++ b/core/tackmember/fuzz_test.go
@@ -6,9 +6,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Symptom: one peer's broken message ends another one's daemon.
-// Sequence: any bytes arrive in the place of a message.
-// Cause: a part, a version or a name was used as if it had to be right.
+// Guards against a malformed message that crashes another peer, because a part, a version
+// or a name is used without validation.
 func FuzzReceive(f *testing.F) {
 	sender := newCluster(2, 1)
 	sender.announce(0, sender.server(1, 0, 1, StateServing))
--- a/core/tackmember/health.go
+++ b/core/tackmember/health.go
@@ -7,35 +7,35 @@
 )
 
 const (
-	// flapWindow is how long a loss counts against a VM.
+	// flapWindow is how long a loss counts towards flapping.
 	flapWindow = 10 * tackclock.Minute
-	// riseFirst is how long a VM that was lost twice within flapWindow must
-	// serve before it is said to; each further loss doubles it.
-	riseFirst = 10 * tackclock.Second
-	// riseLimit bounds that time.
-	riseLimit = 5 * tackclock.Minute
-	// warmUp is how long a directory gathers before it says that it knows
-	// nothing of a VM.
-	warmUp = 3 * maxWithin
+	// initialUptime is how long a VM that was lost twice within flapWindow must serve
+	// before it is reported as serving; each further loss doubles it.
+	initialUptime = 10 * tackclock.Second
+	// maxUptime bounds that time.
+	maxUptime = 5 * tackclock.Minute
+	// warmUp is how long a directory collects announcements before it reports a VM as
+	// unknown.
+	warmUp = 3 * maxAnnounceInterval
 )
 
-// damper holds back the news that a VM serves again while it flaps. Bad news
-// is passed on at once. Without it a VM whose network comes and goes would
-// put two entries into the log each time, on every peer.
+// damper delays the report that a VM serves again while it flaps. Losses are reported at
+// once. Without it, a VM with an unstable network would add two log entries each time, on
+// every peer.
 type damper struct {
 	losses   int
 	lastLoss tackclock.Time
-	since    tackclock.Time // when it was seen to serve
+	since    tackclock.Time // when it started to serve
 	serving  bool
 
-	says    tackfleet.Observation // as of version
-	known   bool                  // whether anything is
-	version uint64
+	observation tackfleet.Observation // as of version
+	known       bool                  // whether the VM has any entry
+	version     uint64
 }
 
-// VM returns what the announcements say of a VM: it serves when its worker or
-// one of its backend servers announces itself, it is lost when none does any
-// more, and unknown when none is known or none can be heard of.
+// VM returns the state of a VM according to the announcements: it is serving if its worker
+// or one of its backend servers announces itself, lost if none does any more, and unknown
+// if it has no entries or none of them can be heard from.
 func (d *Directory) VM(id tackid.VM) tackfleet.Observation {
 	o := tackfleet.Observation{VM: id}
 	lost := false
@@ -56,8 +56,8 @@
 	return o
 }
 
-// anyUnknown reports whether something on the VM may yet announce itself to a
-// peer that cannot be heard.
+// anyUnknown reports whether something on the VM may still announce itself to a peer that
+// cannot be reached.
 func (d *Directory) anyUnknown(id tackid.VM) bool {
 	for _, e := range d.vms[id] {
 		if e.holder != nil {
@@ -67,7 +67,8 @@
 	return false
 }
 
-// describe takes over what r says of its VM; a worker's word goes first.
+// describe copies the description of the VM from r to o. The announcement of a worker takes
+// precedence.
 func describe(o *tackfleet.Observation, k key, r *Record) {
 	if k.worker != "" {
 		o.DataCentre, o.Rack = r.DataCentre, r.Rack
@@ -79,10 +80,9 @@
 	}
 }
 
-// Observations returns what the announcements say of those of the known VMs
-// of which the fleet's state says otherwise, in the order of known, for the
-// leader to propose. A VM that flaps is said to serve only once it has served
-// for a while.
+// Observations returns, in the order of known, the observations of those VMs whose state in
+// the fleet differs, for the leader to propose. A flapping VM is reported as serving only
+// once it has served for a while.
 func (d *Directory) Observations(now tackclock.Time, known []tackfleet.VM) []tackfleet.Observation {
 	d.start(now)
 	if d.health == nil {
@@ -94,31 +94,32 @@
 		id := known[i].ID
 		h := d.health[id]
 		if h == nil || h.version != d.version {
-			h = d.look(id, h)
+			h = d.updateDamper(id, h)
 		}
 		seen[id] = h
-		if h.observe(now) && d.tell(now, &known[i], h) {
-			changes = append(changes, h.says)
+		if h.observe(now) && d.shouldReport(now, &known[i], h) {
+			changes = append(changes, h.observation)
 		}
 	}
 	d.health = seen
 	return changes
 }
 
-// look notes what the announcements say of a VM now.
-func (d *Directory) look(id tackid.VM, h *damper) *damper {
+// updateDamper updates h with the current announcements of a VM.
+func (d *Directory) updateDamper(id tackid.VM, h *damper) *damper {
 	if h == nil {
 		h = new(damper)
 	}
-	h.says = d.VM(id)
+	h.observation = d.VM(id)
 	h.known = len(d.vms[id]) > 0
 	h.version = d.version
 	return h
 }
 
-// observe notes the health of a VM and reports whether it may be passed on.
+// observe updates the flap state from the health of the VM and reports whether the health
+// may be reported.
 func (h *damper) observe(now tackclock.Time) bool {
-	serving := h.says.Health == tackfleet.HealthServing
+	serving := h.observation.Health == tackfleet.HealthServing
 	if h.losses > 0 && now.Sub(h.lastLoss) > flapWindow {
 		h.losses = 0
 	}
@@ -130,20 +131,20 @@
 		h.since = now
 	}
 	h.serving = serving
-	return !serving || now.Sub(h.since) >= h.rise()
+	return !serving || now.Sub(h.since) >= h.requiredUptime()
 }
 
-// rise returns how long the VM must have served before it is said to.
-func (h *damper) rise() tackclock.Duration {
+// requiredUptime returns how long the VM must have served before it is reported as serving.
+func (h *damper) requiredUptime() tackclock.Duration {
 	if h.losses < 2 {
 		return 0
 	}
-	return min(riseFirst<<min(h.losses-2, 10), riseLimit)
+	return min(initialUptime<<min(h.losses-2, 10), maxUptime)
 }
 
-// tell reports whether what h says is news about v.
-func (d *Directory) tell(now tackclock.Time, v *tackfleet.VM, h *damper) bool {
-	o := &h.says
+// shouldReport reports whether the observation in h differs from the state v of the fleet.
+func (d *Directory) shouldReport(now tackclock.Time, v *tackfleet.VM, h *damper) bool {
+	o := &h.observation
 	if !h.known {
 		return v.Health == tackfleet.HealthServing && now.Sub(d.since) >= warmUp
 	}
--- a/core/tackmember/health_test.go
+++ b/core/tackmember/health_test.go
@@ -16,10 +16,10 @@
 	}}
 }
 
-// Symptom: a budget counts a VM as up that is gone, or as down that serves.
-// Sequence: its worker and its backend server fall silent one after the other.
-// Cause: the health of a VM was that of whoever announced last.
-func TestVMServesWhileOneOfItsOwnDoes(t *testing.T) {
+// Guards against a budget that counts a VM as up that is gone, or as down that serves: its
+// worker and its backend server fall silent one after the other, and the last to announce
+// must not decide the VM's health.
+func TestVMServesWhileWorkerOrServerDoes(t *testing.T) {
 	c := newCluster(2, 1)
 	a := c.server(1, 0, 1, StateServing)
 	keep := []Announcement{a, worker("w-0001", c.dcs[0])}
@@ -54,9 +54,8 @@
 	}
 }
 
-// Symptom: the log fills up with one VM's coming and going.
-// Sequence: a VM's network fails for 10 s in every 20 s, for an hour.
-// Cause: each change of its health was proposed as it came.
+// Guards against a log that fills up with changes of one VM's health: its network fails for
+// 10 s in every 20 s, for an hour.
 func TestFlappingVMIsDamped(t *testing.T) {
 	c := newCluster(1, 1)
 	known := []tackfleet.VM{{ID: "w-0001"}}
@@ -84,16 +83,15 @@
 		t.Fatalf("%d proposed of %d changes, want at most 10 of at least 300", proposed, changes)
 	}
 	c.checked = func() { c.announce(0, worker("w-0001", c.dcs[0])) }
-	c.run(flapWindow + riseLimit)
+	c.run(flapWindow + maxUptime)
 	if o := c.dirs[0].Observations(c.now, known); len(o) != 1 || o[0].Health != tackfleet.HealthServing {
-		t.Fatalf("once it serves for good, proposed %+v", o)
+		t.Fatalf("after it served for long, proposed %+v", o)
 	}
 }
 
-// Symptom: after a change of leader, every VM is proposed as unknown.
-// Sequence: the new leader has just restarted and its directory is empty.
-// Cause: not having heard yet was taken for silence.
-func TestFreshDirectorySaysNothingOfWhatItHasNotHeard(t *testing.T) {
+// Guards against proposing every VM as unknown after a change of leader: the new leader has
+// just restarted, its directory is empty, and it must not take that for silence.
+func TestNewDirectoryWaitsBeforeReportingUnknown(t *testing.T) {
 	c := newCluster(1, 1)
 	known := []tackfleet.VM{{ID: "w-0001", Health: tackfleet.HealthServing}, {ID: "w-0002", Health: tackfleet.HealthLost}}
 	if o := c.dirs[0].Observations(c.now, known); len(o) != 0 {
--- a/core/tackmember/message.go
+++ b/core/tackmember/message.go
@@ -9,29 +9,28 @@
 )
 
 type (
-	// Epoch tells the lives of one peer apart; a later life has a higher one.
+	// Epoch identifies one run of a peer's process; later runs have higher epochs.
 	Epoch uint64
 
-	// SpaceID stands for a peer and its epoch in four bytes. Two of the few
-	// dozen that exist at a time are equal by chance less than once in a
-	// million fleets.
+	// SpaceID is a hash of a peer and its epoch. With a few dozen spaces in existence at a
+	// time, a collision occurs in less than one in a million fleets.
 	SpaceID uint32
 
-	// Message is what peers send each other about the directory.
+	// Message is a directory message between peers.
 	Message struct {
-		// Echo is the newest beat of the receiver that came to the sender
-		// straight, so that the receiver knows that the link carries both ways.
-		Echo  uint64 `cbor:"1,keyasint,omitempty"`
-		Seen  []Seen `cbor:"2,keyasint,omitempty"`
-		Wants []Want `cbor:"3,keyasint,omitempty"`
-		Parts []Part `cbor:"4,keyasint,omitempty"`
-		Heard *Heard `cbor:"5,keyasint,omitempty"`
-		// All says that Seen has every space that the sender knows.
+		// Echo is the newest heartbeat that the sender received directly from the receiver.
+		// It shows the receiver that the link works in both directions.
+		Echo    uint64   `cbor:"1,keyasint,omitempty"`
+		Seen    []Seen   `cbor:"2,keyasint,omitempty"`
+		Wants   []Want   `cbor:"3,keyasint,omitempty"`
+		Parts   []Part   `cbor:"4,keyasint,omitempty"`
+		Refresh *Refresh `cbor:"5,keyasint,omitempty"`
+		// All reports that Seen contains every space that the sender knows.
 		All bool `cbor:"6,keyasint,omitempty"`
 	}
 
-	// Seen says how much of one space the sender has, and the newest beat of
-	// its owner that it knows of.
+	// Seen is the version that the sender has of one space, and the newest heartbeat of the
+	// space's owner that it knows of.
 	Seen struct {
 		_       struct{} `cbor:",toarray"`
 		Space   SpaceID
@@ -39,18 +38,17 @@
 		Version uint64
 	}
 
-	// Want asks for what a space holds beyond version From. Floor is the
-	// asker's own floor.
+	// Want requests the records of a space with versions above From. Floor is the floor of
+	// the requester's copy.
 	Want struct {
 		Space SpaceID `cbor:"1,keyasint"`
 		From  uint64  `cbor:"2,keyasint,omitempty"`
 		Floor uint64  `cbor:"3,keyasint,omitempty"`
 	}
 
-	// Part is all that a space holds of the versions above From up to and
-	// including To. Last is the sender's version of the space. Reset says
-	// that the receiver may hold records that have ended unnoticed: what is
-	// not sent again up to Last has ended.
+	// Part contains all records of a space with versions above From up to and including To.
+	// Last is the sender's version of the space. Reset means that the receiver may hold
+	// records whose end it missed: records that are not sent again up to Last have ended.
 	Part struct {
 		Space      SpaceID           `cbor:"1,keyasint"`
 		Peer       tackid.Peer       `cbor:"2,keyasint"`
@@ -62,30 +60,30 @@
 		Floor      uint64            `cbor:"8,keyasint,omitempty"`
 		Reset      bool              `cbor:"9,keyasint,omitempty"`
 		Records    []Record          `cbor:"10,keyasint,omitempty"`
-		// Packed takes the place of Records when there are many: their CBOR
-		// form, compressed by deflate.
+		// Packed replaces Records if there are many: it is their CBOR encoding, compressed
+		// by deflate.
 		Packed []byte `cbor:"11,keyasint,omitempty"`
 	}
 
-	// Heard tells the owner of a space that the senders of the records with
-	// these versions have announced themselves again to another peer, which
-	// told them to come back within Within.
-	Heard struct {
+	// Refresh notifies the owner of a space that the senders of the records with these
+	// versions have announced themselves to another peer, which told them to do so again
+	// within Within.
+	Refresh struct {
 		Space    SpaceID            `cbor:"1,keyasint"`
 		Within   tackclock.Duration `cbor:"2,keyasint"`
 		Versions []uint64           `cbor:"3,keyasint"`
 	}
 
-	// Record is what one peer says of one backend server or worker. It is
-	// held, as one whose announcements come to that peer, when DataCentre is
-	// set; otherwise it only keeps what has ended from coming back.
+	// Record is a peer's record of a backend server or worker. If DataCentre is set, the
+	// record is held: its sender announces itself to that peer. Otherwise it is a
+	// tombstone, which keeps an ended incarnation from reappearing.
 	Record struct {
 		Version      uint64               `cbor:"1,keyasint"`
 		ID           tackid.BackendServer `cbor:"2,keyasint,omitempty"`
 		Worker       tackid.VM            `cbor:"3,keyasint,omitempty"`
 		Incarnation  tackid.Incarnation   `cbor:"4,keyasint,omitempty"`
 		Stage        Stage                `cbor:"5,keyasint,omitempty"`
-		Turn         uint64               `cbor:"6,keyasint,omitempty"`
+		HolderSeq    uint64               `cbor:"6,keyasint,omitempty"`
 		DataCentre   tackid.DataCentre    `cbor:"7,keyasint,omitempty"`
 		Rack         tackid.Rack          `cbor:"8,keyasint,omitempty"`
 		VM           tackid.VM            `cbor:"9,keyasint,omitempty"`
@@ -98,10 +96,10 @@
 		Accelerators int                  `cbor:"16,keyasint,omitempty"`
 	}
 
-	// Stage is how far an incarnation has come. It only rises.
+	// Stage is the stage of an incarnation. It never decreases.
 	Stage uint8
 
-	// Outgoing is a message and the peer that it is for.
+	// Outgoing is a message and its receiver.
 	Outgoing struct {
 		To      tackid.Peer
 		Message Message
@@ -109,15 +107,15 @@
 )
 
 const (
-	// StageServing is the stage of one that takes work.
+	// StageServing is the stage of an incarnation that accepts work.
 	StageServing Stage = iota
-	// StageLeaving is the stage of one that takes no new work.
+	// StageLeaving is the stage of an incarnation that accepts no new work.
 	StageLeaving
 	// StageWithdrawn is the stage of an incarnation that has ended.
 	StageWithdrawn
 )
 
-// newSpaceID returns the id of the space of a peer's life.
+// newSpaceID returns the ID of the space of a peer in an epoch.
 func newSpaceID(p tackid.Peer, e Epoch) SpaceID {
 	h := fnv.New32a()
 	h.Write([]byte(p))
@@ -128,5 +126,5 @@
 
 // empty reports whether there is nothing to send.
 func (m *Message) empty() bool {
-	return len(m.Seen) == 0 && len(m.Wants) == 0 && len(m.Parts) == 0 && m.Heard == nil
+	return len(m.Seen) == 0 && len(m.Wants) == 0 && len(m.Parts) == 0 && m.Refresh == nil
 }
--- a/core/tackmember/pack.go
+++ b/core/tackmember/pack.go
@@ -10,17 +10,16 @@
 )
 
 const (
-	// packFrom is the number of records from which a part is compressed. The
-	// names in a fleet repeat, so many records shrink to about a quarter.
-	packFrom = 6
+	// minPackedRecords is the number of records from which a part is compressed. Names
+	// repeat within a fleet, so many records shrink to about a quarter.
+	minPackedRecords = 6
 
-	// maxUnpacked bounds what a compressed part may expand to, which keeps a
-	// broken one from filling the memory.
+	// maxUnpacked bounds the decompressed size of a part, so that a malformed one cannot
+	// exhaust memory.
 	maxUnpacked = 1 << 20
 )
 
-// PartError reports a part that cannot be read. It is passed over, and asked
-// for again.
+// PartError reports a part that cannot be decoded. It is ignored and requested again.
 type PartError struct {
 	Space SpaceID
 	Err   error
@@ -31,14 +30,14 @@
 	return fmt.Sprintf("tackmember: part of space %08x: %v", uint32(e.Space), e.Err)
 }
 
-// Unwrap returns what made the part unreadable.
+// Unwrap returns the underlying error.
 func (e *PartError) Unwrap() error {
 	return e.Err
 }
 
-// pack compresses the records where that pays.
+// pack compresses the records if there are enough of them.
 func (p *Part) pack() {
-	if len(p.Records) < packFrom {
+	if len(p.Records) < minPackedRecords {
 		return
 	}
 	var buf bytes.Buffer
@@ -52,7 +51,7 @@
 	p.Packed, p.Records = buf.Bytes(), nil
 }
 
-// unpack undoes pack. The error is a *PartError.
+// unpack reverses pack. The error is a *PartError.
 func (p *Part) unpack() error {
 	if p.Packed == nil {
 		return nil
--- a/core/tackmember/record.go
+++ b/core/tackmember/record.go
@@ -6,8 +6,8 @@
 	"auburntack/core/tackid"
 )
 
-// key names what a record is about. Backend servers and workers may share
-// names.
+// key identifies the subject of a record. Backend servers and workers may have the same
+// name.
 type key struct {
 	id     tackid.BackendServer
 	worker tackid.VM
@@ -48,28 +48,28 @@
 	return key{id: r.ID, worker: r.Worker}
 }
 
-// held reports whether the announcements of the record's sender come to the
-// peer whose record it is.
+// held reports whether the sender announces itself to the peer that owns the record.
 func (r *Record) held() bool {
 	return r.DataCentre != ""
 }
 
-// compare orders records by what they say of the sender's life: a later
-// incarnation wins, then the later stage of it.
+// compare orders records by the state of the sender: by incarnation, then by stage.
 func (r *Record) compare(o *Record) int {
 	return cmp.Or(cmp.Compare(r.Incarnation, o.Incarnation), cmp.Compare(r.Stage, o.Stage))
 }
 
-// same reports whether two records say the same, whoever says it and when.
+// same reports whether two records have the same contents, regardless of who published them
+// and when.
 func (r Record) same(o Record) bool {
 	r.Version, o.Version = 0, 0
-	r.Turn, o.Turn = 0, 0
+	r.HolderSeq, o.HolderSeq = 0, 0
 	return r == o
 }
 
-// ended returns the record without all that only a held one needs.
+// ended returns a tombstone of the record: without the fields that only a held record
+// needs.
 func (r *Record) ended(stage Stage) Record {
-	return Record{ID: r.ID, Worker: r.Worker, Incarnation: r.Incarnation, Stage: stage, Turn: r.Turn}
+	return Record{ID: r.ID, Worker: r.Worker, Incarnation: r.Incarnation, Stage: stage, HolderSeq: r.HolderSeq}
 }
 
 func (r *Record) backendServer() BackendServer {
--- a/core/tackmember/schedule_test.go
+++ b/core/tackmember/schedule_test.go
@@ -15,33 +15,33 @@
 const scheduleServers = 6
 
 type (
-	// life is what one backend server really is, whoever knows.
-	life struct {
-		inc   tackid.Incarnation
-		stage Stage
-		alive bool
-		next  tackclock.Time
-		turn  int
+	// serverState is the true state of a backend server.
+	serverState struct {
+		inc       tackid.Incarnation
+		stage     Stage
+		alive     bool
+		next      tackclock.Time
+		announced int
 	}
 
-	// schedule drives a cluster through a random course of events and checks
-	// after each step that no peer takes back what it has shown.
+	// schedule runs a cluster through random events and checks after each step that no peer
+	// goes back to an earlier state.
 	schedule struct {
-		t      *rapid.T
-		c      *cluster
-		lives  [scheduleServers]life
-		shown  []map[key]Record
-		fault  bool
-		chance uint64
+		t        *rapid.T
+		c        *cluster
+		servers  [scheduleServers]serverState
+		shown    []map[key]Record
+		fault    bool
+		rngState uint64
 	}
 )
 
 func newSchedule(t *rapid.T) *schedule {
 	n := rapid.IntRange(3, 5).Draw(t, "peers")
 	s := &schedule{t: t, c: newCluster(n, rapid.IntRange(1, 3).Draw(t, "data centres"))}
-	s.chance = rapid.Uint64().Draw(t, "seed")
-	for i := range s.lives {
-		s.lives[i] = life{inc: 1, alive: true}
+	s.rngState = rapid.Uint64().Draw(t, "seed")
+	for i := range s.servers {
+		s.servers[i] = serverState{inc: 1, alive: true}
 	}
 	s.shown = make([]map[key]Record, n)
 	for i := range s.shown {
@@ -52,13 +52,13 @@
 	return s
 }
 
-// random is a small generator of its own, so that a case shrinks well.
+// random is a generator that does not depend on rapid, so that failures shrink well.
 func (s *schedule) random(n uint64) uint64 {
-	s.chance = s.chance*6364136223846793005 + 1442695040888963407
-	return (s.chance >> 33) % n
+	s.rngState = s.rngState*6364136223846793005 + 1442695040888963407
+	return (s.rngState >> 33) % n
 }
 
-// delay holds a message back by up to 3 s, which also reorders, or loses it.
+// delay delays a message by up to 3 s, which also reorders messages, or loses it.
 func (s *schedule) delay(path) (tackclock.Duration, bool) {
 	if !s.fault {
 		return 2, false
@@ -66,11 +66,10 @@
 	return tackclock.Duration(s.random(3000) / (1 + s.random(30))), s.random(5) == 0
 }
 
-// everyStep lets live backend servers announce themselves when it is due, and
-// checks what the peers show.
+// everyStep sends the announcements that are due and checks the entries of all peers.
 func (s *schedule) everyStep() {
-	for i := range s.lives {
-		l := &s.lives[i]
+	for i := range s.servers {
+		l := &s.servers[i]
 		if l.alive && s.c.now >= l.next {
 			s.announce(i)
 		}
@@ -83,9 +82,9 @@
 }
 
 func (s *schedule) announce(i int) {
-	l := &s.lives[i]
-	l.turn++
-	p := (i + l.turn/3) % len(s.c.dirs)
+	l := &s.servers[i]
+	l.announced++
+	p := (i + l.announced/3) % len(s.c.dirs)
 	for s.c.down[p] {
 		p = (p + 1) % len(s.c.dirs)
 	}
@@ -95,18 +94,18 @@
 func (s *schedule) assertNotTakenBack(p int, d *Directory) {
 	for k, e := range d.entries {
 		was := s.shown[p][k]
-		if e.top.compare(&was) < 0 {
-			s.t.Fatalf("peer %d went back from %+v to %+v", p, was, e.top)
+		if e.latest.compare(&was) < 0 {
+			s.t.Fatalf("peer %d went back from %+v to %+v", p, was, e.latest)
 		}
-		s.shown[p][k] = e.top
+		s.shown[p][k] = e.latest
 	}
 }
 
-// leave announces leaving to one peer once delayed messages have come, with
-// the cuts of the moment and no further loss, and checks every peer that can be reached over at most one
-// other within 2 s.
+// leave announces leaving to one peer after delayed messages have arrived, with the current
+// cuts and without further loss. Every peer that can be reached through at most one other
+// must know it within 2 s.
 func (s *schedule) leave(i int) {
-	l := &s.lives[i]
+	l := &s.servers[i]
 	l.alive = false
 	p := s.upPeer()
 	fault := s.fault
@@ -137,7 +136,7 @@
 	return false
 }
 
-// open reports whether messages pass between p and q both ways.
+// open reports whether messages pass between p and q in both directions.
 func (s *schedule) open(p, q int) bool {
 	return !s.c.down[p] && !s.c.down[q] && !s.c.cut[path{p, q}] && !s.c.cut[path{q, p}]
 }
@@ -179,31 +178,31 @@
 			}
 		},
 		"leave": func(t *rapid.T) { s.leave(server()) },
-		"die":   func(t *rapid.T) { s.lives[server()].alive = false },
+		"die":   func(t *rapid.T) { s.servers[server()].alive = false },
 		"withdraw": func(t *rapid.T) {
 			i := server()
-			s.lives[i].alive, s.lives[i].stage = false, StageWithdrawn
+			s.servers[i].alive, s.servers[i].stage = false, StageWithdrawn
 			id := s.c.server(i, 0, 1, StateServing).BackendServer.ID
 			for range rapid.IntRange(1, 2).Draw(t, "times") {
-				s.c.dirs[s.upPeer()].Withdraw(s.c.now, id, s.lives[i].inc)
+				s.c.dirs[s.upPeer()].Withdraw(s.c.now, id, s.servers[i].inc)
 			}
 		},
 		"live again": func(t *rapid.T) {
-			l := &s.lives[server()]
-			*l = life{inc: l.inc + 1, alive: true, turn: l.turn}
+			l := &s.servers[server()]
+			*l = serverState{inc: l.inc + 1, alive: true, announced: l.announced}
 		},
 		"late announcement": func(t *rapid.T) {
 			i := server()
-			inc := rapid.Uint64Range(1, uint64(s.lives[i].inc)).Draw(t, "incarnation")
-			if inc < uint64(s.lives[i].inc) || s.lives[i].stage == StageServing {
+			inc := rapid.Uint64Range(1, uint64(s.servers[i].inc)).Draw(t, "incarnation")
+			if inc < uint64(s.servers[i].inc) || s.servers[i].stage == StageServing {
 				s.c.announce(s.upPeer(), s.c.server(i, i%len(s.c.dirs), tackid.Incarnation(inc), StateServing))
 			}
 		},
 	}
 }
 
-// settle heals everything, lets the time of silence pass and checks that all
-// peers show just what is so.
+// settle heals all faults, waits until silence is detected and checks that all peers show
+// the true state.
 func (s *schedule) settle() {
 	s.fault = false
 	clear(s.c.cut)
@@ -219,7 +218,7 @@
 		for _, b := range d.BackendServers() {
 			got[string(b.ID)] = fmt.Sprint(b.Incarnation, b.State, b.Health)
 		}
-		if want := s.truth(); !reflect.DeepEqual(got, want) {
+		if want := s.expected(); !reflect.DeepEqual(got, want) {
 			s.t.Fatalf("peer %d shows %v, want %v", p, got, want)
 		}
 		if len(d.spaces) != len(s.c.dirs) {
@@ -228,9 +227,9 @@
 	}
 }
 
-func (s *schedule) truth() map[string]string {
+func (s *schedule) expected() map[string]string {
 	want := map[string]string{}
-	for i, l := range s.lives {
+	for i, l := range s.servers {
 		if l.alive {
 			id := s.c.server(i, 0, 1, StateServing).BackendServer.ID
 			want[string(id)] = fmt.Sprint(l.inc, l.stage.state(), tackfleet.HealthServing)
@@ -239,11 +238,10 @@
 	return want
 }
 
-// Symptom: peers disagree for good, show what has ended, or send work to one
-// that leaves.
-// Sequence: any order of announcements, late ones, withdrawals, losses,
-// reorderings, cuts one way and both ways, restarts and deaths of peers.
-// Cause: some pair of these that the directed tests did not think of.
+// Guards against peers that disagree permanently, show ended incarnations, or route to
+// backend servers that are leaving, under random announcements (some delayed), withdrawals,
+// message loss and reordering, cuts in one or both directions, and restarts and deaths of
+// peers.
 func TestRandomSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSchedule(t)
--- a/core/tackmember/space.go
+++ b/core/tackmember/space.go
@@ -9,59 +9,59 @@
 )
 
 const (
-	// maxPart is how many records go into one part, which keeps a message
+	// maxPartRecords is the maximum number of records in one part, which keeps a message
 	// under about 8 KB.
-	maxPart = 64
+	maxPartRecords = 64
 
-	// stubAge is how long a record that is no longer held is kept, so that
-	// what arrives late cannot bring its incarnation back.
-	stubAge = tackclock.Hour
+	// tombstoneAge is how long a record that is no longer held is kept, so that a delayed
+	// message cannot bring its incarnation back.
+	tombstoneAge = tackclock.Hour
 )
 
 const (
-	// standingHeard is that of a space whose owner's beats arrive.
-	standingHeard standing = iota
-	// standingWaiting is that of a space whose owner fell silent so lately
-	// that its backend servers may not have found another peer yet.
-	standingWaiting
-	// standingUnknown is that of a space of which nobody can say whether what
-	// it holds still announces itself.
-	standingUnknown
-	// standingEnded is that of a space whose holdings are given up.
-	standingEnded
+	// statusLive means that the owner's heartbeats arrive.
+	statusLive spaceStatus = iota
+	// statusSuspect means that the owner fell silent so recently that its backend servers
+	// may not have found another peer yet.
+	statusSuspect
+	// statusUnknown means that no peer can tell whether the senders of the records still
+	// announce themselves.
+	statusUnknown
+	// statusExpired means that the records are given up.
+	statusExpired
 )
 
 type (
-	// space is what one life of one peer has said. Its owner numbers each
-	// change with the next version; every other peer has a copy, from which
-	// it passes on what a third one lacks.
+	// space is the set of records that one peer publishes in one epoch. Its owner gives
+	// each change the next version; every other peer has a copy, from which it can send
+	// others what they lack.
 	space struct {
 		id         SpaceID
 		peer       tackid.Peer
 		epoch      Epoch
 		dc         tackid.DataCentre
 		version    uint64
-		floor      uint64 // ended records up to this version may be missing
-		beat       uint64
-		heard      tackclock.Time // when beat rose
-		changed    tackclock.Time // when a copy last took something in
-		superseded tackclock.Time // when a later life, or the removal, showed; 0 before
-		standing   standing
+		floor      uint64 // tombstones up to this version may be missing
+		heartbeat  uint64
+		heard      tackclock.Time // when heartbeat last increased
+		changed    tackclock.Time // when the copy last changed
+		superseded tackclock.Time // when a later epoch, or the removal of the peer, was noticed; 0 before
+		status     spaceStatus
 		resetting  bool
 		records    map[key]*stored
 	}
 
-	// stored is a record with what is known of it here only.
+	// stored is a record with local state.
 	stored struct {
 		Record
-		since  tackclock.Time     // when it came
-		heard  tackclock.Time     // owner: when its sender announced itself last
-		within tackclock.Duration // owner: what its sender was told then
+		since  tackclock.Time     // when it was stored
+		heard  tackclock.Time     // on the owner: when its sender last announced itself
+		within tackclock.Duration // on the owner: the announce interval that its sender was given
 		stale  bool               // not confirmed since a reset began
 	}
 
-	// standing is how far what a space holds can be relied on.
-	standing uint8
+	// spaceStatus is how far the records of a space can be relied on.
+	spaceStatus uint8
 )
 
 func newSpace(p tackid.Peer, e Epoch, dc tackid.DataCentre, now tackclock.Time) *space {
@@ -71,9 +71,9 @@
 	}
 }
 
-// part answers w, or returns false when the space has nothing beyond it. One
-// who asks from the start may not even know whose space it is, and gets an
-// answer also when the space is empty.
+// part returns the answer to w, or false if the space has no records beyond it. A requester
+// that starts from 0 may not even know whose space it is, so it gets an answer even if the
+// space is empty.
 func (s *space) part(w Want) (Part, bool) {
 	reset := w.From > 0 && w.From < s.floor && w.Floor < s.floor
 	from := w.From
@@ -86,9 +86,9 @@
 	p := s.header(from)
 	p.Reset = reset
 	p.Records = s.after(from)
-	if len(p.Records) > maxPart {
-		p.Records = p.Records[:maxPart]
-		p.To = p.Records[maxPart-1].Version
+	if len(p.Records) > maxPartRecords {
+		p.Records = p.Records[:maxPartRecords]
+		p.To = p.Records[maxPartRecords-1].Version
 	}
 	p.pack()
 	return p, true
@@ -99,7 +99,7 @@
 	return Want{Space: s.id, From: s.version, Floor: s.floor}
 }
 
-// header returns a part from a version up to the newest, without records.
+// header returns a part without records, from a version up to the newest.
 func (s *space) header(from uint64) Part {
 	return Part{
 		Space: s.id, Peer: s.peer, Epoch: s.epoch, DataCentre: s.dc,
@@ -107,7 +107,7 @@
 	}
 }
 
-// after returns the records with versions above from, in their order.
+// after returns the records with versions above from, in order of version.
 func (s *space) after(from uint64) []Record {
 	var list []Record
 	for _, r := range s.records {
@@ -119,9 +119,9 @@
 	return list
 }
 
-// take puts a part into the copy and returns what it touched. It returns
-// false, and does nothing, when something is missing before the part.
-func (s *space) take(now tackclock.Time, p Part) (touched []key, ok bool) {
+// merge adds a part to the copy and returns the keys that it changed. It returns false,
+// without changes, if versions before the part are missing.
+func (s *space) merge(now tackclock.Time, p Part) (touched []key, ok bool) {
 	if p.Reset && p.Floor > s.floor {
 		s.reset(p.Floor)
 	}
@@ -136,14 +136,14 @@
 	}
 	s.version = max(s.version, p.To)
 	if s.resetting && s.version >= p.Last {
-		touched = append(touched, s.sweep()...)
+		touched = append(touched, s.dropStale()...)
 	}
 	return touched, true
 }
 
-// reset makes the copy be taken anew. A peer that was cut off for longer than
-// ended records are kept would otherwise never learn that they ended: it
-// would show a backend server for ever that no other peer has.
+// reset makes the copy start again from version 0. A peer that was cut off for longer than
+// tombstones are kept would otherwise never learn that records have ended, and would show a
+// backend server forever that no other peer has.
 func (s *space) reset(floor uint64) {
 	for _, r := range s.records {
 		r.stale = true
@@ -153,8 +153,8 @@
 	s.resetting = true
 }
 
-// sweep drops what the reset did not confirm.
-func (s *space) sweep() []key {
+// dropStale removes the records that the reset did not confirm.
+func (s *space) dropStale() []key {
 	var gone []key
 	for k, r := range s.records {
 		if r.stale {
@@ -166,11 +166,11 @@
 	return gone
 }
 
-// purge drops records that ended long ago and returns them.
+// purge removes expired tombstones and returns their keys.
 func (s *space) purge(now tackclock.Time) []key {
 	var gone []key
 	for k, r := range s.records {
-		if !r.held() && now.Sub(r.since) >= stubAge {
+		if !r.held() && now.Sub(r.since) >= tombstoneAge {
 			s.floor = max(s.floor, r.Version)
 			delete(s.records, k)
 			gone = append(gone, k)
--- a/core/tackmember/spread.go
+++ b/core/tackmember/spread.go
@@ -9,55 +9,56 @@
 )
 
 const (
-	// beatEvery is how often a peer tells every other what it has.
-	beatEvery = tackclock.Second
+	// heartbeatInterval is the interval at which a peer sends its versions to every other.
+	heartbeatInterval = tackclock.Second
 
-	// fullEvery is how many beats apart all spaces are told; those between
-	// tell the own one and what changed lately.
-	fullEvery = 3
+	// fullHeartbeatEvery is the number of heartbeats from one with all spaces to the next;
+	// those in between contain the own space and those that changed recently.
+	fullHeartbeatEvery = 3
 
-	// beatSoon and beatGap bring the next beat forward when a change came
-	// from another peer, so that it gets round a cut link at once.
-	beatSoon = 200 * tackclock.Millisecond
-	beatGap  = 500 * tackclock.Millisecond
+	// earlyHeartbeat and minHeartbeatGap bring the next heartbeat forward when a change
+	// arrived from another peer, so that it bypasses a broken link at once.
+	earlyHeartbeat  = 200 * tackclock.Millisecond
+	minHeartbeatGap = 500 * tackclock.Millisecond
 
-	// pushGather is how long a record of one that serves may wait for others:
-	// when all announce anew, hundreds come within a second.
-	pushGather = 100 * tackclock.Millisecond
+	// pushDelay is how long a record with stage serving may be held back to be sent
+	// together with others: when all senders announce themselves again, hundreds arrive
+	// within a second.
+	pushDelay = 100 * tackclock.Millisecond
 
-	// pushLazily is how long a change may wait that only says who holds a
-	// record. After a peer's death there are hundreds of them, and many in
-	// one part take a fraction of the bytes.
-	pushLazily = 3 * tackclock.Second
+	// lazyPushDelay is how long a change may be held back that only affects who holds a
+	// record. After the death of a peer there are hundreds of these, and sending many in
+	// one part takes a fraction of the bytes.
+	lazyPushDelay = 3 * tackclock.Second
 
-	// wantAgain is how long an answer to a Want is awaited.
-	wantAgain = 600 * tackclock.Millisecond
+	// wantTimeout is how long to wait for the answer to a Want.
+	wantTimeout = 600 * tackclock.Millisecond
 
-	// wantNext is how long it is awaited when another peer has it as well.
-	wantNext = 200 * tackclock.Millisecond
+	// wantFallbackTimeout is how long to wait if another peer has the records as well.
+	wantFallbackTimeout = 200 * tackclock.Millisecond
 )
 
-// Tick does what is due and returns the messages to send. It wants to be
-// called every 50 to 200 ms.
+// Tick performs the work that is due and returns the messages to send. It should be called
+// every 50 to 200 ms.
 func (d *Directory) Tick(now tackclock.Time) []Outgoing {
 	d.start(now)
 	if now >= d.scanDue {
-		d.scanDue = now.Add(scanEvery)
+		d.scanDue = now.Add(scanInterval)
 		d.scan(now)
 	}
-	parts := d.pushes(now)
+	parts := d.nextPush(now)
 	var seen []Seen
 	all := false
-	if now >= d.beatDue {
-		seen, all = d.beat(now)
+	if now >= d.heartbeatDue {
+		seen, all = d.heartbeat(now)
 	}
-	wants := d.askNext(now)
+	wants := d.requestFromNext(now)
 	var out []Outgoing
 	for _, p := range d.order {
 		m := Message{Parts: parts, Seen: seen, All: all, Wants: wants[p]}
 		if seen != nil {
-			m.Echo = d.peers[p].beat
-			m.Heard = d.takeRefresh(p)
+			m.Echo = d.peers[p].heartbeat
+			m.Refresh = d.nextRefresh(p)
 		}
 		if !m.empty() {
 			out = append(out, Outgoing{To: p, Message: m})
@@ -66,10 +67,9 @@
 	return out
 }
 
-// pushes returns the next of the own changes that have not been sent, once one
-// of them is due.
-func (d *Directory) pushes(now tackclock.Time) []Part {
-	n := min(len(d.unsent), maxPart)
+// nextPush returns the next of the own unsent changes, once one of them is due.
+func (d *Directory) nextPush(now tackclock.Time) []Part {
+	n := min(len(d.unsent), maxPartRecords)
 	if n == 0 || now < d.pushDue {
 		return nil
 	}
@@ -85,37 +85,37 @@
 	return []Part{p}
 }
 
-// beat advances the own beat and returns how much this peer has of the spaces
-// that are due to be told, and whether these are all.
-func (d *Directory) beat(now tackclock.Time) (seen []Seen, all bool) {
-	d.own.beat++
+// heartbeat advances the own heartbeat and returns the versions of the spaces to include in
+// it, and whether these are all spaces.
+func (d *Directory) heartbeat(now tackclock.Time) (seen []Seen, all bool) {
+	d.own.heartbeat++
 	d.own.heard = now
-	d.lastBeat, d.beatDue = now, now.Add(beatEvery)
-	all = d.own.beat%fullEvery == 0
+	d.lastHeartbeat, d.heartbeatDue = now, now.Add(heartbeatInterval)
+	all = d.own.heartbeat%fullHeartbeatEvery == 0
 	return d.seen(now, all), all
 }
 
-// seen returns how much this peer has of its own space, of those that changed
-// lately, or of all.
+// seen returns the versions that this peer has of its own space and of those that changed
+// recently, or of all spaces.
 func (d *Directory) seen(now tackclock.Time, all bool) []Seen {
 	seen := make([]Seen, 0, len(d.spaces))
 	for _, s := range d.spaces {
-		lately := now.Sub(s.changed) <= fullEvery*beatEvery
-		if s != d.own && !lately && !all {
+		recent := now.Sub(s.changed) <= fullHeartbeatEvery*heartbeatInterval
+		if s != d.own && !recent && !all {
 			continue
 		}
 		v := s.version
 		if s == d.own {
 			v -= uint64(len(d.unsent))
 		}
-		seen = append(seen, Seen{Space: s.id, Beat: s.beat, Version: v})
+		seen = append(seen, Seen{Space: s.id, Beat: s.heartbeat, Version: v})
 	}
 	slices.SortFunc(seen, func(a, b Seen) int { return cmp.Compare(a.Space, b.Space) })
 	return seen
 }
 
-// takeRefresh returns what is to be told to p of its own records.
-func (d *Directory) takeRefresh(p tackid.Peer) *Heard {
+// nextRefresh removes and returns the queued refresh of the records of p.
+func (d *Directory) nextRefresh(p tackid.Peer) *Refresh {
 	for id, h := range d.refresh {
 		if s := d.spaces[id]; s == nil || s.peer == p {
 			delete(d.refresh, id)
@@ -127,26 +127,26 @@
 	return nil
 }
 
-// Receive takes in a message from another peer and returns the answers.
+// Receive handles a message from another peer and returns the replies.
 func (d *Directory) Receive(now tackclock.Time, from tackid.Peer, m Message) []Outgoing {
 	d.start(now)
 	l := d.peers[from]
 	if l == nil {
 		return nil
 	}
-	if m.Echo > l.echo && m.Echo <= d.own.beat {
-		l.echo, l.echoed = m.Echo, now
+	if m.Echo > l.echo && m.Echo <= d.own.heartbeat {
+		l.echo, l.echoedAt = m.Echo, now
 	}
 	var reply Message
 	for _, p := range m.Parts {
-		d.takePart(now, from, p, &reply)
+		d.receivePart(now, from, p, &reply)
 	}
 	for _, s := range m.Seen {
-		d.see(now, l, from, s, &reply)
+		d.compareSeen(now, l, from, s, &reply)
 	}
-	d.told = d.told || m.All
-	if m.Heard != nil {
-		d.takeHeard(now, *m.Heard)
+	d.receivedAll = d.receivedAll || m.All
+	if m.Refresh != nil {
+		d.receiveRefresh(now, *m.Refresh)
 	}
 	for _, w := range m.Wants {
 		d.answer(w, &reply)
@@ -157,7 +157,7 @@
 	return []Outgoing{{To: from, Message: reply}}
 }
 
-// answer adds to reply what w asks for.
+// answer adds the part that w requests to reply.
 func (d *Directory) answer(w Want, reply *Message) {
 	s := d.spaces[w.Space]
 	if s == nil {
@@ -168,12 +168,12 @@
 	}
 }
 
-// see compares what another peer has of a space with what is here. One that
-// has a space unknown here may be new itself, and is told all there is at once.
-func (d *Directory) see(now tackclock.Time, l *link, from tackid.Peer, seen Seen, reply *Message) {
+// compareSeen compares the version that another peer has of a space with the local one. A
+// peer that has a space unknown here may be new itself, so it is sent all versions at once.
+func (d *Directory) compareSeen(now tackclock.Time, l *link, from tackid.Peer, seen Seen, reply *Message) {
 	if seen.Space == d.own.id {
-		if seen.Version > d.own.version || seen.Beat > d.own.beat {
-			d.rebirth(now, d.own.epoch)
+		if seen.Version > d.own.version || seen.Beat > d.own.heartbeat {
+			d.startNewEpoch(now, d.own.epoch)
 		}
 		return
 	}
@@ -182,46 +182,46 @@
 	}
 	s := d.spaces[seen.Space]
 	if s == nil {
-		if d.want(now, from, Want{Space: seen.Space}, reply) {
+		if d.request(now, from, Want{Space: seen.Space}, reply) {
 			reply.Seen, reply.All = d.seen(now, true), true
 		}
 		return
 	}
 	if s.peer == from && s.superseded == 0 {
-		l.beat = seen.Beat
+		l.heartbeat = seen.Beat
 	}
-	if seen.Beat > s.beat {
-		s.beat, s.heard = seen.Beat, now
-		d.stand(now, s)
+	if seen.Beat > s.heartbeat {
+		s.heartbeat, s.heard = seen.Beat, now
+		d.updateStatus(now, s)
 	}
 	if seen.Version > s.version {
-		d.want(now, from, s.want(), reply)
+		d.request(now, from, s.want(), reply)
 	}
 }
 
-// want adds w to reply unless an answer to an earlier one is awaited, and
-// reports whether it did.
-func (d *Directory) want(now tackclock.Time, from tackid.Peer, w Want, reply *Message) bool {
-	a := d.wanted[w.Space]
+// request adds w to reply unless an earlier request for the space is pending, and reports
+// whether it did.
+func (d *Directory) request(now tackclock.Time, from tackid.Peer, w Want, reply *Message) bool {
+	a := d.pendingWants[w.Space]
 	switch {
-	case a == nil || now.Sub(a.at) >= wantAgain:
-		d.wanted[w.Space] = &asked{at: now, tried: []tackid.Peer{from}}
+	case a == nil || now.Sub(a.sentAt) >= wantTimeout:
+		d.pendingWants[w.Space] = &pendingWant{sentAt: now, tried: []tackid.Peer{from}}
 		reply.Wants = append(reply.Wants, w)
 		return true
-	case !slices.Contains(a.tried, from) && !slices.Contains(a.next, from):
-		a.next = append(a.next, from)
+	case !slices.Contains(a.tried, from) && !slices.Contains(a.candidates, from):
+		a.candidates = append(a.candidates, from)
 	}
 	return false
 }
 
-// askNext returns, by peer, the Wants that earlier peers left unanswered and
-// another one may answer. Over a link that carries only one way, a peer is
-// heard to have what is wanted but never gets the Want; without this, asking
-// it again and again would keep the others from being asked.
-func (d *Directory) askNext(now tackclock.Time) map[tackid.Peer][]Want {
+// requestFromNext returns, by peer, the Wants that earlier peers left unanswered and
+// another peer may answer. Over a link that works in one direction only, a peer is known to
+// have the records but never receives the Want; repeating it would keep the other peers
+// from being asked.
+func (d *Directory) requestFromNext(now tackclock.Time) map[tackid.Peer][]Want {
 	var wants map[tackid.Peer][]Want
-	for id, a := range d.wanted {
-		if len(a.next) == 0 || now.Sub(a.at) < wantNext {
+	for id, a := range d.pendingWants {
+		if len(a.candidates) == 0 || now.Sub(a.sentAt) < wantFallbackTimeout {
 			continue
 		}
 		w := Want{Space: id}
@@ -231,59 +231,59 @@
 		if wants == nil {
 			wants = make(map[tackid.Peer][]Want)
 		}
-		p := a.next[0]
+		p := a.candidates[0]
 		wants[p] = append(wants[p], w)
-		a.at, a.tried, a.next = now, append(a.tried, p), a.next[1:]
+		a.sentAt, a.tried, a.candidates = now, append(a.tried, p), a.candidates[1:]
 	}
 	return wants
 }
 
-// takePart takes a part of a space into the copy here. One of an own life that
-// seems later than this one makes this one the latest.
-func (d *Directory) takePart(now tackclock.Time, from tackid.Peer, p Part, reply *Message) {
+// receivePart merges a part into the local copy of its space. If the part is from a
+// seemingly later epoch of this peer, this peer starts a newer one.
+func (d *Directory) receivePart(now tackclock.Time, from tackid.Peer, p Part, reply *Message) {
 	if p.Peer == d.self && p.Epoch >= d.own.epoch {
 		if p.Space != d.own.id {
-			d.rebirth(now, p.Epoch)
+			d.startNewEpoch(now, p.Epoch)
 		}
 		return
 	}
-	s := d.copyOf(now, p)
+	s := d.copyFor(now, p)
 	switch {
 	case s == nil:
-		delete(d.wanted, p.Space)
+		delete(d.pendingWants, p.Space)
 	case p.unpack() != nil:
 		d.unreadable++
 	default:
-		d.takeInto(now, from, s, p, reply)
+		d.mergePart(now, from, s, p, reply)
 	}
 }
 
-// takeInto takes p into the copy s, and asks for what is still missing.
-func (d *Directory) takeInto(now tackclock.Time, from tackid.Peer, s *space, p Part, reply *Message) {
+// mergePart merges p into the copy s and requests what is still missing.
+func (d *Directory) mergePart(now tackclock.Time, from tackid.Peer, s *space, p Part, reply *Message) {
 	before := s.version
-	touched, ok := s.take(now, p)
+	touched, ok := s.merge(now, p)
 	advanced := s.version > before || len(touched) > 0
 	if ok && (advanced || s.version >= p.Last) {
-		delete(d.wanted, s.id)
+		delete(d.pendingWants, s.id)
 	}
 	if ok && !advanced {
 		return
 	}
 	for _, k := range touched {
-		d.settle(k)
+		d.recompute(k)
 	}
 	if !ok || s.version < p.Last {
-		d.want(now, from, s.want(), reply)
+		d.request(now, from, s.want(), reply)
 	}
 	if len(touched) > 0 {
 		s.changed = now
-		d.beatDue = min(d.beatDue, max(now.Add(beatSoon), d.lastBeat.Add(beatGap)))
+		d.heartbeatDue = min(d.heartbeatDue, max(now.Add(earlyHeartbeat), d.lastHeartbeat.Add(minHeartbeatGap)))
 	}
 }
 
-// copyOf returns the copy that p belongs to, a new one where there is none.
-// It returns nil for a space that was given up and for one of a stranger.
-func (d *Directory) copyOf(now tackclock.Time, p Part) *space {
+// copyFor returns the copy that p belongs to, creating it if necessary. It returns nil for
+// a retired space and for one of an unknown peer.
+func (d *Directory) copyFor(now tackclock.Time, p Part) *space {
 	if _, gone := d.retired[p.Space]; gone {
 		return nil
 	}
@@ -302,8 +302,8 @@
 	return s
 }
 
-// takeHeard notes that senders of own records announced themselves elsewhere.
-func (d *Directory) takeHeard(now tackclock.Time, h Heard) {
+// receiveRefresh records that senders of own records announced themselves to another peer.
+func (d *Directory) receiveRefresh(now tackclock.Time, h Refresh) {
 	if h.Space != d.own.id || len(h.Versions) == 0 {
 		return
 	}
@@ -311,18 +311,18 @@
 	for _, r := range d.own.records {
 		if _, ok := slices.BinarySearch(h.Versions, r.Version); ok && r.held() {
 			r.heard = now
-			r.within = min(max(r.within, h.Within), maxWithin)
+			r.within = min(max(r.within, h.Within), maxAnnounceInterval)
 		}
 	}
 }
 
-// rebirth starts the own space anew as a later life. A peer whose clock stood
-// behind its earlier life's would otherwise number its changes with versions
-// that the others already have, and none of them would be taken in.
-func (d *Directory) rebirth(now tackclock.Time, past Epoch) {
+// startNewEpoch restarts the own space with a later epoch. A peer whose clock was behind
+// that of its previous run would otherwise use versions that the others already have, and
+// they would ignore its changes.
+func (d *Directory) startNewEpoch(now tackclock.Time, past Epoch) {
 	old := d.own
 	d.own = newSpace(d.self, max(Epoch(now), past+1), d.dc, now)
-	d.own.beat = old.beat
+	d.own.heartbeat = old.heartbeat
 	delete(d.spaces, old.id)
 	d.spaces[d.own.id] = d.own
 	d.unsent = nil
@@ -333,5 +333,5 @@
 		s.heard, s.since = was.heard, was.since
 	}
 	d.supersede(now)
-	d.settleAll()
+	d.recomputeAll()
 }
--- a/core/tackmember/standing.go
+++ b/core/tackmember/standing.go
@@ -9,54 +9,53 @@
 )
 
 const (
-	// silenceLimit is how long a peer's beat may stand still before the peer
-	// counts as not heard.
+	// silenceLimit is how long a peer's heartbeat may stay unchanged before the peer is
+	// considered unreachable.
 	silenceLimit = 10 * tackclock.Second
 
-	// unknownAfter is how long a data centre of which no peer is heard may be
-	// silent before what it holds is unknown. It outlasts a peer's restart.
+	// unknownAfter is how long a data centre without any reachable peer may be silent
+	// before its records are unknown. It exceeds the time that a peer needs to restart.
 	unknownAfter = 15 * tackclock.Second
 
-	// orphanLimit is how long the holdings of a silent peer are kept while
-	// another peer of its data centre is heard: long enough for two peers
-	// that lose each other for minutes.
+	// orphanLimit is how long the records of a silent peer are kept while another peer of
+	// its data centre is reachable: long enough for two peers that cannot reach each other
+	// for minutes.
 	orphanLimit = 10 * tackclock.Minute
 
-	// forgetAfter is how long the holdings of a data centre that cannot be
-	// heard are kept. It is shorter than stubAge: a record that was ended
-	// elsewhere meanwhile is given up before the memory of its end is.
+	// forgetAfter is how long the records of an unreachable data centre are kept. It is
+	// shorter than tombstoneAge: a record that was ended elsewhere in the meantime is given
+	// up before its tombstone is.
 	forgetAfter = 30 * tackclock.Minute
 
-	// retireStagger is how much later than the one before each peer gives up
-	// a space.
+	// retireStagger is the delay between one peer giving up a space and the next.
 	retireStagger = 1500 * tackclock.Millisecond
 )
 
-// scan does what is due by time: owned records that fell silent end, old ones
-// are dropped, and spaces of peers that fell silent lose their standing.
+// scan performs the periodic work: it ends own records whose senders fell silent, removes
+// old ones, and updates the status of spaces.
 func (d *Directory) scan(now tackclock.Time) {
 	d.expire(now)
 	d.supersede(now)
-	d.takeOver(now)
+	d.republishOrphans(now)
 	for _, s := range d.sorted() {
-		d.stand(now, s)
+		d.updateStatus(now, s)
 	}
 	if now >= d.purgeDue {
-		d.purgeDue = now.Add(purgeEvery)
+		d.purgeDue = now.Add(purgeInterval)
 		d.purge(now)
 	}
 }
 
-// purge drops what ended long ago.
+// purge removes expired tombstones and old requests.
 func (d *Directory) purge(now tackclock.Time) {
 	for _, s := range d.sorted() {
 		for _, k := range s.purge(now) {
-			d.settle(k)
+			d.recompute(k)
 		}
 	}
-	for id, a := range d.wanted {
-		if now.Sub(a.at) > 10*wantAgain {
-			delete(d.wanted, id)
+	for id, a := range d.pendingWants {
+		if now.Sub(a.sentAt) > 10*wantTimeout {
+			delete(d.pendingWants, id)
 		}
 	}
 }
@@ -71,21 +70,21 @@
 	}
 	for _, k := range sortedKeys(silent) {
 		d.put(now, silent[k].ended(silent[k].Stage), 0, now)
-		d.settle(k)
+		d.recompute(k)
 	}
 }
 
-// takeOver publishes what announces itself here and whose holder can no longer
-// be told so. Without it, a backend server would be missed by every peer from
-// its holder's giving it up until it next announces itself.
-func (d *Directory) takeOver(now tackclock.Time) {
+// republishOrphans publishes records whose senders announce themselves to this peer and
+// whose holder can no longer be notified. Without it, a backend server would be missing on
+// every peer from when its holder gives it up until its next announcement.
+func (d *Directory) republishOrphans(now tackclock.Time) {
 	orphans := make(map[key]*stored)
-	for k, r := range d.nearby {
+	for k, r := range d.heldElsewhere {
 		e := d.entries[k]
 		switch {
-		case now.Sub(r.heard) > lifetime(r.within) || e == nil || r.compare(&e.top) < 0:
-			delete(d.nearby, k)
-		case d.holder(now, r.Record, e) == nil:
+		case now.Sub(r.heard) > lifetime(r.within) || e == nil || r.compare(&e.latest) < 0:
+			delete(d.heldElsewhere, k)
+		case d.reachableHolder(now, r.Record, e) == nil:
 			orphans[k] = r
 		}
 	}
@@ -95,15 +94,15 @@
 	}
 }
 
-// supersede marks the spaces of earlier lives and of peers that are gone, and
-// gives up those whose time is over.
+// supersede marks the spaces of earlier epochs and of removed peers, and retires those that
+// have been marked for long enough.
 func (d *Directory) supersede(now tackclock.Time) {
 	newest := make(map[tackid.Peer]*space)
-	lives := make(map[tackid.Peer]int)
+	epochs := make(map[tackid.Peer]int)
 	byAge := d.sorted()
 	slices.SortStableFunc(byAge, func(a, b *space) int { return cmp.Compare(a.epoch, b.epoch) })
 	for _, s := range byAge {
-		lives[s.peer]++
+		epochs[s.peer]++
 		if n := newest[s.peer]; n == nil || s.epoch > n.epoch {
 			newest[s.peer] = s
 		}
@@ -118,24 +117,24 @@
 		if s.superseded == 0 {
 			s.superseded = now
 		}
-		if now.Sub(s.superseded) >= d.grace()+d.stagger() || lives[s.peer] > maxSpaces {
-			lives[s.peer]--
+		if now.Sub(s.superseded) >= d.failoverGrace()+d.stagger() || epochs[s.peer] > maxSpaces {
+			epochs[s.peer]--
 			d.retire(now, s)
 		}
 	}
 }
 
-// stagger spreads out when the peers give up a space, so that the first one
-// saves for all what must be kept of it.
+// stagger returns this peer's delay in giving up a space. The delays differ, so that the
+// first peer preserves for all others what must be kept of it.
 func (d *Directory) stagger() tackclock.Duration {
 	i, _ := slices.BinarySearch(d.order, d.self)
 	return tackclock.Duration(i) * retireStagger
 }
 
-// retire gives up a space for good. What it says of ended incarnations is
-// taken over where nobody else says it: otherwise a peer's restart would bring
-// back what was withdrawn through its earlier life, from a copy that some
-// cut-off peer still holds.
+// retire gives up a space permanently. What it says about incarnations is kept as
+// tombstones in the own space unless other spaces say as much: otherwise a restart of a
+// peer would bring back what was withdrawn in its earlier epoch, from a copy on a peer that
+// is still cut off.
 func (d *Directory) retire(now tackclock.Time, s *space) {
 	delete(d.spaces, s.id)
 	for len(d.retired) >= maxRetired {
@@ -143,24 +142,23 @@
 	}
 	d.retired[s.id] = now
 	for _, k := range sortedKeys(s.records) {
-		d.settle(k)
-		d.inherit(now, k, s.records[k])
+		d.recompute(k)
+		d.keepTombstone(now, k, s.records[k])
 	}
 }
 
-// inherit keeps r as an ended record of the own space unless as much is known
-// without it.
-func (d *Directory) inherit(now tackclock.Time, k key, r *stored) {
-	if e := d.entries[k]; e != nil && r.compare(&e.top) <= 0 {
+// keepTombstone stores r as a tombstone in the own space, unless other records imply it.
+func (d *Directory) keepTombstone(now tackclock.Time, k key, r *stored) {
+	if e := d.entries[k]; e != nil && r.compare(&e.latest) <= 0 {
 		return
 	}
 	since := r.since
 	if r.held() {
 		since = now
 	}
-	d.put(now, r.ended(r.Stage), 0, now.Add(pushLazily))
+	d.put(now, r.ended(r.Stage), 0, now.Add(lazyPushDelay))
 	d.own.records[k].since = since
-	d.settle(k)
+	d.recompute(k)
 }
 
 func (d *Directory) dropOldestRetired() {
@@ -174,51 +172,50 @@
 	delete(d.retired, oldest)
 }
 
-// stand works out how far what s holds can be relied on.
-func (d *Directory) stand(now tackclock.Time, s *space) {
-	next := d.standingOf(now, s)
-	if next == s.standing {
+// updateStatus updates the status of s.
+func (d *Directory) updateStatus(now tackclock.Time, s *space) {
+	next := d.statusOf(now, s)
+	if next == s.status {
 		return
 	}
-	s.standing = next
+	s.status = next
 	for _, k := range sortedKeys(s.records) {
-		d.settle(k)
+		d.recompute(k)
 	}
 }
 
-func (d *Directory) standingOf(now tackclock.Time, s *space) standing {
+func (d *Directory) statusOf(now tackclock.Time, s *space) spaceStatus {
 	silent := now.Sub(s.heard)
 	switch {
 	case s == d.own:
-		return standingHeard
+		return statusLive
 	case s.superseded != 0:
-		return standingWaiting
+		return statusSuspect
 	case silent < silenceLimit:
-		return standingHeard
+		return statusLive
 	case d.dataCentreHeard(now, s):
-		return standingAfter(silent, d.grace(), orphanLimit)
+		return statusAfter(silent, d.failoverGrace(), orphanLimit)
 	}
-	return standingAfter(silent, unknownAfter, forgetAfter)
+	return statusAfter(silent, unknownAfter, forgetAfter)
 }
 
-func standingAfter(silent, wait, limit tackclock.Duration) standing {
+func statusAfter(silent, wait, limit tackclock.Duration) spaceStatus {
 	switch {
 	case silent < wait:
-		return standingWaiting
+		return statusSuspect
 	case silent < limit:
-		return standingUnknown
+		return statusUnknown
 	}
-	return standingEnded
+	return statusExpired
 }
 
-// grace is how long a backend server whose peer died may need to come to
-// another one.
-func (d *Directory) grace() tackclock.Duration {
-	return max(unknownAfter, silenceLimit+lifetime(d.nextWithin()))
+// failoverGrace is how long a backend server whose peer died may need to find another one.
+func (d *Directory) failoverGrace() tackclock.Duration {
+	return max(unknownAfter, silenceLimit+lifetime(d.announceInterval()))
 }
 
-// dataCentreHeard reports whether another peer of the data centre of s is
-// heard, so that the backend servers there can come to it.
+// dataCentreHeard reports whether another peer in the data centre of s is reachable, so
+// that the backend servers there can announce themselves to it.
 func (d *Directory) dataCentreHeard(now tackclock.Time, s *space) bool {
 	for _, o := range d.spaces {
 		if o == s || o.peer == s.peer || o.dc != s.dc || o.superseded != 0 {
--- a/core/tackmember/validate.go
+++ b/core/tackmember/validate.go
@@ -16,7 +16,7 @@
 	maxAccelerator = 1_024
 )
 
-// Validate returns a *FieldError for the first field that cannot be right.
+// Validate returns a *FieldError for the first invalid field.
 func (a Announcement) Validate() error {
 	switch {
 	case a.BackendServer != nil && a.Worker == nil:
@@ -53,8 +53,7 @@
 	)
 }
 
-// firstError returns the first of errs that is not nil, as an error that is
-// nil when none is.
+// firstError returns the first non-nil error of errs, or a nil error.
 func firstError(errs ...*FieldError) error {
 	for _, err := range errs {
 		if err != nil {
@@ -64,8 +63,8 @@
 	return nil
 }
 
-// checkName refuses names that would break a table, a log line or a header,
-// and names so long that a broken sender could fill the links with them.
+// checkName rejects names that would corrupt a table, a log line or a header, and names so
+// long that a faulty sender could saturate the links with them.
 func checkName(field, name string, required bool) *FieldError {
 	switch {
 	case name == "" && required:
--- a/core/tackmember/view.go
+++ b/core/tackmember/view.go
@@ -10,32 +10,32 @@
 )
 
 type (
-	// BackendServerRecord is what the directory knows of a backend server.
-	// Health is serving, or unknown while no peer that hears it can be heard.
-	// Holder is the peer that its announcements come to.
+	// BackendServerRecord is the directory's record of a backend server. Health is serving,
+	// or unknown while no peer that receives its announcements can be reached. Holder is
+	// the peer that receives them.
 	BackendServerRecord struct {
 		BackendServer
 		Health tackfleet.Health
 		Holder tackid.Peer
 	}
 
-	// WorkerRecord is what the directory knows of a worker.
+	// WorkerRecord is the directory's record of a worker.
 	WorkerRecord struct {
 		Worker
 		Health tackfleet.Health
 		Holder tackid.Peer
 	}
 
-	// entry is what all spaces together say of one backend server or worker.
+	// entry is the combined state of one backend server or worker over all spaces.
 	entry struct {
-		top    Record // the latest incarnation and stage
-		turn   uint64 // the highest
-		shown  Record // the last that was held
-		holder *space // of shown; nil when lost
-		health tackfleet.Health
+		latest    Record // the latest incarnation and stage
+		holderSeq uint64 // the highest
+		shown     Record // the last held one
+		holder    *space // of shown; nil if lost
+		health    tackfleet.Health
 	}
 
-	// listing keeps the sorted lists until something changes.
+	// listing caches the sorted lists until something changes.
 	listing struct {
 		valid   bool
 		servers []BackendServerRecord
@@ -43,22 +43,20 @@
 	}
 )
 
-// Version returns a number that rises whenever something that routing
-// depends on has changed.
+// Version returns a number that increases whenever a change affects routing.
 func (d *Directory) Version() uint64 {
 	return d.version
 }
 
-// BackendServers returns the backend servers that are neither lost nor
-// withdrawn, by id. The slice must not be changed and is replaced, not
-// altered, when something changes.
+// BackendServers returns the backend servers that are neither lost nor withdrawn, sorted by
+// ID. The slice must not be modified; a change of the directory replaces it.
 func (d *Directory) BackendServers() []BackendServerRecord {
 	d.list()
 	return d.cache.servers
 }
 
-// Workers returns the workers that are not lost, by id. The slice must not be
-// changed.
+// Workers returns the workers that are not lost, sorted by ID. The slice must not be
+// modified.
 func (d *Directory) Workers() []WorkerRecord {
 	d.list()
 	return d.cache.workers
@@ -84,9 +82,9 @@
 	}
 }
 
-// settle works out anew what is known under k. An own record that others have
-// overtaken is left to end by silence.
-func (d *Directory) settle(k key) {
+// recompute updates the entry under k from all spaces. An own record that is outdated is
+// left to expire.
+func (d *Directory) recompute(k key) {
 	e := d.entries[k]
 	next, found := d.merge(k)
 	if !found {
@@ -100,7 +98,7 @@
 	if next.holder == nil {
 		next.shown = e.shown
 	}
-	if !next.alike(e) {
+	if !next.sameRouting(e) {
 		d.version++
 		d.cache.valid = false
 	}
@@ -108,14 +106,14 @@
 	*e = next
 }
 
-// settleAll works out everything anew.
-func (d *Directory) settleAll() {
+// recomputeAll updates all entries.
+func (d *Directory) recomputeAll() {
 	for _, k := range sortedKeys(d.entries) {
-		d.settle(k)
+		d.recompute(k)
 	}
 }
 
-// merge returns what all spaces together say under k.
+// merge returns the combined entry under k, and false if no space has a record of it.
 func (d *Directory) merge(k key) (entry, bool) {
 	var e entry
 	found := false
@@ -124,28 +122,28 @@
 		if r == nil {
 			continue
 		}
-		if !found || r.compare(&e.top) > 0 {
-			e.top = r.ended(r.Stage)
+		if !found || r.compare(&e.latest) > 0 {
+			e.latest = r.ended(r.Stage)
 		}
-		e.turn = max(e.turn, r.Turn)
+		e.holderSeq = max(e.holderSeq, r.HolderSeq)
 		found = true
 	}
-	if found && e.top.Stage != StageWithdrawn {
+	if found && e.latest.Stage != StageWithdrawn {
 		d.mergeHeld(k, &e)
 	}
 	return e, found
 }
 
-// mergeHeld sets the holder and the health of e. A peer that holds an earlier
-// stage of the latest incarnation shows that its sender is alive.
+// mergeHeld sets the holder and the health of e. A peer that holds an earlier stage of the
+// latest incarnation shows that its sender is alive.
 func (d *Directory) mergeHeld(k key, e *entry) {
-	standing := standingEnded
+	status := statusExpired
 	for _, s := range d.spaces {
 		r := s.records[k]
-		if r == nil || !r.held() || r.Incarnation != e.top.Incarnation || s.standing == standingEnded {
+		if r == nil || !r.held() || r.Incarnation != e.latest.Incarnation || s.status == statusExpired {
 			continue
 		}
-		standing = min(standing, s.standing)
+		status = min(status, s.status)
 		if e.holder == nil || better(s, r, e) {
 			e.holder, e.shown = s, r.Record
 		}
@@ -153,34 +151,35 @@
 	if e.holder == nil {
 		return
 	}
-	e.shown.Stage = e.top.Stage
+	e.shown.Stage = e.latest.Stage
 	e.health = tackfleet.HealthServing
-	if standing == standingUnknown {
+	if status == statusUnknown {
 		e.health = tackfleet.HealthUnknown
 	}
 }
 
-// better reports whether the record r in s goes before the one that e shows:
-// the later stage, then the later turn, then any order that all peers share.
+// better reports whether the record r in s takes precedence over the one that e shows: the
+// later stage, then the higher holder sequence number, then an arbitrary order that all
+// peers agree on.
 func better(s *space, r *stored, e *entry) bool {
 	c := cmp.Or(
 		cmp.Compare(r.Stage, e.shown.Stage),
-		cmp.Compare(r.Turn, e.shown.Turn),
+		cmp.Compare(r.HolderSeq, e.shown.HolderSeq),
 		cmp.Compare(s.peer, e.holder.peer),
 		cmp.Compare(s.epoch, e.holder.epoch),
 	)
 	return c > 0
 }
 
-// alike reports whether routing sees no difference between e and o.
-func (e *entry) alike(o *entry) bool {
+// sameRouting reports whether e and o are equivalent for routing.
+func (e *entry) sameRouting(o *entry) bool {
 	if e.holder == nil || o.holder == nil {
 		return e.holder == nil && o.holder == nil
 	}
 	return e.health == o.health && e.holder.peer == o.holder.peer && e.shown.same(o.shown)
 }
 
-// drop forgets what was known under k.
+// drop removes the entry under k.
 func (d *Directory) drop(k key, e *entry) {
 	if e == nil {
 		return
@@ -193,7 +192,7 @@
 	}
 }
 
-// index keeps the entries of each VM.
+// index updates the index of entries by VM.
 func (d *Directory) index(k key, was, is *entry) {
 	if was.shown.VM != "" && was.shown.VM != is.shown.VM {
 		delete(d.vms[was.shown.VM], k)
@@ -210,14 +209,14 @@
 	d.vms[is.shown.VM][k] = d.entries[k]
 }
 
-// sorted returns the spaces by id, for a fixed order of what follows.
+// sorted returns the spaces by ID, for a deterministic order of processing.
 func (d *Directory) sorted() []*space {
 	list := slices.Collect(maps.Values(d.spaces))
 	slices.SortFunc(list, func(a, b *space) int { return cmp.Compare(a.id, b.id) })
 	return list
 }
 
-// sortedKeys returns the keys of m in their order.
+// sortedKeys returns the keys of m in sorted order.
 func sortedKeys[V any](m map[key]V) []key {
 	keys := slices.Collect(maps.Keys(m))
 	slices.SortFunc(keys, func(a, b key) int {
