--- a/core/tackwave/bench_test.go
+++ b/core/tackwave/bench_test.go
@@ -13,16 +13,16 @@
 )
 
 type (
-	// scenario is a fleet and the nights of waves over it.
+	// scenario is a fleet and a number of nights with waves over its pools.
 	scenario struct {
 		name   string
 		dcs    int
 		prefer Prefer
 		pools  []poolSize
-		nights int // over how many nights the pools are spread
-		only   int // how many of the nights are run, 0 for all
+		nights int // number of nights over which the pools are spread
+		only   int // number of nights to run, 0 for all
 		faults faults
-		losses bool // a rack and a data centre are lost under waves
+		losses bool // a rack and a data centre are lost during waves
 		step   tackclock.Duration
 	}
 
@@ -32,13 +32,13 @@
 		budget int // percent
 	}
 
-	// policy is a planner, or a baseline in its place.
+	// policy is the planner, or a baseline that replaces its steps.
 	policy struct {
 		name  string
 		group func(w *world, wave *tackfleet.Wave, waiting []tackid.VM) []tackid.VM
 	}
 
-	// outcome is what a scenario came to under a policy.
+	// outcome holds the measurements of a scenario under a policy.
 	outcome struct {
 		peak, drains, breaches, stopped int
 		length, bound, reserved, short  tackclock.Duration
@@ -52,21 +52,21 @@
 	mindanao = scenario{name: "Mindanao", dcs: 3, nights: 1, step: tackclock.Second, prefer: PreferTime, pools: []poolSize{
 		{"dawn-svc", 9, 75}, {"ramadan-svc", 9, 75}, {"jumuah-svc", 11, 75}, {"eid-svc", 12, 75}, {"member-svc", 8, 75},
 		{"workers", 50, 80}}}
-	letter = scenario{name: "letter 1", dcs: 10, nights: 18, prefer: PreferTime, pools: letterPools(2300), losses: true,
+	largeFleet = scenario{name: "large fleet", dcs: 10, nights: 18, prefer: PreferTime, pools: largeFleetPools(2300), losses: true,
 		// 16 failures and 530 restarts a day among 2,300 VMs, by steps of 2 s.
-		step: 2 * tackclock.Second, faults: faults{loss: 546.0 / 2300 / 43200, second: 0.02}}
-	scenarios = []scenario{brittany, mindanao, letter}
+		step: 2 * tackclock.Second, faults: faults{loss: 546.0 / 2300 / 43200, secondLoss: 0.02}}
+	scenarios = []scenario{brittany, mindanao, largeFleet}
 
 	policies = []policy{
 		{"planner", nil},
 		{"one VM at a time", func(_ *world, _ *tackfleet.Wave, waiting []tackid.VM) []tackid.VM { return waiting[:1] }},
 		{"one rack at a time", rackGroup},
-		{"a fixed 10 %", part(10)},
-		{"a fixed 25 %", part(4)},
+		{"a fixed 10 %", fixedShare(10)},
+		{"a fixed 25 %", fixedShare(4)},
 	}
 )
 
-func letterPools(workers int) []poolSize {
+func largeFleetPools(workers int) []poolSize {
 	pools := make([]poolSize, 36)
 	for i := range pools {
 		pools[i] = poolSize{fmt.Sprintf("pool-%02d", i), workers*(i+1)/36 - workers*i/36, 80}
@@ -74,7 +74,7 @@
 	return pools
 }
 
-func part(of int) func(*world, *tackfleet.Wave, []tackid.VM) []tackid.VM {
+func fixedShare(of int) func(*world, *tackfleet.Wave, []tackid.VM) []tackid.VM {
 	return func(_ *world, v *tackfleet.Wave, waiting []tackid.VM) []tackid.VM {
 		return waiting[:min(len(waiting), max(1, len(v.VMs)/of))]
 	}
@@ -87,14 +87,14 @@
 	})
 }
 
-// instead replaces the planner's steps by lock-step groups: the next group
-// goes when every VM of the last one is back.
-func (p policy) instead(w *world, d Decision) Decision {
+// replaceSteps replaces the planner's steps by groups of VMs: the next group is
+// taken when every VM of the last one is back.
+func (p policy) replaceSteps(w *world, d Decision) Decision {
 	d.Changes = slices.DeleteFunc(d.Changes, func(c tackfleet.Change) bool { return c.WaveStep != nil })
-	for _, v := range w.f.Waves() {
+	for _, v := range w.fleet.Waves() {
 		var waiting []tackid.VM
 		for _, m := range v.VMs {
-			vm, _ := w.f.VM(m.VM)
+			vm, _ := w.fleet.VM(m.VM)
 			if m.Phase == tackfleet.PhaseWaiting && vm.Health == tackfleet.HealthServing {
 				waiting = append(waiting, m.VM)
 			}
@@ -116,7 +116,7 @@
 		w.addPool(pool.name, pool.vms, s.dcs, percent(pool.budget), p.group == nil)
 	}
 	if p.group != nil {
-		w.baseline = p.instead
+		w.baseline = p.replaceSteps
 	}
 	var o outcome
 	w.faults = s.faults
@@ -134,7 +134,7 @@
 		w.now = w.now.Add(12 * tackclock.Hour)
 		w.observe()
 	}
-	for _, v := range w.f.Waves() {
+	for _, v := range w.fleet.Waves() {
 		if v.Status != tackfleet.WaveFinished {
 			o.stopped++
 		}
@@ -143,8 +143,8 @@
 	return o
 }
 
-// lose takes a rack down in the second night and a data centre in the third,
-// while the waves are at full width.
+// lose takes down a rack in the second night and a data centre in the third,
+// while the waves have the largest number of VMs out of service.
 func (s scenario) lose(w *world, night int) {
 	if !s.losses || night < 1 || night > 2 {
 		return
@@ -155,8 +155,9 @@
 	})
 }
 
-// bounds returns the least length of the night's longest wave by the reboots
-// as they came: by the budgets alone, and with the reserve kept too.
+// bounds returns lower bounds on the length of the night's longest wave,
+// computed from the durations of its reboots: with the budgets alone, and with
+// the reserve too.
 func (s scenario) bounds(w *world, night int) (strict, reserved tackclock.Duration) {
 	for i := night; i < len(s.pools); i += s.nights {
 		pool := s.pools[i]
@@ -171,12 +172,12 @@
 	return strict, reserved
 }
 
-// reservedSlots returns the most VMs of the pool that can be out at once, so
-// that any data centre can be lost too, or any rack where that is too much,
-// or nothing where a rack is too much as well.
+// reservedSlots returns how many VMs of the pool can be out of service at once
+// while the budget still holds after the loss of any data centre. If that is
+// impossible it uses the loss of any rack, or else no loss at all.
 func (w *world) reservedSlots(pool string, slack int) int {
 	dcs, racks := make(map[string]int), make(map[string]int)
-	for vm := range w.f.EachVM() {
+	for vm := range w.fleet.EachVM() {
 		if string(vm.Pool) == pool {
 			dcs[string(vm.DataCentre)]++
 			racks[string(vm.DataCentre)+string(vm.Rack)]++
@@ -207,12 +208,13 @@
 	return float64(d) / float64(tackclock.Minute)
 }
 
-// TestFigures holds the planner's figures to bounds. They come from the model
-// clock and seeds, so they are the same on every machine. Of letter 1's
-// nights it runs a quiet one, one that loses a rack and one that loses a data
-// centre; BenchmarkWaves runs all of them, and the baselines.
+// TestFigures checks the planner's figures against bounds. They depend only on
+// the simulated clock and the seeds, so they are the same on every machine. Of
+// the large fleet's nights it runs one without losses, one that loses a rack
+// and one that loses a data centre; BenchmarkWaves runs all nights, and the
+// baselines.
 func TestFigures(t *testing.T) {
-	short := letter
+	short := largeFleet
 	short.only = 3
 	for _, c := range []struct {
 		scenario
@@ -260,8 +262,8 @@
 	}
 }
 
-// BenchmarkPlan measures a plan for one pool of n VMs among 2,300, and a tick
-// while a wave runs over it.
+// BenchmarkPlan measures the cost plan of one pool of n VMs among 2,300, and a
+// tick while a wave runs over that pool.
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{64, 100, 500, 2300} {
 		w := newWorld(1)
@@ -270,7 +272,7 @@
 		b.Run(fmt.Sprintf("cost/%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				Cost(w.f, "p", tackfleet.ActionUpgrade, 0, Settings{Prefer: PreferTime})
+				Cost(w.fleet, "p", tackfleet.ActionUpgrade, 0, Settings{Prefer: PreferTime})
 			}
 		})
 		w.startWave("n", "p", tackfleet.ActionUpgrade, 0)
@@ -284,13 +286,14 @@
 	}
 }
 
-// TestPlanStaysSmall holds a plan for one of letter 1's pools to its bytes.
+// TestPlanStaysSmall checks the bytes allocated by a cost plan for one pool of
+// the large fleet.
 func TestPlanStaysSmall(t *testing.T) {
 	w := newWorld(1)
 	w.addPool("p", 64, 10, percent(80), true)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	Cost(w.f, "p", tackfleet.ActionUpgrade, 0, Settings{Prefer: PreferTime})
+	Cost(w.fleet, "p", tackfleet.ActionUpgrade, 0, Settings{Prefer: PreferTime})
 	runtime.ReadMemStats(&after)
 	if n := after.TotalAlloc - before.TotalAlloc; n > 1<<20 {
 		t.Fatalf("a plan for 64 VMs allocated %d bytes", n)
--- a/core/tackwave/bound.go
+++ b/core/tackwave/bound.go
@@ -2,12 +2,12 @@
 
 import "auburntack/core/tackclock"
 
-// LowerBound returns the shortest time in which any planner could take n VMs
-// through maintenance, when at most atOnce may be out of service together and
-// each is out for away: the VMs fill ceil(n/atOnce) rounds, and no round is
-// shorter than away. It leaves out drains, settling, the canary and the
-// reserve, so it cannot always be reached. It is negative where atOnce is
-// below 1: then the wave never ends.
+// LowerBound returns the shortest time in which any planner could maintain n
+// VMs if at most atOnce may be out of service together and each is out of
+// service for away: there are ceil(n/atOnce) rounds, each at least as long as
+// away. Drains, settling times, the canary and the reserve are ignored, so the
+// bound is not always attainable. It is negative if atOnce is below 1, because
+// the wave would never end.
 func LowerBound(n, atOnce int, away tackclock.Duration) tackclock.Duration {
 	if n <= 0 {
 		return 0
--- a/core/tackwave/broken.go
+++ b/core/tackwave/broken.go
@@ -9,30 +9,29 @@
 )
 
 const (
-	// watch is how long after its maintenance a VM's loss is laid at the
-	// wave's door.
-	watch = 30 * tackclock.Minute
+	// attributionWindow is how long after the end of its maintenance a loss
+	// of a VM is still attributed to the wave.
+	attributionWindow = 30 * tackclock.Minute
 )
 
-// domainCount counts VMs of a failure domain: all of them, those that do not
-// serve, those that the wave touched, and those of the latter that serve.
+// domainCount counts the VMs of a failure domain: all, those that are not
+// serving, those that the wave has taken, and those of the latter that serve.
 type domainCount struct {
-	vms, gone, touched, touchedServing int
+	vms, down, taken, takenServing int
 }
 
-// broken reports whether the wave must stop by itself: the VMs that it
-// touched are lost, beyond the bound. A new wave is stopped by the first loss
-// among its canary VMs, since an upgrade that breaks what it touches breaks
-// the first one too.
-func (t *tick) broken(w *tackfleet.Wave, p *progress) (reason string, stop bool) {
-	lost := t.lost(w)
+// mustStop reports whether the wave must stop because too many of the VMs it
+// has taken are lost. While the canary is not done a single loss is enough,
+// since a faulty upgrade is likely to break the first VM too.
+func (t *tick) mustStop(w *tackfleet.Wave, p *progress) (reason string, stop bool) {
+	lost := t.lostVMs(w)
 	if len(lost) == 0 {
 		return "", false
 	}
 	if p.done < t.cfg.Canary {
 		return fmt.Sprintf("the %s broke among the first VMs: %v did not come back", w.Action, lost), true
 	}
-	bound := t.cfg.lostBound(len(w.VMs))
+	bound := t.cfg.lossLimit(len(w.VMs))
 	if len(lost) <= bound {
 		return "", false
 	}
@@ -40,45 +39,45 @@
 		w.Action, len(lost), bound, lost), true
 }
 
-// lost returns the VMs whose loss is laid at the wave's door. A failed VM
-// that an operator undrained or removed no longer counts, so that a stopped
-// wave can be resumed.
-func (t *tick) lost(w *tackfleet.Wave) []tackid.VM {
+// lostVMs returns the VMs whose loss is attributed to the wave. A failed VM
+// that an operator has undrained or removed does not count any more, so that a
+// stopped wave can be resumed.
+func (t *tick) lostVMs(w *tackfleet.Wave) []tackid.VM {
 	var lost []tackid.VM
 	for i := range w.VMs {
 		m := &w.VMs[i]
 		vm, ok := t.f.VM(m.VM)
-		if ok && t.lostBy(m, &vm) && !t.domainLost(w, &vm) {
+		if ok && t.isLost(m, &vm) && !t.domainLost(w, &vm) {
 			lost = append(lost, m.VM)
 		}
 	}
 	return lost
 }
 
-// lostBy reports whether a VM that the wave touched is lost. One that was
-// lost after it came back counts only once it has been away for longer than
-// a restart takes: VMs restart all the time without a wave being at fault.
-func (t *tick) lostBy(m *tackfleet.WaveVM, vm *tackfleet.VM) bool {
+// isLost reports whether a VM that the wave has taken is lost. A VM that is
+// lost after it came back counts only after it has been down for longer than a
+// restart takes, because VMs often restart for reasons other than the wave.
+func (t *tick) isLost(m *tackfleet.WaveVM, vm *tackfleet.VM) bool {
 	away := vm.Health != tackfleet.HealthServing &&
-		t.now.Sub(vm.HealthSince) >= lateFactor*t.times.away(t.cfg)
+		t.now.Sub(vm.HealthSince) >= overdueFactor*t.times.away(t.cfg)
 	switch m.Phase {
 	case tackfleet.PhaseFailed:
 		return vm.State == tackfleet.VMFailed
 	case tackfleet.PhaseSettling:
 		return away
 	case tackfleet.PhaseDone:
-		return away && vm.HealthSince.Sub(m.Since) < watch
+		return away && vm.HealthSince.Sub(m.Since) < attributionWindow
 	}
 	return false
 }
 
-// domainLost reports whether the VM's rack or data centre was lost as a
-// whole, so that the operation is not what took the VM.
+// domainLost reports whether the VM's whole rack or data centre is down, which
+// means that the operation is not the cause of the VM's loss.
 func (t *tick) domainLost(w *tackfleet.Wave, vm *tackfleet.VM) bool {
 	var rack, dc, all domainCount
-	touched := touchedBy(w)
+	taken := takenBy(w)
 	for _, other := range t.members[vm.Pool] {
-		was, ok := touched[other.ID], other.Health == tackfleet.HealthServing
+		was, ok := taken[other.ID], other.Health == tackfleet.HealthServing
 		all.add(was, ok)
 		if other.DataCentre != vm.DataCentre {
 			continue
@@ -88,40 +87,40 @@
 			rack.add(was, ok)
 		}
 	}
-	return rack.whole(&all) || dc.whole(&all)
+	return rack.lostIndependently(&all) || dc.lostIndependently(&all)
 }
 
-// add counts one VM.
-func (c *domainCount) add(touched, serving bool) {
+func (c *domainCount) add(taken, serving bool) {
 	c.vms++
 	if !serving {
-		c.gone++
+		c.down++
 	}
-	if touched {
-		c.touched++
+	if taken {
+		c.taken++
 		if serving {
-			c.touchedServing++
+			c.takenServing++
 		}
 	}
 }
 
-// whole reports whether a domain is gone as a whole for a reason of its own:
-// VMs there that the wave never touched are gone too, or most of those that
-// it touched elsewhere serve.
-func (c *domainCount) whole(all *domainCount) bool {
-	if c.vms < 2 || c.gone < c.vms {
+// lostIndependently reports whether the whole domain is down for a reason other
+// than the wave: VMs in it that the wave has not taken are down too, or most of
+// the VMs that the wave has taken in other domains are serving.
+func (c *domainCount) lostIndependently(all *domainCount) bool {
+	if c.vms < 2 || c.down < c.vms {
 		return false
 	}
-	elsewhere := all.touched - c.touched
-	return c.touched < c.vms || 2*all.touchedServing > elsewhere
+	elsewhere := all.taken - c.taken
+	return c.taken < c.vms || 2*all.takenServing > elsewhere
 }
 
-// touchedBy returns the VMs that the wave has or has had out.
-func touchedBy(w *tackfleet.Wave) map[tackid.VM]bool {
-	touched := make(map[tackid.VM]bool)
+// takenBy returns the VMs that the wave has taken out of service, now or
+// earlier.
+func takenBy(w *tackfleet.Wave) map[tackid.VM]bool {
+	taken := make(map[tackid.VM]bool)
 	for i := range w.VMs {
 		phase := w.VMs[i].Phase
-		touched[w.VMs[i].VM] = phase != tackfleet.PhaseWaiting && phase != tackfleet.PhaseSkipped
+		taken[w.VMs[i].VM] = phase != tackfleet.PhaseWaiting && phase != tackfleet.PhaseSkipped
 	}
-	return touched
+	return taken
 }
--- a/core/tackwave/cost.go
+++ b/core/tackwave/cost.go
@@ -9,39 +9,39 @@
 
 const (
 	costWave = tackid.Wave("cost")
-	// stuckAfter is how many waits of LostWait without any change end a
-	// calculation.
-	stuckAfter = 3
+	// maxIdleWaits is the number of consecutive waits of LostWait without any
+	// change after which a simulation ends.
+	maxIdleWaits = 3
 )
 
 type (
 	// Plan is what a wave is expected to cost.
 	Plan struct {
-		// VMs is the number of VMs the wave is over, Left how many of them
+		// VMs is the number of VMs in the wave, Left the number of them that
 		// would not be maintained.
 		VMs, Left int
-		// Steps is how many times VMs are taken out.
+		// Steps is the number of times that VMs are taken out of service.
 		Steps int
-		// BufferVMs is the most VMs out of service at once.
+		// BufferVMs is the largest number of VMs out of service at once.
 		BufferVMs int
-		// Length is the time from start to end, Minutes the same rounded up.
+		// Length is the time from start to end; Minutes is Length rounded up.
 		Length  tackclock.Duration
 		Minutes int
-		// Moves is how many running tasks have to be moved away.
+		// Moves is the number of running tasks that have to be moved away.
 		Moves int
-		// Binds says what keeps the wave from going faster, for most of the
-		// time.
+		// Binds describes the constraint that limits the wave's speed for the
+		// largest part of the time.
 		Binds string
-		// Problem says before the start why the wave would not end, or not
-		// in time; empty if it does.
+		// Problem says why the wave would not end, or not in time. It is
+		// empty if the wave would end in time.
 		Problem string
-		// LowerBound is the least time that the budgets and the length of an
-		// operation allow any planner; see the function LowerBound.
+		// LowerBound is the shortest time that the budgets and the length of
+		// an operation allow; see the function LowerBound.
 		LowerBound tackclock.Duration
 	}
 
-	// model is a View of a fleet on which everything takes as long as
-	// expected and nothing fails.
+	// model is the View of a simulated fleet in which everything takes as long
+	// as expected and nothing fails.
 	model struct {
 		now        tackclock.Time
 		f          *tackfleet.State
@@ -57,39 +57,40 @@
 		ends tackclock.Time
 	}
 
-	// run drives a planner over a model.
-	run struct {
-		p     Planner
-		m     *model
-		cfg   Settings
-		plan  Plan
-		binds map[string]tackclock.Duration
-		stuck int
+	// simulation simulates a wave by applying a planner's decisions to a model.
+	simulation struct {
+		p         Planner
+		m         *model
+		cfg       Settings
+		plan      Plan
+		binds     map[string]tackclock.Duration
+		idleWaits int
 	}
 )
 
-// Cost returns what a wave over the pool would cost if it started now, which
-// is the time of the newest change. The answer comes from the planner that
-// runs waves, over a copy of the pool, with what it expects by the settings.
+// Cost returns the cost of a wave over the pool that would start at the time
+// of the fleet's newest change. It simulates the wave on a copy of the pool
+// with a new Planner, using the durations expected by the settings.
 func Cost(f *tackfleet.State, pool tackid.Pool, action tackfleet.Action, maxParallel int, cfg Settings) Plan {
-	r := newRun(&Planner{}, cfg, f.Now(), true)
+	r := newSimulation(&Planner{}, cfg, f.Now(), true)
 	return r.cost(f, pool, action, maxParallel)
 }
 
-// Cost is like the function Cost, at the view's time and with the durations
-// that the planner has learned.
+// Cost is like the function Cost, but starts at the view's time and uses the
+// durations that the planner has learned.
 func (p *Planner) Cost(v View, pool tackid.Pool, action tackfleet.Action, maxParallel int, cfg Settings) Plan {
-	r := newRun(p, cfg, v.Now(), v.Platform())
+	r := newSimulation(p, cfg, v.Now(), v.Platform())
 	return r.cost(v.Fleet(), pool, action, maxParallel)
 }
 
-// newRun returns a run with what the planner has learned.
-func newRun(p *Planner, cfg Settings, now tackclock.Time, platform bool) *run {
+// newSimulation returns a simulation that uses the durations learned by the
+// planner.
+func newSimulation(p *Planner, cfg Settings, now tackclock.Time, platform bool) *simulation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := &run{cfg: cfg.withDefaults(), binds: make(map[string]tackclock.Duration)}
+	r := &simulation{cfg: cfg.withDefaults(), binds: make(map[string]tackclock.Duration)}
 	r.p.times = p.times
-	r.p.repair.settled = p.repair.settled
+	r.p.repair.learned = p.repair.learned
 	r.m = &model{
 		now:        now,
 		f:          &tackfleet.State{},
@@ -101,17 +102,17 @@
 	return r
 }
 
-func (r *run) cost(f *tackfleet.State, pool tackid.Pool, action tackfleet.Action, maxParallel int) Plan {
+func (r *simulation) cost(f *tackfleet.State, pool tackid.Pool, action tackfleet.Action, maxParallel int) Plan {
 	r.m.copyPool(f, pool)
 	r.start(pool, action, maxParallel)
-	r.drive()
+	r.runToEnd()
 	r.plan.Moves = runningOn(f, pool)
-	r.bound(f, pool, maxParallel)
+	r.setLowerBound(f, pool, maxParallel)
 	return r.finish()
 }
 
-// copyPool rebuilds the pool as it is. VMs that are out of service for other
-// reasons than a wave stay lost in the copy.
+// copyPool copies the pool into the model. VMs that are out of service for a
+// reason other than a wave are lost in the copy.
 func (m *model) copyPool(f *tackfleet.State, pool tackid.Pool) {
 	m.command(tackcommand.Command{CreatePool: &tackcommand.CreatePool{Pool: pool}})
 	for _, s := range f.ServicesOn(pool) {
@@ -129,7 +130,8 @@
 	m.apply(tackfleet.Change{Observe: seen})
 }
 
-// observed returns the VM's place and the health that it has in the copy.
+// observed returns an observation with the VM's location and the health that
+// the VM has in the copy.
 func observed(vm *tackfleet.VM) tackfleet.Observation {
 	o := tackfleet.Observation{
 		VM: vm.ID, DataCentre: vm.DataCentre, Rack: vm.Rack, Health: vm.Health,
@@ -179,7 +181,7 @@
 	return OperationStatus{State: PlatformServing, Operation: o.id}
 }
 
-func (r *run) start(pool tackid.Pool, action tackfleet.Action, maxParallel int) {
+func (r *simulation) start(pool tackid.Pool, action tackfleet.Action, maxParallel int) {
 	r.m.command(tackcommand.Command{CreateWave: &tackcommand.CreateWave{
 		Wave: costWave, Pool: pool, Action: string(action), MaxParallel: maxParallel,
 	}})
@@ -188,22 +190,22 @@
 	}})
 }
 
-// drive runs the planner from event to event until the wave ends.
-func (r *run) drive() {
-	for r.stuck < stuckAfter {
+// runToEnd runs the planner until the wave ends or makes no more progress.
+func (r *simulation) runToEnd() {
+	for r.idleWaits < maxIdleWaits {
 		w, ok := r.m.f.Wave(costWave)
 		if !ok || w.Status != tackfleet.WaveRunning {
 			return
 		}
 		r.plan.BufferVMs = max(r.plan.BufferVMs, w.Out())
-		if !r.carryOut(r.p.Decide(r.m, r.cfg)) {
-			r.wait(&w)
+		if !r.apply(r.p.Decide(r.m, r.cfg)) {
+			r.advanceClock(&w)
 		}
 	}
 }
 
-// carryOut applies a decision and reports whether anything came of it.
-func (r *run) carryOut(d Decision) bool {
+// apply applies a decision and reports whether it changed anything.
+func (r *simulation) apply(d Decision) bool {
 	for _, o := range d.Operations {
 		r.m.operations[o.VM] = modelOperation{id: o.Operation, ends: r.m.now.Add(r.m.operation)}
 	}
@@ -216,25 +218,27 @@
 	return changed
 }
 
-// wait moves the clock to the next moment at which something can change.
-func (r *run) wait(w *tackfleet.Wave) {
+// advanceClock advances the clock to the next time at which something can
+// change.
+func (r *simulation) advanceClock(w *tackfleet.Wave) {
 	next := r.m.now.Add(r.cfg.LostWait)
 	found := false
 	for i := range w.VMs {
-		if at := r.m.due(&w.VMs[i], r.p.repair.settling(r.cfg.Settle)); at.After(r.m.now) {
+		if at := r.m.phaseEnd(&w.VMs[i], r.p.repair.settling(r.cfg.Settle)); at.After(r.m.now) {
 			next, found = min(next, at), true
 		}
 	}
-	r.stuck++
+	r.idleWaits++
 	if found {
-		r.stuck = 0
+		r.idleWaits = 0
 	}
 	r.binds[r.p.Binds(costWave)] += next.Sub(r.m.now)
 	r.m.now = next
 }
 
-// due returns when the VM's phase can end, zero if nothing is under way.
-func (m *model) due(v *tackfleet.WaveVM, settle tackclock.Duration) tackclock.Time {
+// phaseEnd returns the time at which the VM's phase can end, or zero if the VM
+// is in a phase that does not end by itself.
+func (m *model) phaseEnd(v *tackfleet.WaveVM, settle tackclock.Duration) tackclock.Time {
 	switch v.Phase {
 	case tackfleet.PhaseDraining:
 		return v.Since.Add(m.drain)
@@ -246,20 +250,20 @@
 	return 0
 }
 
-// bound works out the lower bound from the budgets as they stand.
-func (r *run) bound(f *tackfleet.State, pool tackid.Pool, maxParallel int) {
+// setLowerBound sets the plan's lower bound from the current budgets.
+func (r *simulation) setLowerBound(f *tackfleet.State, pool tackid.Pool, maxParallel int) {
 	r.p.init()
 	t := &tick{Planner: &r.p, f: f, now: r.m.now, cfg: r.cfg}
-	t.look()
-	room := t.room(pool)
-	free := room.full - room.required
+	t.collectVMs()
+	c := t.capacity(pool)
+	free := c.full - c.required
 	if maxParallel > 0 {
 		free = min(free, maxParallel)
 	}
-	r.plan.LowerBound = LowerBound(room.full, free, r.p.times.operation.or(r.cfg.Reboot))
+	r.plan.LowerBound = LowerBound(c.full, free, r.p.times.operation.or(r.cfg.Reboot))
 }
 
-func (r *run) finish() Plan {
+func (r *simulation) finish() Plan {
 	p := &r.plan
 	w, _ := r.m.f.Wave(costWave)
 	p.VMs = len(w.VMs)
@@ -288,8 +292,8 @@
 	return *p
 }
 
-// runningOn counts the tasks that run on the pool's VMs: each has to move
-// once.
+// runningOn returns the number of tasks running on the pool's VMs. Each of
+// them has to be moved once.
 func runningOn(f *tackfleet.State, pool tackid.Pool) int {
 	n := 0
 	for _, vm := range f.VMsOf(pool) {
--- a/core/tackwave/phase.go
+++ b/core/tackwave/phase.go
@@ -11,23 +11,22 @@
 )
 
 const (
-	// domainPatience is how many times the operation limit a VM is awaited
-	// whose whole rack or data centre is lost.
-	domainPatience = 4
-	// beginWithin is how long the platform may take to begin an operation
-	// that it has accepted.
-	beginWithin = 3 * tackclock.Second
+	// domainWaitFactor is the number of operation limits to wait for a VM whose
+	// whole rack or data centre is lost.
+	domainWaitFactor = 4
+	// operationStartLimit is the time within which the platform starts an
+	// operation that it has accepted.
+	operationStartLimit = 3 * tackclock.Second
 )
 
-// advance takes the VMs that a wave holds to their next phases. It does so
-// whatever the wave's status is: a VM that a paused, stopped or cancelled
-// wave left drained would be missing from its pool for good, and nobody would
-// look for it.
+// advance moves the VMs that a wave holds to their next phases. It does so
+// regardless of the wave's status: otherwise a VM left drained by a paused,
+// stopped or cancelled wave would be missing from its pool for good.
 func (t *tick) advance(w *tackfleet.Wave) {
 	var phases []tackfleet.WavePhase
 	for i := range w.VMs {
 		m := &w.VMs[i]
-		next, ok := t.next(w, m)
+		next, ok := t.nextPhase(w, m)
 		if !ok {
 			continue
 		}
@@ -42,14 +41,15 @@
 	}
 }
 
-// serves reports whether the VM's backend servers announce themselves.
+// serves reports whether the VM's backend servers are announcing themselves.
 func (t *tick) serves(id tackid.VM) bool {
 	vm, ok := t.f.VM(id)
 	return ok && vm.Health == tackfleet.HealthServing
 }
 
-// next returns the phase that a VM enters now, if it enters one.
-func (t *tick) next(w *tackfleet.Wave, m *tackfleet.WaveVM) (tackfleet.WavePhase, bool) {
+// nextPhase returns the next phase or operation of a VM and whether there is
+// one.
+func (t *tick) nextPhase(w *tackfleet.Wave, m *tackfleet.WaveVM) (tackfleet.WavePhase, bool) {
 	p := tackfleet.WavePhase{Wave: w.ID, VM: m.VM, Phase: m.Phase, Operation: m.Operation}
 	if !held(m.Phase) {
 		return p, false
@@ -64,15 +64,16 @@
 	case tackfleet.PhaseOperating:
 		t.operate(w, m, &p)
 	case tackfleet.PhaseReturning:
-		t.await(w, m, &vm, &p)
+		t.awaitReturn(w, m, &vm, &p)
 	case tackfleet.PhaseSettling:
 		t.settle(w, m, &vm, &p)
 	}
 	return p, p.Phase != m.Phase || p.Operation != m.Operation
 }
 
-// drain waits until the VM has no work left. A planned stop cuts no work, so
-// a VM that stays busy is returned to service and tried later.
+// drain waits until the VM has no work left. Planned maintenance never
+// interrupts work, so a VM that is still busy after the drain limit is returned
+// to service and retried later.
 func (t *tick) drain(w *tackfleet.Wave, m *tackfleet.WaveVM, vm *tackfleet.VM, p *tackfleet.WavePhase) {
 	waited := t.now.Sub(m.Since)
 	switch {
@@ -84,13 +85,13 @@
 		t.times.drain.add(waited, expectedDrain)
 	case waited >= t.cfg.DrainLimit:
 		p.Phase = tackfleet.PhaseWaiting
-		t.busy[m.VM] = t.now
+		t.drainTimeouts[m.VM] = t.now
 	default:
-		t.hold(w, m.VM, "it still has work in flight")
+		t.addHold(w, m.VM, "it still has work in flight")
 	}
 }
 
-// operate has the platform carry out the operation and waits for its end.
+// operate requests the operation from the platform and waits for its end.
 func (t *tick) operate(w *tackfleet.Wave, m *tackfleet.WaveVM, p *tackfleet.WavePhase) {
 	if !t.v.Platform() {
 		p.Phase = tackfleet.PhaseReturning
@@ -103,45 +104,47 @@
 	case confirmed && st.State == PlatformServing && t.wasStopped(m):
 		p.Phase = tackfleet.PhaseReturning
 		t.times.operation.add(waited, t.cfg.Reboot)
-		delete(t.asked, m.Operation)
+		delete(t.requested, m.Operation)
 	case confirmed && st.State == PlatformFailed && tries(m.Operation) < t.cfg.MaxTries:
 		p.Operation = operationID(w, m)
 	case confirmed && st.State == PlatformFailed, waited >= t.cfg.OperationLimit:
 		p.Phase = tackfleet.PhaseFailed
-		delete(t.asked, m.Operation)
+		delete(t.requested, m.Operation)
 	case !confirmed:
-		t.ask(OperationRequest{VM: m.VM, Action: w.Action, Operation: m.Operation})
+		t.request(OperationRequest{VM: m.VM, Action: w.Action, Operation: m.Operation})
 	default:
-		t.hold(w, m.VM, "its operation is under way")
+		t.addHold(w, m.VM, "its operation is under way")
 	}
 }
 
-// wasStopped reports whether a VM that the platform shows as up has been down
-// for its operation. A platform may accept an operation and show the VM as
-// serving until it begins: the VM would get work again and be stopped under
-// it. So either its health has changed since, or there was time to begin.
+// wasStopped reports whether a VM that the platform reports as serving has been
+// down for its operation. A platform may accept an operation and report the VM
+// as serving until the operation starts; returning the VM to service then would
+// let it be stopped with work in flight. So either the VM's health must have
+// changed since the request, or operationStartLimit must have passed.
 func (t *tick) wasStopped(m *tackfleet.WaveVM) bool {
 	vm, _ := t.f.VM(m.VM)
-	return vm.HealthSince.After(m.Since) || t.now.Sub(m.Since) >= beginWithin
+	return vm.HealthSince.After(m.Since) || t.now.Sub(m.Since) >= operationStartLimit
 }
 
-// await waits until the VM's backend servers announce themselves again.
-func (t *tick) await(w *tackfleet.Wave, m *tackfleet.WaveVM, vm *tackfleet.VM, p *tackfleet.WavePhase) {
+// awaitReturn waits until the VM's backend servers announce themselves again
+// after the operation.
+func (t *tick) awaitReturn(w *tackfleet.Wave, m *tackfleet.WaveVM, vm *tackfleet.VM, p *tackfleet.WavePhase) {
 	waited := t.now.Sub(m.Since)
 	switch {
 	case vm.Health == tackfleet.HealthServing:
 		p.Phase = tackfleet.PhaseSettling
 		t.times.back.add(waited, expectedBack)
-	case waited >= domainPatience*t.cfg.OperationLimit,
+	case waited >= domainWaitFactor*t.cfg.OperationLimit,
 		waited >= t.cfg.OperationLimit && !t.domainLost(w, vm):
 		p.Phase = tackfleet.PhaseFailed
 	default:
-		t.hold(w, m.VM, "its backend servers have not come back")
+		t.addHold(w, m.VM, "its backend servers have not come back")
 	}
 }
 
-// settle lets the VM serve for the settling time, counted anew from each
-// time that it comes back.
+// settle waits until the VM has served for the settling time without
+// interruption. Each loss restarts the settling time.
 func (t *tick) settle(w *tackfleet.Wave, m *tackfleet.WaveVM, vm *tackfleet.VM, p *tackfleet.WavePhase) {
 	served := t.now.Sub(max(m.Since, vm.HealthSince))
 	switch {
@@ -149,34 +152,36 @@
 		p.Phase = tackfleet.PhaseDone
 		t.done[m.VM] = true
 	case vm.Health == tackfleet.HealthServing:
-	case served >= domainPatience*t.cfg.OperationLimit,
+	case served >= domainWaitFactor*t.cfg.OperationLimit,
 		served >= t.cfg.OperationLimit && !t.domainLost(w, vm):
 		p.Phase = tackfleet.PhaseFailed
 	default:
-		t.hold(w, m.VM, "it was lost again while it settled")
+		t.addHold(w, m.VM, "it was lost again while it settled")
 	}
 }
 
-// settling returns the settling time in force.
+// settling returns the current settling time.
 func (t *tick) settling() tackclock.Duration {
 	return t.repair.settling(t.cfg.Settle)
 }
 
-// held reports whether a wave has the VM out of service, or not yet proven.
+// held reports whether a wave holds a VM in this phase: it is out of service or
+// settling.
 func held(p tackfleet.Phase) bool {
 	return p >= tackfleet.PhaseDraining && p <= tackfleet.PhaseSettling
 }
 
-// operationID names the VM's next operation. It is made of the wave, the VM,
-// the step that took it and the try, all of which lie in the state: a leader
-// that takes over asks for the same one, and the platform carries it out
-// once.
+// operationID returns the id of the VM's next operation. It is built from the
+// wave, the VM, the step that took the VM and the attempt, all of which are in
+// the replicated state. A new leader therefore requests the same operation, and
+// the platform carries it out only once.
 func operationID(w *tackfleet.Wave, m *tackfleet.WaveVM) tackid.Operation {
 	id := fmt.Sprintf("%s-%d-%s-%d-%d", w.ID, w.Created, m.VM, m.Step, tries(m.Operation)+1)
 	return tackid.Operation(id)
 }
 
-// tries returns how many operations have been asked for, by the last one.
+// tries returns the number of operations requested so far, which is the last
+// part of the id of the last one.
 func tries(last tackid.Operation) int {
 	if last == "" {
 		return 0
--- a/core/tackwave/planner.go
+++ b/core/tackwave/planner.go
@@ -11,38 +11,40 @@
 )
 
 const (
-	// askAgain is how long the platform has to confirm an operation before
-	// it is asked again.
-	askAgain = 5 * tackclock.Second
-	// maxAsked bounds how many operations are remembered as asked for. Those
-	// that another leader saw end would stay for good.
-	maxAsked = 10_000
+	// requestInterval is how long to wait for the platform to confirm an
+	// operation before requesting it again.
+	requestInterval = 5 * tackclock.Second
+	// maxRequests bounds the number of requested operations that are
+	// remembered. Without a bound those that ended under another leader would
+	// never be forgotten.
+	maxRequests = 10_000
 )
 
 type (
-	// Planner decides how waves go on. What it keeps is only learned: how
-	// long drains and operations take, and how often a VM is lost again after
-	// a repair. A new one starts from the settings and makes the same
-	// decisions but for that. The zero value is ready; it is safe for
-	// concurrent use, since operators ask for costs and holds meanwhile.
+	// Planner decides the next steps of waves. It keeps only learned values:
+	// how long drains and operations take, and how often a VM is lost again
+	// after a repair. A new Planner starts from the settings and otherwise
+	// makes the same decisions. The zero value is ready to use. A Planner is
+	// safe for concurrent use, since operators ask for costs and holds while
+	// it decides.
 	Planner struct {
-		mu     sync.Mutex
-		times  times
-		repair repairs
-		asked  map[tackid.Operation]tackclock.Time
-		busy   map[tackid.VM]tackclock.Time // given up to drain, and when
-		// members are the VMs by pool, as of the tick under way.
-		members map[tackid.Pool][]*tackfleet.VM
-		rooms   map[tackid.Pool]*room
-		base    census                    // scratch of fill
-		sizes   map[tackid.DataCentre]int // scratch of fill
-		count   int                       // ticks so far
-		fewest  int                       // VMs out at once that end the waves in time
-		held    map[tackid.Wave][]Hold
-		binds   map[tackid.Wave]string
+		mu            sync.Mutex
+		times         times
+		repair        repairs
+		requested     map[tackid.Operation]tackclock.Time
+		drainTimeouts map[tackid.VM]tackclock.Time // when the drain of a VM timed out
+		// members are the VMs by pool in the current tick, sorted by id.
+		members     map[tackid.Pool][]*tackfleet.VM
+		capacities  map[tackid.Pool]*capacity
+		allServing  servingCount              // scratch space of fill
+		sizes       map[tackid.DataCentre]int // scratch space of fill
+		tickCount   int                       // number of ticks so far
+		minParallel int                       // fewest VMs out at once with which the waves end in time
+		holds       map[tackid.Wave][]Hold
+		binds       map[tackid.Wave]string
 	}
 
-	// Hold is a VM that keeps a wave waiting, and why.
+	// Hold is a VM that a wave is waiting for, and the reason.
 	Hold struct {
 		VM     tackid.VM
 		Reason string
@@ -57,19 +59,19 @@
 		cfg Settings
 		// slots is how many more VMs all waves together may take.
 		slots int
-		// done are the VMs that this tick proposes to be through: what comes
-		// later in the decision may count on them.
+		// done holds the VMs that this tick proposes as done. Later parts of
+		// the same decision may rely on them.
 		done map[tackid.VM]bool
-		// taken are the VMs that this tick proposes to take out: two waves
-		// may be over one pool.
+		// taken holds the VMs that this tick proposes to take out of service,
+		// since several waves may run over one pool.
 		taken map[tackid.VM]bool
 		out   Decision
 	}
 )
 
-// Decide returns what to do next. It is meant for the leader, every second or
-// so. A change it proposes may get lost or be refused: the next tick sees the
-// state as it is and proposes again.
+// Decide returns what to do next. The leader calls it about once a second. A
+// proposed change may be lost or refused; the next call decides again from the
+// state as it is then.
 func (p *Planner) Decide(v View, cfg Settings) Decision {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,32 +79,32 @@
 	t := &tick{Planner: p, v: v, f: v.Fleet(), now: v.Now(), cfg: cfg.withDefaults()}
 	t.done = make(map[tackid.VM]bool)
 	t.taken = make(map[tackid.VM]bool)
-	t.look()
+	t.collectVMs()
 	waves := t.f.Waves()
 	for i := range waves {
 		t.advance(&waves[i])
 	}
 	running := t.running(waves)
-	t.share(running)
+	t.setSlots(running)
 	if len(running) == 0 {
-		clear(t.busy)
+		clear(t.drainTimeouts)
 	}
 	for i := range running {
-		t.goOn(running[i].wave, &running[i].progress)
+		t.continueWave(running[i].wave, &running[i].progress)
 	}
 	t.release()
 	return t.out
 }
 
-// Holds returns the VMs that kept the wave waiting at the last tick.
+// Holds returns the VMs that the wave was waiting for at the last tick.
 func (p *Planner) Holds(w tackid.Wave) []Hold {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.held[w]
+	return p.holds[w]
 }
 
-// Binds returns what kept the wave from taking more VMs at the last tick; it
-// is empty where nothing did.
+// Binds describes the constraint that kept the wave from taking more VMs at the
+// last tick. It is empty if there was none.
 func (p *Planner) Binds(w tackid.Wave) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,26 +112,26 @@
 }
 
 func (p *Planner) init() {
-	if p.asked == nil {
+	if p.requested == nil {
 		p.members = make(map[tackid.Pool][]*tackfleet.VM)
-		p.rooms = make(map[tackid.Pool]*room)
-		p.base = newCensus()
+		p.capacities = make(map[tackid.Pool]*capacity)
+		p.allServing = newServingCount()
 		p.sizes = make(map[tackid.DataCentre]int)
-		p.asked = make(map[tackid.Operation]tackclock.Time)
-		p.busy = make(map[tackid.VM]tackclock.Time)
+		p.requested = make(map[tackid.Operation]tackclock.Time)
+		p.drainTimeouts = make(map[tackid.VM]tackclock.Time)
 	}
-	p.count++
-	p.held = make(map[tackid.Wave][]Hold)
+	p.tickCount++
+	p.holds = make(map[tackid.Wave][]Hold)
 	p.binds = make(map[tackid.Wave]string)
 }
 
-// look takes in every VM once.
-func (t *tick) look() {
+// collectVMs groups the VMs by pool and updates what is learned about repairs.
+func (t *tick) collectVMs() {
 	for pool, vms := range t.members {
 		t.members[pool] = vms[:0]
 	}
 	for vm := range t.f.EachVM() {
-		t.repair.follow(t.now, vm)
+		t.repair.observe(t.now, vm)
 		t.members[vm.Pool] = append(t.members[vm.Pool], vm)
 	}
 }
@@ -146,10 +148,10 @@
 	return vms[i]
 }
 
-// release ends the drains and moves that operators asked for, once the VM is
-// idle or fenced. It comes after the waves' steps: a VM that joins a pool
-// raises what a budget in percent asks for, and a step worked out before
-// would be refused after it.
+// release completes the drains and moves that operators asked for, once the
+// VM is idle or fenced. It runs after the waves' steps: a VM that joins a pool
+// raises the requirement of a percentage budget, and a step computed without
+// it could be refused if it was applied afterwards.
 func (t *tick) release() {
 	var drained, joined []tackid.VM
 	for vm := range t.f.EachVM() {
@@ -179,25 +181,25 @@
 	t.out.Changes = append(t.out.Changes, c)
 }
 
-// ask sends an operation to the platform, again every askAgain while it is
-// not confirmed: the request or its answer may have been lost.
-func (t *tick) ask(r OperationRequest) {
-	last, ok := t.asked[r.Operation]
-	if ok && t.now.Sub(last) < askAgain {
+// request requests an operation from the platform. It repeats the request every
+// requestInterval until the operation is confirmed, since the request or its
+// answer may have been lost.
+func (t *tick) request(r OperationRequest) {
+	last, ok := t.requested[r.Operation]
+	if ok && t.now.Sub(last) < requestInterval {
 		return
 	}
-	if len(t.asked) >= maxAsked {
-		clear(t.asked)
+	if len(t.requested) >= maxRequests {
+		clear(t.requested)
 	}
-	t.asked[r.Operation] = t.now
+	t.requested[r.Operation] = t.now
 	t.out.Operations = append(t.out.Operations, r)
 }
 
-// end ends or stops a wave.
-func (t *tick) end(w *tackfleet.Wave, status tackfleet.WaveStatus, reason string) {
+func (t *tick) endWave(w *tackfleet.Wave, status tackfleet.WaveStatus, reason string) {
 	t.propose(tackfleet.Change{WaveEnd: &tackfleet.WaveEnd{Wave: w.ID, Status: status, Reason: reason}})
 }
 
-func (t *tick) hold(w *tackfleet.Wave, vm tackid.VM, reason string) {
-	t.held[w.ID] = append(t.held[w.ID], Hold{VM: vm, Reason: reason})
+func (t *tick) addHold(w *tackfleet.Wave, vm tackid.VM, reason string) {
+	t.holds[w.ID] = append(t.holds[w.ID], Hold{VM: vm, Reason: reason})
 }
--- a/core/tackwave/planner_test.go
+++ b/core/tackwave/planner_test.go
@@ -22,26 +22,26 @@
 }
 
 func assertSound(t interface{ Fatalf(string, ...any) }, w *world) {
-	if w.breaches > 0 || w.refusals > 0 || len(w.wrong) > 0 {
-		t.Fatalf("%d breaches of our own, %d steps refused, wrong: %v", w.breaches, w.refusals, w.wrong)
+	if w.breaches > 0 || w.refusals > 0 || len(w.violations) > 0 {
+		t.Fatalf("%d budget breaches, %d steps refused, violations: %v", w.breaches, w.refusals, w.violations)
 	}
 }
 
 // assertNoneLeft fails if a wave left a VM out of service.
 func assertNoneLeft(t interface{ Fatalf(string, ...any) }, w *world) {
-	if w.moving() {
-		t.Fatalf("still moving: %+v", w.f.Waves())
+	if w.active() {
+		t.Fatalf("still active: %+v", w.fleet.Waves())
 	}
-	for vm := range w.f.EachVM() {
+	for vm := range w.fleet.EachVM() {
 		if vm.Wave != "" || vm.State != tackfleet.VMInService && vm.State != tackfleet.VMFailed {
-			t.Fatalf("left behind: %+v", *vm)
+			t.Fatalf("left out of service: %+v", *vm)
 		}
 	}
 }
 
 func assertWave(t *testing.T, w *world, id tackid.Wave, status tackfleet.WaveStatus, reason string) {
 	t.Helper()
-	wave, _ := w.f.Wave(id)
+	wave, _ := w.fleet.Wave(id)
 	if wave.Status != status || !strings.Contains(wave.Reason, reason) {
 		t.Fatalf("wave is %v because %q, want %v because %q", wave.Status, wave.Reason, status, reason)
 	}
@@ -62,7 +62,7 @@
 			}
 		})
 		convey.Convey("without a platform maintenance is recorded only", func() {
-			w.record = true
+			w.noPlatform = true
 			w.run(longest)
 			assertWave(t, w, "n", tackfleet.WaveFinished, "")
 			convey.So(w.machines["p-000"].op, convey.ShouldBeEmpty)
@@ -70,10 +70,9 @@
 	})
 }
 
-// Symptom: an upgrade that breaks every VM it touches takes the pool down.
-// Sequence: the first VMs do not come back, and the wave goes on to the next.
-// Cause: without the canary and the bound on losses nothing ties the losses
-// to the wave.
+// Guards against an upgrade that breaks every VM and takes down the pool. The
+// canary and the limit on losses must stop the wave when its first VMs do not
+// come back.
 func TestWaveStopsWhenTheUpgradeBreaks(t *testing.T) {
 	w := newWorld(2)
 	w.breaks = 1
@@ -97,9 +96,9 @@
 	assertWave(t, w, "n", tackfleet.WaveFinished, "")
 }
 
-// Symptom: a wave is stopped, and blamed, when a rack fails under it.
-// Sequence: a rack is lost while some of its VMs are being rebooted.
-// Cause: losses are counted without looking at VMs the wave never touched.
+// Guards against a wave that is stopped because a rack fails while some of its
+// VMs are being rebooted. VMs that the wave has not taken are lost too, which
+// shows that the wave is not the cause.
 func TestLostRackDoesNotStopTheWave(t *testing.T) {
 	w := newWorld(3)
 	w.cfg = Settings{Prefer: PreferTime, MaxLost: -1}
@@ -115,14 +114,11 @@
 	assertWave(t, w, "n", tackfleet.WaveFinished, "")
 }
 
-// Symptom: a service is short of VMs because a data centre was lost while a
-// wave had others out, or the wave goes on as fast as before in the middle of
-// a large loss.
-// Sequence: a data centre of a pool is lost at the wave's full width.
-// Cause: the budget is used up to its last VM, with nothing kept back; the
-// width does not follow the losses.
+// Guards against a service that falls below its budget because a data centre is
+// lost while a wave has the largest allowed number of VMs out of service, and
+// against a wave that continues at the same speed during a large loss.
 func TestLostDataCentreUnderAWave(t *testing.T) {
-	t.Run("the reserve holds the budget", func(t *testing.T) {
+	t.Run("the reserve protects the budget", func(t *testing.T) {
 		for seed := range uint64(5) {
 			w := worldAtFullWidth(seed, 80)
 			w.loseWhere(20*tackclock.Minute, func(m *machine) bool { return m.dc == "dc1" })
@@ -134,7 +130,7 @@
 			}
 		}
 	})
-	t.Run("the wave narrows", func(t *testing.T) {
+	t.Run("the wave takes fewer VMs", func(t *testing.T) {
 		w := worldAtFullWidth(1, 40)
 		w.loseWhere(20*tackclock.Minute, func(m *machine) bool { return m.dc == "dc1" })
 		w.run(6 * tackclock.Minute)
@@ -155,19 +151,17 @@
 	return w
 }
 
-// Symptom: a wave hangs, or a VM is operated twice.
-// Sequence: the platform loses requests and answers, says that an operation
-// failed, begins one late, or says nothing at all.
-// Cause: one request is taken for granted, or a silent platform is awaited
-// for ever.
+// Guards against a wave that hangs, or that operates on a VM twice, when the
+// platform loses requests and answers, reports a failed operation, starts an
+// operation late, or does not answer at all.
 func TestPlatformThatFails(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults
 		status tackfleet.WaveStatus
 		reason string
 	}{
-		"now and then": {faults{mute: 0.5, refused: 0.2}, tackfleet.WaveFinished, ""},
-		"always":       {faults{mute: 1}, tackfleet.WaveStopped, "broke among the first VMs"},
+		"now and then": {faults{lostAnswer: 0.5, refused: 0.2}, tackfleet.WaveFinished, ""},
+		"always":       {faults{lostAnswer: 1}, tackfleet.WaveStopped, "broke among the first VMs"},
 		"to begin":     {faults{lag: 2 * tackclock.Second}, tackfleet.WaveFinished, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -184,9 +178,8 @@
 	}
 }
 
-// Symptom: an upgrade that breaks some of the VMs goes on through the pool.
-// Sequence: the canary comes back, and later VMs do not.
-// Cause: no bound on losses after the canary.
+// Guards against an upgrade that continues through the pool although it breaks
+// some of the VMs: the canary comes back, and later VMs do not.
 func TestWaveStopsBeyondTheBoundOnLosses(t *testing.T) {
 	w := newWorld(5)
 	w.cfg.Prefer = PreferTime
@@ -203,9 +196,8 @@
 	}
 }
 
-// Symptom: a wave never ends, or cuts work, because of one busy or lost VM.
-// Sequence: one VM has work for hours, another is lost before the start.
-// Cause: the drain has no limit, or a wave waits for lost VMs for ever.
+// Guards against a wave that never ends, or that interrupts work, because one
+// VM has work for hours and another one is lost before the start.
 func TestBusyAndLostVMs(t *testing.T) {
 	w := newWorld(6)
 	w.cfg.Prefer = PreferTime
@@ -214,13 +206,13 @@
 	w.tick()
 	w.startWave("n", "p", tackfleet.ActionReboot, 0)
 	busy := w.now.Add(2 * tackclock.Hour)
-	w.machines["p-005"].until = busy
+	w.machines["p-005"].busyUntil = busy
 	w.run(tackclock.Hour)
 	if n := w.phases("n", nil)[tackfleet.PhaseDone]; n != 10 {
-		t.Errorf("%d VMs are through, want all but two", n)
+		t.Errorf("%d VMs are done, want all but two", n)
 	}
 	if h := w.planner.Holds("n"); len(h) == 0 || h[0].VM != "p-005" {
-		t.Errorf("the wave does not say what holds it: %v", h)
+		t.Errorf("holds are %v, want p-005 first", h)
 	}
 	w.run(longest)
 	assertSound(t, w)
@@ -228,10 +220,8 @@
 	assertWave(t, w, "n", tackfleet.WaveFinished, "11 VMs maintained, 0 failed [], 1 left out")
 }
 
-// Symptom: the second VM is lost while the next is already stopped.
-// Sequence: VMs are lost again minutes after their repair, more often than
-// the settling time covers.
-// Cause: the settling time is a constant.
+// Guards against a constant settling time: if VMs are often lost again minutes
+// after their repair, one may be lost while the next is already stopped.
 func TestSettlingTimeFollowsSecondLosses(t *testing.T) {
 	var r repairs
 	for i := range 100 {
@@ -247,13 +237,13 @@
 	})
 }
 
-func TestCostForetellsTheWave(t *testing.T) {
+func TestCostPredictsTheWave(t *testing.T) {
 	for _, prefer := range []Prefer{PreferBuffer, PreferTime} {
 		w := newWorld(7)
 		w.step = tackclock.Second
 		w.cfg.Prefer = prefer
 		w.addPool("p", 64, 10, percent(80), true)
-		plan := Cost(w.f, "p", tackfleet.ActionUpgrade, 0, w.cfg)
+		plan := Cost(w.fleet, "p", tackfleet.ActionUpgrade, 0, w.cfg)
 		w.startWave("n", "p", tackfleet.ActionUpgrade, 0)
 		took := w.run(longest)
 		if off := float64(took)/float64(plan.Length) - 1; math.Abs(off) > 0.1 || plan.BufferVMs != w.peak || plan.Length < plan.LowerBound {
@@ -274,14 +264,14 @@
 		crosses int
 		missing int
 	}{
-		{"met already", Demand{"b", "dc1", 2}, 0, 0, 0},
-		{"from within", Demand{"b", "dc1", 5}, 3, 0, 0},
-		{"from another where none within is left", Demand{"b", "dc1", 7}, 5, 1, 0},
-		{"no more than the budgets leave", Demand{"b", "", 20}, 6, 0, 8},
-		{"none from a pool that needs all", Demand{"a", "", 14}, 0, 0, 2},
+		{"already met", Demand{"b", "dc1", 2}, 0, 0, 0},
+		{"from the same data centre", Demand{"b", "dc1", 5}, 3, 0, 0},
+		{"from another data centre if none is left", Demand{"b", "dc1", 7}, 5, 1, 0},
+		{"no more than the budgets allow", Demand{"b", "", 20}, 6, 0, 8},
+		{"none from a pool that needs all its VMs", Demand{"a", "", 14}, 0, 0, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			moves, missing := Suggest(w.f, []Demand{c.demand})
+			moves, missing := Suggest(w.fleet, []Demand{c.demand})
 			within := slices.DeleteFunc(slices.Clone(moves), func(m Move) bool { return m.Crosses })
 			left := 0
 			for _, d := range missing {
@@ -294,16 +284,15 @@
 	}
 }
 
-// Symptom: the night is over and VMs are still being stopped.
-// Sequence: the wave is longer than the night.
-// Cause: VMs are taken without asking whether they will be back in time.
+// Guards against a wave that still takes VMs out of service when they would not
+// be back before the end of the night.
 func TestWaveStopsCleanlyWhenTheNightEnds(t *testing.T) {
 	w := newWorld(4)
 	w.addPool("p", 12, 3, tackfleet.Budget{MinAvailable: 11}, true)
 	w.cfg = Settings{Prefer: PreferTime, NightEnds: w.now.Add(30 * tackclock.Minute)}
 	plan := w.planner.Cost(w, "p", tackfleet.ActionReboot, 0, w.cfg)
 	if !strings.Contains(plan.Problem, "the night ends") {
-		t.Fatalf("the plan does not say so before the start: %+v", plan)
+		t.Fatalf("the plan does not mention the end of the night: %+v", plan)
 	}
 	w.startWave("n", "p", tackfleet.ActionReboot, 0)
 	if took := w.run(longest); took > 30*tackclock.Minute {
@@ -314,20 +303,20 @@
 	assertWave(t, w, "n", tackfleet.WaveStopped, "the night ends")
 }
 
-// Symptom: budgets break, VMs stay drained, are rebooted twice or with work
-// in flight.
-// Sequence: any mix of lost VMs, second losses, operations that break or
-// fail, lost answers, leaders that change between two changes, and operators
-// who pause, resume, cancel, drain and move.
-// Cause: a decision that rests on memory instead of the replicated state, or
-// a budget checked by the proposer only.
+// TestNothingIsLeftBehindOrBroken combines lost VMs, second losses, operations
+// that break a VM or fail, lost answers, leaders replaced between two changes,
+// and operators that pause, resume, cancel, drain and move. It fails if a
+// budget is broken, or if a VM stays drained, is operated on twice or is
+// stopped with work in flight. Such faults come from decisions based on a
+// leader's memory instead of the replicated state, or from a budget that only
+// the proposer checks.
 func TestNothingIsLeftBehindOrBroken(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(rapid.Uint64().Draw(t, "seed"))
 		chance := func(name string, most float64) float64 { return rapid.Float64Range(0, most).Draw(t, name) }
 		w.faults = faults{
-			loss: chance("loss", 0.001), second: chance("second", 0.3), breaks: chance("breaks", 0.1),
-			refused: chance("refused", 0.1), mute: chance("mute", 0.5), restart: chance("restart", 0.5),
+			loss: chance("loss", 0.001), secondLoss: chance("second", 0.3), breaks: chance("breaks", 0.1),
+			refused: chance("refused", 0.1), lostAnswer: chance("mute", 0.5), restart: chance("restart", 0.5),
 			busy: chance("busy", 0.2),
 		}
 		w.cfg.Prefer = Prefer(rapid.IntRange(0, 1).Draw(t, "prefer"))
@@ -350,7 +339,7 @@
 	})
 }
 
-// command draws what an operator does next.
+// command draws an operator's next command.
 func command(t *rapid.T, w *world) tackcommand.Command {
 	wave := tackid.Wave(rapid.SampledFrom([]string{"wa", "wb", "second"}).Draw(t, "wave"))
 	vm := rapid.SampledFrom(w.ids).Draw(t, "vm")
@@ -363,20 +352,20 @@
 	}).Draw(t, "command")
 }
 
-// settleDown lets the faults end, undoes the operators' drains and cancels
-// the waves: what is out must come back by itself.
+// settleDown ends the faults, cancels the waves, lets their VMs return to
+// service and undoes the operators' drains.
 func (w *world) settleDown() {
 	w.faults = faults{restart: w.restart}
 	for _, wave := range []string{"wa", "wb", "second"} {
 		w.change(wave, tackcommand.WaveCancel)
 	}
-	// The longest way back: an operation up to its limit, then four times as
-	// long for a VM whose whole data centre seems lost.
+	// The longest time until a VM returns: an operation up to its limit, then
+	// four times as long for a VM whose whole data centre seems lost.
 	w.cfg = w.cfg.withDefaults()
-	for range (1 + domainPatience + 1) * w.cfg.OperationLimit / w.step {
+	for range (1 + domainWaitFactor + 1) * w.cfg.OperationLimit / w.step {
 		w.tick()
 	}
-	for vm := range w.f.EachVM() {
+	for vm := range w.fleet.EachVM() {
 		if vm.State == tackfleet.VMDrained && vm.Wave == "" {
 			w.do(tackcommand.Command{UndrainVM: &tackcommand.UndrainVM{VM: vm.ID}})
 		}
--- a/core/tackwave/progress.go
+++ b/core/tackwave/progress.go
@@ -8,51 +8,51 @@
 	"auburntack/core/tackid"
 )
 
-// lateFactor is how many times the expected time away a VM may take before
-// the wave goes on more narrowly.
-const lateFactor = 2
+// overdueFactor is how many times the expected time a VM may be out of service
+// before it counts as overdue and the wave takes fewer VMs at once.
+const overdueFactor = 2
 
-// progress is where a running wave stands.
+// progress groups the VMs of a running wave by how far they are.
 type progress struct {
-	waiting []*tackfleet.VM     // in service, may be taken
-	blocked []*tackfleet.WaveVM // lost, or held by something else
-	out     int                 // out of service
-	settled int                 // back, and settling
-	done    int
-	failed  []tackid.VM
-	skipped int
-	late    int            // out for much longer than expected
-	quiet   tackclock.Time // the newest change of a phase
+	waiting    []*tackfleet.VM     // in service and not yet maintained
+	blocked    []*tackfleet.WaveVM // lost, or held by another wave or an operator
+	out        int                 // out of service
+	settling   int                 // back in service and settling
+	done       int
+	failed     []tackid.VM
+	skipped    int
+	overdue    int            // out of service for much longer than expected, or lost while settling
+	lastChange tackclock.Time // time of the last phase change
 }
 
-// goOn ends, stops or widens a running wave.
-func (t *tick) goOn(w *tackfleet.Wave, p *progress) {
-	if reason, stop := t.broken(w, p); stop {
-		t.end(w, tackfleet.WaveStopped, reason)
+// continueWave stops or finishes a running wave, or takes its next VMs.
+func (t *tick) continueWave(w *tackfleet.Wave, p *progress) {
+	if reason, stop := t.mustStop(w, p); stop {
+		t.endWave(w, tackfleet.WaveStopped, reason)
 		return
 	}
 	if len(p.waiting) == 0 && p.held() == 0 {
-		t.wrapUp(w, p)
+		t.finishWave(w, p)
 		return
 	}
 	t.step(w, p)
 }
 
-// progress counts the wave's VMs by phase.
+// progress returns the progress of the wave.
 func (t *tick) progress(w *tackfleet.Wave) progress {
-	p := progress{quiet: w.Started}
+	p := progress{lastChange: w.Started}
 	for i := range w.VMs {
 		m := &w.VMs[i]
-		p.quiet = max(p.quiet, m.Since)
+		p.lastChange = max(p.lastChange, m.Since)
 		switch {
 		case t.done[m.VM] && m.Phase == tackfleet.PhaseSettling:
 			p.done++
 		case m.Phase == tackfleet.PhaseSettling:
-			p.settled++
-			p.late += t.overdue(m)
+			p.settling++
+			p.overdue += t.overdue(m)
 		case held(m.Phase):
 			p.out++
-			p.late += t.overdue(m)
+			p.overdue += t.overdue(m)
 		case m.Phase == tackfleet.PhaseDone:
 			p.done++
 		case m.Phase == tackfleet.PhaseFailed:
@@ -70,13 +70,13 @@
 	return p
 }
 
-// takeable reports whether a VM serves and nothing holds it.
+// takeable reports whether a VM is serving and not held by a wave.
 func takeable(vm *tackfleet.VM) bool {
 	return vm.Wave == "" && vm.State == tackfleet.VMInService && vm.Health == tackfleet.HealthServing
 }
 
-// overdue returns 1 for a VM that should have been back by now, or that was
-// lost while it settled.
+// overdue returns 1 for a VM that should have been back by now or that was
+// lost while it was settling, and 0 otherwise.
 func (t *tick) overdue(m *tackfleet.WaveVM) int {
 	vm, ok := t.f.VM(m.VM)
 	if !ok {
@@ -87,28 +87,28 @@
 		return 1
 	case m.Phase != tackfleet.PhaseOperating && m.Phase != tackfleet.PhaseReturning:
 		return 0
-	case t.now.Sub(m.Since) > lateFactor*(t.times.operation.or(t.cfg.Reboot)+t.times.back.or(expectedBack)):
+	case t.now.Sub(m.Since) > overdueFactor*(t.times.operation.or(t.cfg.Reboot)+t.times.back.or(expectedBack)):
 		return 1
 	}
 	return 0
 }
 
-// held returns how many VMs are out of service or settle.
+// held returns the number of VMs that are out of service or settling.
 func (p *progress) held() int {
-	return p.out + p.settled
+	return p.out + p.settling
 }
 
-// wrapUp ends a wave that has no VM left to take. VMs that are lost, or that
-// an operator holds, are waited for a while and then left out.
-func (t *tick) wrapUp(w *tackfleet.Wave, p *progress) {
+// finishWave ends a wave that has no VMs left to take. It waits for VMs that
+// are lost or held by an operator for LostWait and then skips them.
+func (t *tick) finishWave(w *tackfleet.Wave, p *progress) {
 	if len(p.blocked) == 0 {
-		t.end(w, tackfleet.WaveFinished, p.summary())
+		t.endWave(w, tackfleet.WaveFinished, p.summary())
 		return
 	}
 	var skip []tackfleet.WavePhase
 	for _, m := range p.blocked {
-		if !t.leaveOut(w, m, p) {
-			t.hold(w, m.VM, "it is lost or held elsewhere")
+		if !t.shouldSkip(w, m, p) {
+			t.addHold(w, m.VM, "it is lost or held elsewhere")
 			continue
 		}
 		skip = append(skip, tackfleet.WavePhase{
@@ -120,8 +120,8 @@
 	}
 }
 
-// leaveOut reports whether the wave ends without the VM.
-func (t *tick) leaveOut(w *tackfleet.Wave, m *tackfleet.WaveVM, p *progress) bool {
+// shouldSkip reports whether the wave is to end without the VM.
+func (t *tick) shouldSkip(w *tackfleet.Wave, m *tackfleet.WaveVM, p *progress) bool {
 	vm, ok := t.f.VM(m.VM)
 	if !ok || vm.Pool != w.Pool {
 		return true
@@ -129,10 +129,11 @@
 	if vm.Wave != "" && vm.Wave != w.ID {
 		return false // another wave brings it back
 	}
-	return t.now.Sub(p.quiet) >= t.cfg.LostWait
+	return t.now.Sub(p.lastChange) >= t.cfg.LostWait
 }
 
-// summary says what a finished wave did not do, empty where it did all.
+// summary describes a finished wave that did not maintain all of its VMs. It is
+// empty if all were maintained.
 func (p *progress) summary() string {
 	if len(p.failed) == 0 && p.skipped == 0 {
 		return ""
--- a/core/tackwave/resumed_test.go
+++ b/core/tackwave/resumed_test.go
@@ -9,10 +9,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Symptom: a wave that stopped at the end of its night stops again as soon as
-// it is resumed the next night.
-// Sequence: started in one night, resumed a day later.
-// Cause: the end of the night counted from the start of the wave.
+// Guards against a wave that was stopped at the end of a night and is stopped
+// again as soon as it is resumed a day later, because the end of the night was
+// computed from the start of the wave.
 func TestResumedWaveHasANightOfItsOwn(t *testing.T) {
 	cfg := Settings{Night: 4 * tackclock.Hour}
 	started := tackclock.Time(22 * tackclock.Hour)
--- a/core/tackwave/room.go
+++ b/core/tackwave/room.go
@@ -9,66 +9,68 @@
 )
 
 const (
-	// reserveNone keeps nothing back: the budget alone holds.
+	// reserveNone keeps no VMs in reserve; only the budgets limit the waves.
 	reserveNone reserve = iota
-	// reserveRack keeps enough back for the loss of any one rack.
+	// reserveRack keeps enough VMs in reserve for the loss of any one rack.
 	reserveRack
-	// reserveDataCentre keeps enough back for the loss of any one data
-	// centre.
+	// reserveDataCentre keeps enough VMs in reserve for the loss of any one
+	// data centre.
 	reserveDataCentre
 )
 
 type (
-	// reserve is the failure domain whose loss the pool must stand while
-	// VMs are out.
+	// reserve is the failure domain whose loss the pool must tolerate while
+	// VMs are out of service.
 	reserve uint8
 
-	// rackID names a rack; racks of two data centres may share a name.
+	// rackID identifies a rack. Rack names are unique only within a data
+	// centre.
 	rackID struct {
 		dataCentre tackid.DataCentre
 		rack       tackid.Rack
 	}
 
-	// room is what the budgets of one pool leave free. Its counts go down as
-	// VMs are taken in the same tick.
-	room struct {
-		census
+	// capacity counts the VMs of a pool to determine how many of them its
+	// budgets allow to be taken out of service. It is updated as VMs are taken
+	// during a tick.
+	capacity struct {
+		servingCount
 		total     int
 		required  int
-		binding   tackid.Service
-		proven    int // available, and relied upon while others are stopped
-		full      int // available once the waves are through
+		strictest tackid.Service
+		proven    int // available, and reliable enough to stop others
+		full      int // available once the waves have ended
 		largestDC int // VMs of the pool in its largest data centre
 		reserve   reserve
-		tick      int // of the planner, when it was counted
+		tick      int // tick of the planner in which it was computed
 	}
 
-	// census counts the VMs that serve, by failure domain. Settling ones are
-	// among them: they serve if another domain is lost.
-	census struct {
+	// servingCount counts the VMs that are serving, by failure domain. Settling
+	// VMs are included, since they serve if another domain is lost.
+	servingCount struct {
 		serving int
 		dcs     map[tackid.DataCentre]int
 		racks   map[rackID]int
 	}
 )
 
-// room returns what the pool's budgets leave free now.
-func (t *tick) room(pool tackid.Pool) *room {
-	r := t.rooms[pool]
+// capacity returns the capacity of the pool in this tick.
+func (t *tick) capacity(pool tackid.Pool) *capacity {
+	r := t.capacities[pool]
 	if r == nil {
-		r = &room{census: newCensus()}
-		t.rooms[pool] = r
+		r = &capacity{servingCount: newServingCount()}
+		t.capacities[pool] = r
 	}
-	if r.tick != t.count {
-		*r = room{census: r.cleared(), tick: t.count}
+	if r.tick != t.tickCount {
+		*r = capacity{servingCount: r.cleared(), tick: t.tickCount}
 		t.fill(r, pool)
 	}
 	return r
 }
 
-// fill counts the pool's VMs.
-func (t *tick) fill(r *room, pool tackid.Pool) {
-	base := t.base.cleared()
+// fill computes r from the pool's VMs and budgets.
+func (t *tick) fill(r *capacity, pool tackid.Pool) {
+	base := t.allServing.cleared()
 	clear(t.sizes)
 	for _, vm := range t.members[pool] {
 		r.total++
@@ -86,11 +88,11 @@
 	r.full = base.serving
 	r.largestDC = largest(t.sizes)
 	t.budget(pool, r)
-	r.reserve = base.satisfiable(r.required)
+	r.reserve = base.attainableReserve(r.required)
 }
 
-// proven reports whether a VM may be relied on while others are stopped. One
-// that has just been repaired may not: a second loss often follows.
+// proven reports whether a VM may be relied on while others are stopped. A VM
+// that has just been repaired may not, because it is often lost again soon.
 func (t *tick) proven(vm *tackfleet.VM) bool {
 	if !vm.Available() || vm.State == tackfleet.VMSettling && !t.done[vm.ID] {
 		return false
@@ -98,29 +100,29 @@
 	return !t.repair.settlingAfterRepair(t.now, vm.ID, t.settling())
 }
 
-// budget finds the strictest budget on the pool.
-func (t *tick) budget(pool tackid.Pool, r *room) {
+// budget sets the strictest of the pool's budgets.
+func (t *tick) budget(pool tackid.Pool, r *capacity) {
 	for _, s := range t.f.ServicesOn(pool) {
 		n := tackbudget.Required(s.Budget, r.total)
 		if n > r.required {
 			r.required = n
-			r.binding = s.ID
+			r.strictest = s.ID
 		}
 	}
 }
 
-func newCensus() census {
-	return census{dcs: make(map[tackid.DataCentre]int), racks: make(map[rackID]int)}
+func newServingCount() servingCount {
+	return servingCount{dcs: make(map[tackid.DataCentre]int), racks: make(map[rackID]int)}
 }
 
-// cleared returns an empty census that reuses the maps.
-func (c *census) cleared() census {
+// cleared returns an empty count that reuses the maps of c.
+func (c *servingCount) cleared() servingCount {
 	clear(c.dcs)
 	clear(c.racks)
-	return census{dcs: c.dcs, racks: c.racks}
+	return servingCount{dcs: c.dcs, racks: c.racks}
 }
 
-func (c *census) count(vm *tackfleet.VM, n int) {
+func (c *servingCount) count(vm *tackfleet.VM, n int) {
 	c.serving += n
 	c.dcs[vm.DataCentre] += n
 	if vm.Rack != "" {
@@ -128,26 +130,26 @@
 	}
 }
 
-// satisfiable returns the largest failure domain whose loss the pool could
-// stand with one VM out, if all its other VMs served.
-func (c *census) satisfiable(required int) reserve {
-	if c.serving-1-lossAfterOne(c.dcs) >= required {
+// attainableReserve returns the largest failure domain whose loss the pool
+// could tolerate with one VM out of service and all others serving.
+func (c *servingCount) attainableReserve(required int) reserve {
+	if c.serving-1-largestAfterOne(c.dcs) >= required {
 		return reserveDataCentre
 	}
-	if len(c.racks) > 0 && c.serving-1-lossAfterOne(c.racks) >= required {
+	if len(c.racks) > 0 && c.serving-1-largestAfterOne(c.racks) >= required {
 		return reserveRack
 	}
 	return reserveNone
 }
 
 // take counts the VM as out of service if the budgets and the reserve allow
-// that. Otherwise it returns what binds.
-func (r *room) take(vm *tackfleet.VM) (binds string) {
+// it. Otherwise it returns a description of the constraint.
+func (r *capacity) take(vm *tackfleet.VM) (binds string) {
 	if r.required > 0 && r.proven-1 < r.required {
 		return r.budgetText()
 	}
 	r.count(vm, -1)
-	if binds = r.reserveBinds(); binds != "" {
+	if binds = r.reserveConstraint(); binds != "" {
 		r.count(vm, 1)
 		return binds
 	}
@@ -155,9 +157,9 @@
 	return ""
 }
 
-// reserveBinds names the failure domain whose loss would now break a budget,
-// if the reserve covers such domains.
-func (r *room) reserveBinds() string {
+// reserveConstraint describes the reserve if it does not cover the loss of the
+// largest failure domain any more. Otherwise it returns "".
+func (r *capacity) reserveConstraint() string {
 	if r.required == 0 {
 		return ""
 	}
@@ -174,10 +176,10 @@
 	return ""
 }
 
-// budgetText says which budget binds, and that no reserve stands behind it
-// where none can.
-func (r *room) budgetText() string {
-	text := fmt.Sprintf("budget of service %s (%d of %d VMs)", r.binding, r.required, r.total)
+// budgetText describes the strictest budget, and mentions if it leaves no room
+// for a reserve.
+func (r *capacity) budgetText() string {
+	text := fmt.Sprintf("budget of service %s (%d of %d VMs)", r.strictest, r.required, r.total)
 	if r.reserve == reserveNone {
 		text += ", no reserve: it leaves no room for the loss of a rack"
 	}
@@ -188,9 +190,9 @@
 	return rackID{dataCentre: vm.DataCentre, rack: vm.Rack}
 }
 
-// lossAfterOne returns the largest count once one VM of the largest domain
-// is out.
-func lossAfterOne[K comparable](domains map[K]int) int {
+// largestAfterOne returns the largest count after one VM of the largest domain
+// is taken out of service.
+func largestAfterOne[K comparable](domains map[K]int) int {
 	most, times := 0, 0
 	for _, n := range domains {
 		switch {
--- a/core/tackwave/step.go
+++ b/core/tackwave/step.go
@@ -10,30 +10,31 @@
 )
 
 const (
-	// narrowFor is how long a loss keeps a wave narrow.
-	narrowFor = 20 * tackclock.Minute
-	// maxNarrow bounds how often the width is halved.
-	maxNarrow = 6
+	// slowdownAfterLoss is how long a loss reduces the number of VMs that a
+	// wave may have out of service at once.
+	slowdownAfterLoss = 20 * tackclock.Minute
+	// maxHalvings bounds how many times that number is halved.
+	maxHalvings = 6
 )
 
-// step takes the VMs that may go next out of service.
+// step takes the wave's next VMs out of service.
 func (t *tick) step(w *tackfleet.Wave, p *progress) {
 	if t.nightOver(w, p) {
 		return
 	}
 	free, binds := t.free(w, p)
-	r := t.room(w.Pool)
+	r := t.capacity(w.Pool)
 	vms := t.candidates(w, p, r)
 	var step []tackid.VM
 	for len(vms) > 0 && len(step) < free {
-		i := first(vms)
+		i := nextIndex(vms)
 		if b := r.take(vms[i].vm); b != "" {
 			binds = b
 			break
 		}
 		step = append(step, vms[i].vm.ID)
 		t.taken[vms[i].vm.ID] = true
-		vms = drop(vms, i)
+		vms = removeCandidate(vms, i)
 	}
 	if len(vms) > 0 {
 		t.binds[w.ID] = binds
@@ -45,9 +46,9 @@
 	}
 }
 
-// nightOver stops the wave cleanly where a VM taken now would not be back
-// before the night ends: nothing more is taken, and once all are back the
-// wave waits for an operator.
+// nightOver reports whether a VM taken now would not be back in service before
+// the night ends. Then no more VMs are taken, and the wave is stopped once all
+// of its VMs are back; an operator can resume it.
 func (t *tick) nightOver(w *tackfleet.Wave, p *progress) bool {
 	ends := t.cfg.NightEnds
 	if ends == 0 || t.now.Add(t.times.away(t.cfg)).Before(ends) {
@@ -56,14 +57,15 @@
 	left := len(p.waiting) + len(p.blocked)
 	t.binds[w.ID] = "the night ends at " + ends.String()
 	if p.held() == 0 {
-		t.end(w, tackfleet.WaveStopped, fmt.Sprintf("the night ends at %s, %d VMs are left", ends, left))
+		t.endWave(w, tackfleet.WaveStopped, fmt.Sprintf("the night ends at %s, %d VMs are left", ends, left))
 	}
 	return true
 }
 
-// free returns how many more VMs the wave may take, and what sets that:
-// first the canary, then twice as many as came back well, up to the bounds;
-// half as many for each recent loss but the first.
+// free returns how many more VMs the wave may take, and the constraint that
+// sets this number. A wave starts with the canary, then may have out twice as
+// many VMs as are done, up to the other limits. Each recent loss after the
+// first halves the number.
 func (t *tick) free(w *tackfleet.Wave, p *progress) (int, string) {
 	free, binds := len(w.VMs), ""
 	lower := func(n int, why string) {
@@ -71,7 +73,7 @@
 			free, binds = max(0, n), why
 		}
 	}
-	if n := t.room(w.Pool).largestDC; n > 0 {
+	if n := t.capacity(w.Pool).largestDC; n > 0 {
 		lower(n-p.out, "no more VMs out than the largest data centre has")
 	}
 	if w.MaxParallel > 0 {
@@ -83,28 +85,29 @@
 	} else {
 		lower(2*p.done-p.held(), "steps grow from the canary")
 	}
-	if n := min(t.losses(w, p), maxNarrow); n > 1 {
+	if n := min(t.losses(w, p), maxHalvings); n > 1 {
 		width := (free + p.held()) >> (n - 1)
 		lower(max(1, width)-p.held(), "VMs were lost lately")
 	}
 	return free, binds
 }
 
-// losses counts what makes the wave narrow: VMs that it lost or that are
-// overdue, and more than one VM of the pool lost of late. A single one says
-// little, and the budget counts it as down already.
+// losses counts the recent losses for which the wave takes fewer VMs: VMs that
+// it lost or that are overdue, and the other VMs of the pool lost recently but
+// one. A single loss outside the wave means little, and the budget counts that
+// VM as down already.
 func (t *tick) losses(w *tackfleet.Wave, p *progress) int {
-	n := p.late
+	n := p.overdue
 	for i := range w.VMs {
 		m := &w.VMs[i]
-		if m.Phase == tackfleet.PhaseFailed && t.now.Sub(m.Since) < narrowFor {
+		if m.Phase == tackfleet.PhaseFailed && t.now.Sub(m.Since) < slowdownAfterLoss {
 			n++
 		}
 	}
 	others := 0
 	for _, vm := range t.members[w.Pool] {
 		if vm.Wave == "" && vm.State == tackfleet.VMInService && vm.Health != tackfleet.HealthServing &&
-			t.now.Sub(vm.HealthSince) < narrowFor {
+			t.now.Sub(vm.HealthSince) < slowdownAfterLoss {
 			others++
 		}
 	}
--- a/core/tackwave/suggest.go
+++ b/core/tackwave/suggest.go
@@ -10,16 +10,16 @@
 )
 
 type (
-	// Demand is how many VMs a pool needs in service, in one data centre, or
-	// anywhere if DataCentre is empty.
+	// Demand is the number of VMs that a pool needs in service in one data
+	// centre, or in any data centre if DataCentre is empty.
 	Demand struct {
 		Pool       tackid.Pool
 		DataCentre tackid.DataCentre
 		VMs        int
 	}
 
-	// Move is one VM to move between pools. Crosses says that it stands in
-	// another data centre than the one in which the VM is needed.
+	// Move is one VM to move between pools. Crosses reports that the VM is in
+	// another data centre than the one in which it is needed.
 	Move struct {
 		VM      tackid.VM
 		From    tackid.Pool
@@ -27,32 +27,35 @@
 		Crosses bool
 	}
 
-	// place is a part of a pool.
-	place struct {
+	// poolPart is the part of a pool in one data centre, or the whole pool if
+	// dataCentre is empty.
+	poolPart struct {
 		pool       tackid.Pool
 		dataCentre tackid.DataCentre
 	}
 
-	// market is what the pools have and can spare.
-	market struct {
-		have    map[place]int // with an empty data centre: the whole pool
-		crossed map[place]int // VMs of other data centres that serve there
-		keep    map[place]int
-		counts  map[tackid.Pool]tackbudget.Count
-		f       *tackfleet.State
-		vms     []tackfleet.VM
-		moves   []Move
-		pending map[tackid.VM]bool
+	// moveSearch is the state of a search for moves: the VMs that the pools have
+	// and can spare.
+	moveSearch struct {
+		serving  map[poolPart]int
+		crossing map[poolPart]int // VMs of other data centres that count for the demand
+		demanded map[poolPart]int // the pool's own demand
+		counts   map[tackid.Pool]tackbudget.Count
+		f        *tackfleet.State
+		vms      []tackfleet.VM
+		moves    []Move
+		pending  map[tackid.VM]bool
 	}
 )
 
-// Suggest returns the fewest moves of VMs between pools that meet the
-// demands, and what of the demands no move can meet. A pool gives only what
-// its own demands and budgets leave over. Moves from within the data centre
-// go first; a VM of another one is taken only where none within serves.
+// Suggest returns the fewest moves of VMs between pools that meet the demands,
+// and the part of the demands that no move can meet. A pool gives only VMs that
+// its own demands and budgets leave free. VMs of another data centre are moved
+// only if there is none left in the data centre of the demand.
 func Suggest(f *tackfleet.State, demands []Demand) (moves []Move, missing []Demand) {
-	m := newMarket(f, demands)
-	// A VM for one data centre serves a demand of its whole pool as well.
+	m := newMoveSearch(f, demands)
+	// Demands for one data centre come first, since their VMs count for a
+	// demand of the whole pool as well.
 	demands = slices.Clone(demands)
 	slices.SortStableFunc(demands, func(a, b Demand) int { return -strings.Compare(string(a.DataCentre), string(b.DataCentre)) })
 	for _, crossing := range []bool{false, true} {
@@ -69,17 +72,17 @@
 	return m.moves, missing
 }
 
-func newMarket(f *tackfleet.State, demands []Demand) *market {
-	m := &market{
-		have:    make(map[place]int),
-		crossed: make(map[place]int),
-		keep:    make(map[place]int),
-		counts:  make(map[tackid.Pool]tackbudget.Count),
-		f:       f,
-		pending: make(map[tackid.VM]bool),
+func newMoveSearch(f *tackfleet.State, demands []Demand) *moveSearch {
+	m := &moveSearch{
+		serving:  make(map[poolPart]int),
+		crossing: make(map[poolPart]int),
+		demanded: make(map[poolPart]int),
+		counts:   make(map[tackid.Pool]tackbudget.Count),
+		f:        f,
+		pending:  make(map[tackid.VM]bool),
 	}
 	for _, d := range demands {
-		m.keep[placeOf(d)] = max(m.keep[placeOf(d)], d.VMs)
+		m.demanded[partOf(d)] = max(m.demanded[partOf(d)], d.VMs)
 	}
 	for _, p := range f.Pools() {
 		m.counts[p.ID] = f.Count(p.ID)
@@ -87,24 +90,24 @@
 	for vm := range f.EachVM() {
 		if vm.Available() && vm.State == tackfleet.VMInService && vm.Wave == "" {
 			m.vms = append(m.vms, *vm)
-			m.have[place{vm.Pool, vm.DataCentre}]++
-			m.have[place{vm.Pool, ""}]++
+			m.serving[poolPart{vm.Pool, vm.DataCentre}]++
+			m.serving[poolPart{vm.Pool, ""}]++
 		}
 	}
 	return m
 }
 
-func placeOf(d Demand) place {
-	return place{pool: d.Pool, dataCentre: d.DataCentre}
+func partOf(d Demand) poolPart {
+	return poolPart{pool: d.Pool, dataCentre: d.DataCentre}
 }
 
-// need returns how many VMs the demand still lacks.
-func (m *market) need(d Demand) int {
-	return d.VMs - m.have[placeOf(d)] - m.crossed[placeOf(d)]
+// need returns the number of VMs still missing for the demand.
+func (m *moveSearch) need(d Demand) int {
+	return d.VMs - m.serving[partOf(d)] - m.crossing[partOf(d)]
 }
 
-// move adds the best move toward the demand and reports whether there is one.
-func (m *market) move(d Demand, crossing bool) bool {
+// move adds the best move for the demand and reports whether there is one.
+func (m *moveSearch) move(d Demand, crossing bool) bool {
 	best, most := -1, 0
 	for i := range m.vms {
 		vm := &m.vms[i]
@@ -119,30 +122,30 @@
 	if best < 0 {
 		return false
 	}
-	m.give(&m.vms[best], d, crossing)
+	m.add(&m.vms[best], d, crossing)
 	return true
 }
 
-// spare returns how many VMs the VM's pool can give from there.
-func (m *market) spare(vm *tackfleet.VM) int {
-	whole := place{vm.Pool, ""}
-	part := place{vm.Pool, vm.DataCentre}
-	spare := min(m.have[whole]-m.keep[whole], m.have[part]-m.keep[part])
+// spare returns how many VMs the VM's pool can give from the VM's data centre.
+func (m *moveSearch) spare(vm *tackfleet.VM) int {
+	whole := poolPart{vm.Pool, ""}
+	part := poolPart{vm.Pool, vm.DataCentre}
+	spare := min(m.serving[whole]-m.demanded[whole], m.serving[part]-m.demanded[part])
 	for _, s := range m.f.ServicesOn(vm.Pool) {
 		spare = min(spare, tackbudget.Free(s.Budget, m.counts[vm.Pool]))
 	}
 	return spare
 }
 
-func (m *market) give(vm *tackfleet.VM, d Demand, crossing bool) {
+func (m *moveSearch) add(vm *tackfleet.VM, d Demand, crossing bool) {
 	m.pending[vm.ID] = true
-	m.have[place{d.Pool, ""}]++
-	m.have[place{d.Pool, vm.DataCentre}]++
+	m.serving[poolPart{d.Pool, ""}]++
+	m.serving[poolPart{d.Pool, vm.DataCentre}]++
 	if crossing {
-		m.crossed[placeOf(d)]++
+		m.crossing[partOf(d)]++
 	}
-	m.have[place{vm.Pool, ""}]--
-	m.have[place{vm.Pool, vm.DataCentre}]--
+	m.serving[poolPart{vm.Pool, ""}]--
+	m.serving[poolPart{vm.Pool, vm.DataCentre}]--
 	c := m.counts[vm.Pool]
 	c.Available--
 	c.Proven--
--- a/core/tackwave/times.go
+++ b/core/tackwave/times.go
@@ -9,18 +9,20 @@
 )
 
 const (
-	// learnRate is the weight of the newest duration, one part in learnRate.
-	learnRate = 8
-	// priorWeight is how many durations the expectation counts for.
-	priorWeight = 3
-
-	// repairHorizon is how long after a repair a loss counts as the second
-	// one, and the longest settling time.
+	// meanSamples limits the weight of a new duration in the mean: in the long
+	// run it is one part in meanSamples.
+	meanSamples = 8
+	// priorSamples is the number of samples that the expected duration counts
+	// for in the mean.
+	priorSamples = 3
+
+	// repairHorizon is how long after a repair a loss counts as a second loss.
+	// It is also the longest settling time.
 	repairHorizon = 10 * tackclock.Minute
-	// minSecondLosses is how many second losses must have been seen before
-	// the settling time follows them.
+	// minSecondLosses is the number of second losses needed to derive the
+	// settling time from them.
 	minSecondLosses = 3
-	// maxRepairs bounds how many repairs are remembered.
+	// maxRepairs is the number of repairs that are remembered.
 	maxRepairs = 512
 	// acceptedShare is the share of repairs, one in acceptedShare, that may
 	// be followed by a loss after the settling time.
@@ -33,45 +35,47 @@
 )
 
 type (
-	// span is a learned duration. Its zero value has seen nothing.
-	span struct {
-		mean tackclock.Duration
-		seen int // up to learnRate-priorWeight
+	// learnedDuration is a learned duration. Its zero value has no samples.
+	learnedDuration struct {
+		mean    tackclock.Duration
+		samples int // number of samples, up to meanSamples-priorSamples
 	}
 
-	// times are the durations of one VM's maintenance.
+	// times holds the learned durations of the maintenance of one VM.
 	times struct {
-		drain     span
-		operation span
-		back      span
+		drain     learnedDuration
+		operation learnedDuration
+		back      learnedDuration
 	}
 
-	// repairs learns how long a VM that came back must serve before it can
-	// be relied on.
+	// repairs learns how long a repaired VM must serve before it can be
+	// relied on.
 	repairs struct {
 		away    map[tackid.VM]bool
 		back    map[tackid.VM]tackclock.Time
-		delays  []tackclock.Duration // after a repair, to the next loss; noLoss for none
-		losses  int                  // how many delays are not noLoss
-		settled tackclock.Duration
+		delays  []tackclock.Duration // from a repair to the next loss, or noLoss
+		losses  int                  // number of delays that are not noLoss
+		learned tackclock.Duration   // the learned settling time
 	}
 )
 
-// noLoss stands for a repair that no loss followed.
+// noLoss is the delay of a repair that was not followed by a loss.
 const noLoss = repairHorizon + 1
 
-// add takes in a duration that was seen. What was expected before the first
-// one counts like a few: one slow VM must not make a whole night look late.
-func (s *span) add(d, expected tackclock.Duration) {
-	if s.seen == 0 {
+// add adds a measured duration to the mean. The expected duration counts as
+// priorSamples samples, so that one slow VM at the start does not make the
+// whole night look late.
+func (s *learnedDuration) add(d, expected tackclock.Duration) {
+	if s.samples == 0 {
 		s.mean = expected
 	}
-	s.seen = min(s.seen+1, learnRate-priorWeight)
-	s.mean += (d - s.mean) / tackclock.Duration(s.seen+priorWeight)
+	s.samples = min(s.samples+1, meanSamples-priorSamples)
+	s.mean += (d - s.mean) / tackclock.Duration(s.samples+priorSamples)
 }
 
-func (s *span) or(d tackclock.Duration) tackclock.Duration {
-	if s.seen > 0 {
+// or returns the mean, or d if there are no samples.
+func (s *learnedDuration) or(d tackclock.Duration) tackclock.Duration {
+	if s.samples > 0 {
 		return s.mean
 	}
 	return d
@@ -82,9 +86,9 @@
 	return t.drain.or(expectedDrain) + t.operation.or(cfg.Reboot) + t.back.or(expectedBack)
 }
 
-// follow takes in the health of one VM. A VM that was away, lost or under
-// maintenance, and serves again has been repaired.
-func (r *repairs) follow(now tackclock.Time, vm *tackfleet.VM) {
+// observe updates the repairs from the state of one VM. A VM that was lost or
+// under maintenance and serves again has been repaired.
+func (r *repairs) observe(now tackclock.Time, vm *tackfleet.VM) {
 	away := vm.Health == tackfleet.HealthLost || vm.State == tackfleet.VMMaintenance
 	if !away && len(r.away) == 0 && len(r.back) == 0 {
 		return
@@ -112,8 +116,7 @@
 	}
 }
 
-// settlingAfterRepair reports whether the VM came back from a loss less than
-// d ago.
+// settlingAfterRepair reports whether the VM was repaired less than d ago.
 func (r *repairs) settlingAfterRepair(now tackclock.Time, vm tackid.VM, d tackclock.Duration) bool {
 	back, ok := r.back[vm]
 	return ok && now.Sub(back) < d
@@ -121,15 +124,15 @@
 
 func (r *repairs) add(d tackclock.Duration) {
 	r.delays = append(r.delays, d)
-	r.losses += lossIn(d)
+	r.losses += lossCount(d)
 	if len(r.delays) > maxRepairs {
-		r.losses -= lossIn(r.delays[0])
+		r.losses -= lossCount(r.delays[0])
 		r.delays = slices.Delete(r.delays, 0, 1)
 	}
-	r.settled = r.learn()
+	r.learned = r.learn()
 }
 
-func lossIn(d tackclock.Duration) int {
+func lossCount(d tackclock.Duration) int {
 	if d == noLoss {
 		return 0
 	}
@@ -137,7 +140,8 @@
 }
 
 // learn returns the shortest settling time after which at most one repair in
-// acceptedShare was followed by a loss, zero where too few were seen.
+// acceptedShare was followed by a loss. It returns zero if there were too few
+// second losses.
 func (r *repairs) learn() tackclock.Duration {
 	accepted := len(r.delays) / acceptedShare
 	if r.losses < minSecondLosses || r.losses <= accepted {
@@ -148,7 +152,7 @@
 	return sorted[r.losses-1-accepted]
 }
 
-// settling returns the settling time, at least least.
+// settling returns the learned settling time, but no less than least.
 func (r *repairs) settling(least tackclock.Duration) tackclock.Duration {
-	return max(least, min(r.settled, repairHorizon))
+	return max(least, min(r.learned, repairHorizon))
 }
--- a/core/tackwave/world_test.go
+++ b/core/tackwave/world_test.go
@@ -16,69 +16,70 @@
 const never = tackclock.Time(1 << 60)
 
 type (
-	// faults are the chances of what goes wrong; zero is a quiet world.
+	// faults are the probabilities of faults. The zero value has none.
 	faults struct {
-		loss    float64            // per VM and tick: lost for some minutes
-		second  float64            // per repair: lost again soon after
-		breaks  float64            // per operation: the VM does not come back
-		refused float64            // per operation: the platform says that it failed
-		mute    float64            // per question: the platform's answer is lost
-		restart float64            // per tick: the leader changes between two changes
-		busy    float64            // per drain: work that outlasts the drain limit
-		lag     tackclock.Duration // until an accepted operation begins
+		loss       float64            // per VM and tick: the VM is lost for some minutes
+		secondLoss float64            // per repair: the VM is lost again soon after
+		breaks     float64            // per operation: the VM does not come back
+		refused    float64            // per operation: the platform reports a failure
+		lostAnswer float64            // per request: the platform's answer is lost
+		restart    float64            // per tick: the leader is replaced between two changes
+		busy       float64            // per drain: work outlasts the drain limit
+		lag        tackclock.Duration // until an accepted operation starts
 	}
 
 	machine struct {
-		dc       tackid.DataCentre
-		rack     tackid.Rack
-		from, to tackclock.Time // down in between
-		work     map[tackid.Revision]tackclock.Time
-		op       tackid.Operation
-		begins   tackclock.Time
-		ends     tackclock.Time
-		failed   bool
-		until    tackclock.Time      // has work until then
-		runs     map[tackid.Wave]int // operations that ended well
+		dc        tackid.DataCentre
+		rack      tackid.Rack
+		from, to  tackclock.Time // down in between
+		work      map[tackid.Revision]tackclock.Time
+		op        tackid.Operation
+		begins    tackclock.Time
+		ends      tackclock.Time
+		failed    bool
+		busyUntil tackclock.Time      // has work until then
+		runs      map[tackid.Wave]int // successful operations
 	}
 
-	// world is a fleet and its platform on a model clock. It applies what
-	// the planner decides and checks each change by rules of its own.
+	// world simulates a fleet and its platform. It applies the planner's
+	// decisions and checks each change independently of the planner.
 	world struct {
 		faults
-		now      tackclock.Time
-		step     tackclock.Duration
-		rev      tackid.Revision
-		f        *tackfleet.State
-		rng      *rand.Rand
-		cfg      Settings
-		planner  *Planner
-		baseline func(w *world, d Decision) Decision
-		record   bool // no platform
-		machines map[tackid.VM]*machine
-		ids      []tackid.VM
-		budgets  map[tackid.Service]tackfleet.Budget
-		pools    map[tackid.Service]tackid.Pool
-		wrong    []string
-		reboots  map[tackid.Pool][]tackclock.Duration
-		peak     int // VMs out of service at once
-		drains   int
-		refusals int                // steps that the state refused
-		breaches int                // changes of ours that broke a budget
-		short    tackclock.Duration // time some service was below its budget
+		now        tackclock.Time
+		step       tackclock.Duration
+		rev        tackid.Revision
+		fleet      *tackfleet.State
+		rng        *rand.Rand
+		cfg        Settings
+		planner    *Planner
+		baseline   func(w *world, d Decision) Decision
+		noPlatform bool
+		machines   map[tackid.VM]*machine
+		ids        []tackid.VM
+		budgets    map[tackid.Service]tackfleet.Budget
+		pools      map[tackid.Service]tackid.Pool
+		violations []string
+		reboots    map[tackid.Pool][]tackclock.Duration
+		peak       int // VMs out of service at once
+		drains     int
+		refusals   int                // steps that the state refused
+		breaches   int                // decided changes that broke a budget
+		short      tackclock.Duration // time during which some service was below its budget
 	}
 )
 
 func newWorld(seed uint64) *world {
 	return &world{
-		now: 1_800_000_000_000, step: 5 * tackclock.Second, f: &tackfleet.State{}, planner: &Planner{},
+		now: 1_800_000_000_000, step: 5 * tackclock.Second, fleet: &tackfleet.State{}, planner: &Planner{},
 		rng: rand.New(rand.NewPCG(seed, 7)), machines: map[tackid.VM]*machine{},
 		budgets: map[tackid.Service]tackfleet.Budget{}, pools: map[tackid.Service]tackid.Pool{},
 		reboots: map[tackid.Pool][]tackclock.Duration{},
 	}
 }
 
-// addPool makes a pool of n VMs over the data centres, four to a rack, with
-// one service on it. An unguarded pool's budget is known to the checker only.
+// addPool creates a pool of n VMs spread over the data centres, four to a
+// rack, with one service on it. If guarded is false only the checker knows the
+// budget.
 func (w *world) addPool(name string, n, dcs int, b tackfleet.Budget, guarded bool) {
 	pool, service := tackid.Pool(name), tackid.Service(name)
 	w.do(tackcommand.Command{CreatePool: &tackcommand.CreatePool{Pool: pool}})
@@ -114,8 +115,8 @@
 	return w.apply(tackfleet.Change{Command: &c})
 }
 
-// apply applies a change and counts it as a breach if a service that had
-// enough VMs, or too few already, has fewer than its budget by it.
+// apply applies a change. A change that reduces the VMs of a service to fewer
+// than its budget, or further below it, counts as a breach.
 func (w *world) apply(c tackfleet.Change) *tackfleet.RefusedError {
 	ours := len(c.Observe) == 0 && (c.Command == nil || c.Command.SetBudget == nil)
 	var before map[tackid.Service]int
@@ -123,7 +124,7 @@
 		before, _ = w.serving()
 	}
 	w.rev++
-	refused := w.f.Apply(w.rev, w.now, c).Refused
+	refused := w.fleet.Apply(w.rev, w.now, c).Refused
 	if !ours {
 		return refused
 	}
@@ -143,11 +144,11 @@
 	return refused
 }
 
-// serving counts, for each service, its VMs that may get work and are up, and
-// how many it must have.
+// serving returns, for each service, the number of its VMs that may get work
+// and are up, and the number required by its budget.
 func (w *world) serving() (have, required map[tackid.Service]int) {
 	up, total := make(map[tackid.Pool]int), make(map[tackid.Pool]int)
-	for vm := range w.f.EachVM() {
+	for vm := range w.fleet.EachVM() {
 		total[vm.Pool]++
 		routable := vm.State == tackfleet.VMInService || vm.State == tackfleet.VMSettling
 		if routable && vm.Health == tackfleet.HealthServing {
@@ -165,7 +166,7 @@
 	return have, required
 }
 
-// tick moves the world by one step of its clock.
+// tick advances the clock by one step, and applies the planner's decision.
 func (w *world) tick() {
 	w.now = w.now.Add(w.step)
 	w.fail()
@@ -200,7 +201,7 @@
 	m.from, m.to = from, from.Add(d)
 }
 
-// loseWhere takes down every machine that the condition holds for.
+// loseWhere takes down every machine that meets the condition.
 func (w *world) loseWhere(d tackclock.Duration, where func(m *machine) bool) {
 	for _, id := range w.ids {
 		if m := w.machines[id]; where(m) {
@@ -221,7 +222,7 @@
 		if m.begins <= w.now && w.now < m.ends || m.failed || w.now >= m.from && w.now < m.to {
 			health = tackfleet.HealthLost
 		}
-		if vm, ok := w.f.VM(id); ok && vm.Health != health {
+		if vm, ok := w.fleet.VM(id); ok && vm.Health != health {
 			seen = append(seen, tackfleet.Observation{VM: id, DataCentre: m.dc, Rack: m.rack, Health: health})
 		}
 	}
@@ -230,15 +231,15 @@
 	}
 }
 
-// accept starts an operation, once for each operation id.
+// accept starts an operation, once per operation id.
 func (w *world) accept(o OperationRequest) {
 	m := w.machines[o.VM]
-	vm, _ := w.f.VM(o.VM)
-	if w.rng.Float64() < w.mute || m.op == o.Operation {
+	vm, _ := w.fleet.VM(o.VM)
+	if w.rng.Float64() < w.lostAnswer || m.op == o.Operation {
 		return
 	}
 	if vm.State != tackfleet.VMMaintenance || !w.Idle(o.VM, vm.Fence) {
-		w.wrong = append(w.wrong, fmt.Sprintf("%s stopped in state %v with work in flight", o.VM, vm.State))
+		w.violations = append(w.violations, fmt.Sprintf("%s stopped in state %v with work in flight", o.VM, vm.State))
 	}
 	reboot := w.between(2, 4)
 	m.op, m.begins, m.failed = o.Operation, w.now.Add(w.lag), w.rng.Float64() < w.refused
@@ -248,38 +249,38 @@
 	}
 	w.reboots[vm.Pool] = append(w.reboots[vm.Pool], reboot)
 	if m.runs[vm.Wave]++; m.runs[vm.Wave] > 1 {
-		w.wrong = append(w.wrong, fmt.Sprintf("%s operated twice by %s", o.VM, vm.Wave))
+		w.violations = append(w.violations, fmt.Sprintf("%s operated twice by %s", o.VM, vm.Wave))
 	}
 	switch {
 	case w.rng.Float64() < w.breaks:
 		m.from, m.to = m.ends, never
-	case w.rng.Float64() < w.second:
+	case w.rng.Float64() < w.secondLoss:
 		w.lose(m, m.ends.Add(w.between(0, 2)), w.between(1, 8))
 	}
 }
 
-// check looks for what no single change shows.
+// check checks what can't be seen from a single change.
 func (w *world) check() {
 	out, holders := 0, make(map[tackid.VM]int)
-	for _, wave := range w.f.Waves() {
+	for _, wave := range w.fleet.Waves() {
 		for _, m := range wave.VMs {
 			if held(m.Phase) {
 				holders[m.VM]++
 			}
-			if m.Phase == tackfleet.PhaseDone && !w.record && w.machines[m.VM].runs[wave.ID] == 0 {
-				w.wrong = append(w.wrong, fmt.Sprintf("%s was not operated by %s", m.VM, wave.ID))
+			if m.Phase == tackfleet.PhaseDone && !w.noPlatform && w.machines[m.VM].runs[wave.ID] == 0 {
+				w.violations = append(w.violations, fmt.Sprintf("%s was not operated by %s", m.VM, wave.ID))
 			}
 		}
 		out += wave.Out()
 	}
 	for id, n := range holders {
 		if n > 1 {
-			w.wrong = append(w.wrong, fmt.Sprintf("%s is in %d waves", id, n))
+			w.violations = append(w.violations, fmt.Sprintf("%s is in %d waves", id, n))
 		}
 	}
-	for vm := range w.f.EachVM() {
+	for vm := range w.fleet.EachVM() {
 		if m := w.machines[vm.ID]; vm.Routable() && m.begins <= w.now && w.now < m.ends {
-			w.wrong = append(w.wrong, fmt.Sprintf("%s may get work during its operation", vm.ID))
+			w.violations = append(w.violations, fmt.Sprintf("%s may get work during its operation", vm.ID))
 		}
 	}
 	w.peak = max(w.peak, out)
@@ -292,10 +293,11 @@
 	}
 }
 
-// run ticks until no wave runs or holds a VM, and returns the time it took.
+// run ticks until no wave runs or holds a VM, or until the limit, and returns
+// the time it took.
 func (w *world) run(limit tackclock.Duration) tackclock.Duration {
 	start := w.now
-	for w.now.Sub(start) < limit && w.moving() {
+	for w.now.Sub(start) < limit && w.active() {
 		w.tick()
 	}
 	return w.now.Sub(start)
@@ -304,16 +306,17 @@
 // until ticks until the condition holds.
 func (w *world) until(t *testing.T, what string, done func() bool) {
 	for !done() {
-		if w.tick(); !w.moving() {
+		if w.tick(); !w.active() {
 			t.Fatalf("the wave ended before %s", what)
 		}
 	}
 }
 
-// phases counts the wave's VMs by phase, those that where holds for.
+// phases counts, by phase, the wave's VMs for which where returns true. A nil
+// where selects all.
 func (w *world) phases(wave tackid.Wave, where func(m *machine) bool) map[tackfleet.Phase]int {
 	n := make(map[tackfleet.Phase]int)
-	v, _ := w.f.Wave(wave)
+	v, _ := w.fleet.Wave(wave)
 	for _, m := range v.VMs {
 		if where == nil || where(w.machines[m.VM]) {
 			n[m.Phase]++
@@ -322,8 +325,8 @@
 	return n
 }
 
-func (w *world) moving() bool {
-	return slices.ContainsFunc(w.f.Waves(), func(v tackfleet.Wave) bool {
+func (w *world) active() bool {
+	return slices.ContainsFunc(w.fleet.Waves(), func(v tackfleet.Wave) bool {
 		return v.Status == tackfleet.WaveRunning || v.Holding() > 0
 	})
 }
@@ -332,10 +335,10 @@
 func (w *world) Now() tackclock.Time { return w.now }
 
 // Fleet implements View.
-func (w *world) Fleet() *tackfleet.State { return w.f }
+func (w *world) Fleet() *tackfleet.State { return w.fleet }
 
 // Platform implements View.
-func (w *world) Platform() bool { return !w.record }
+func (w *world) Platform() bool { return !w.noPlatform }
 
 // Fenced implements View.
 func (w *world) Fenced(tackid.Revision) bool { return true }
@@ -349,14 +352,14 @@
 			m.work[fence] = w.now.Add(w.between(12, 30))
 		}
 	}
-	return w.now >= max(m.work[fence], m.until)
+	return w.now >= max(m.work[fence], m.busyUntil)
 }
 
 // Operation implements View.
 func (w *world) Operation(id tackid.VM) OperationStatus {
 	m := w.machines[id]
 	switch {
-	case m.op == "" || w.rng.Float64() < w.mute:
+	case m.op == "" || w.rng.Float64() < w.lostAnswer:
 		return OperationStatus{}
 	case w.now < m.begins:
 		return OperationStatus{State: PlatformServing, Operation: m.op}
