--- a/core/tackplace/answer.go
+++ b/core/tackplace/answer.go
@@ -6,100 +6,101 @@
 	"auburntack/core/tackid"
 )
 
-// takeAnswers takes in what became of the orders.
-func (t *tick) takeAnswers() {
+// processAnswers processes the answers to orders.
+func (t *tick) processAnswers() {
 	for i := range t.v.Answers {
 		a := &t.v.Answers[i]
 		l := t.leases[a.Task]
 		if l == nil || l.token != a.Token {
 			continue
 		}
-		t.takeAnswer(l, a)
+		t.processAnswer(l, a)
 	}
 }
 
-func (t *tick) takeAnswer(l *lease, a *Answer) {
+func (t *tick) processAnswer(l *lease, a *Answer) {
 	if a.Outcome == OutcomeDone {
 		l.answered = t.now
 	}
 	if a.Verb == VerbStart {
-		t.startAnswered(l, a)
+		t.processStartAnswer(l, a)
 		return
 	}
-	// A stop that failed is sent again only after a while.
+	// A stop that failed is not resent at once.
 	if l.pending == a.Verb && (a.Verb != VerbStop || a.Outcome == OutcomeNotSent) {
 		l.pending = ""
 	}
 	switch {
 	case a.Verb == VerbStop && a.Outcome == OutcomeDone:
-		t.stopped(l)
+		t.endStopped(l)
 	case a.Verb == VerbCheckpoint && a.Outcome == OutcomeDone:
 		l.checkpointed = true
 	case a.Verb == VerbRenew && a.Outcome == OutcomeNotSent:
 		l.renewed = 0
 	case a.Verb == VerbRenew && a.Outcome == OutcomeUnknown:
-		// Long before the worker ends the task by itself.
+		// Renew again soon, well before the lease runs out on the worker.
 		l.renewed = l.renewed.Add(-t.cfg.Lease / 4)
-	case a.Verb == VerbThrottle && a.Outcome != OutcomeDone && a.Cores == l.bound():
+	case a.Verb == VerbThrottle && a.Outcome != OutcomeDone && a.Cores == l.throttledCores():
 		l.throttled = 0
 	case a.Verb == VerbThrottle && a.Outcome != OutcomeDone:
-		l.throttled = l.bound()
+		l.throttled = l.throttledCores()
 	}
 }
 
-// startAnswered takes in the answer to a start. Without one the start may still
-// arrive, so startable stays as it is.
-func (t *tick) startAnswered(l *lease, a *Answer) {
+// processStartAnswer processes the answer to a start. If the outcome is
+// unknown the start may still arrive, so startArrivesBy is not changed.
+func (t *tick) processStartAnswer(l *lease, a *Answer) {
 	if l.pending == VerbStart {
 		l.pending = ""
 	}
 	switch {
 	case a.Outcome == OutcomeDone:
-		l.showed()
+		l.confirm()
 	case l.resent:
-		// Refused or not, the worker may have it from the first start.
-		l.again = a.Outcome == OutcomeNotSent
+		// Even if it refused, the worker may have the task from the first
+		// start.
+		l.resend = a.Outcome == OutcomeNotSent
 	case a.Outcome == OutcomeUnknown:
-		l.again = l.row.Idempotent
+		l.resend = l.row.Idempotent
 	case a.Outcome == OutcomeRefused:
-		t.over(l)
-		t.failedOn(l.worker)
+		t.markEnded(l)
+		t.countFailure(l.worker)
 		t.requeue(l, tackfleet.TryNotStarted, string(l.worker)+" refused it: "+a.Reason)
 	case a.Outcome == OutcomeNotSent:
 		l.sent = false
 		if l.row.State != tackfleet.TaskRunning {
-			t.over(l)
+			t.markEnded(l)
 		}
 	}
 }
 
-// showed notes that the worker has, or had, the task: a start that comes again
-// under the same token does nothing.
-func (l *lease) showed() {
-	l.shown = true
-	l.startable = 0
+// confirm records that the worker has or had the task. A start that arrives
+// later under the same token has no effect.
+func (l *lease) confirm() {
+	l.confirmed = true
+	l.startArrivesBy = 0
 }
 
-// stopped ends a lease whose task its worker has stopped.
-func (t *tick) stopped(l *lease) {
+// endStopped ends a lease after its worker has stopped the task.
+func (t *tick) endStopped(l *lease) {
 	if l.row.State == tackfleet.TaskRunning {
 		t.requeue(l, tackfleet.TryStopped, "made room on "+string(l.worker))
 	}
-	t.over(l)
+	t.markEnded(l)
 }
 
-// over notes that the worker has the task no more.
-func (t *tick) over(l *lease) {
-	l.until = t.now
-	l.gone = true
+// markEnded records that the worker does not run the task any more.
+func (t *tick) markEnded(l *lease) {
+	l.expires = t.now
+	l.ended = true
 	if l.row.State != tackfleet.TaskRunning {
 		l.dropped = true
 		delete(t.leases, l.task)
 	}
 }
 
-// takeReports takes in what workers say of their tasks.
-func (t *tick) takeReports() {
+// processReports processes the reports on the workers' tasks.
+func (t *tick) processReports() {
 	if len(t.v.Reports) == 0 {
 		return
 	}
@@ -109,93 +110,95 @@
 	}
 	for i := range t.v.Reports {
 		r := &t.v.Reports[i]
-		if r.Asked.Before(t.heard[r.Worker]) {
+		if r.Asked.Before(t.reported[r.Worker]) {
 			continue
 		}
-		t.heard[r.Worker] = r.Asked
-		t.takeReport(r, on[r.Worker])
+		t.reported[r.Worker] = r.Asked
+		t.processReport(r, on[r.Worker])
 	}
 }
 
-func (t *tick) takeReport(r *Report, on []*lease) {
+func (t *tick) processReport(r *Report, on []*lease) {
 	listed := make(map[tackid.Task]bool, len(r.Tasks))
 	for i := range r.Tasks {
 		u := &r.Tasks[i]
 		l := t.leases[u.Task]
 		if l == nil || l.token != u.Token {
-			t.stray(r.Worker, u)
+			t.handleUnleased(r.Worker, u)
 			continue
 		}
 		listed[u.Task] = true
-		t.takeUsage(l, u)
+		t.processUsage(l, u)
 	}
 	lost := false
 	for _, l := range on {
-		if !listed[l.task] && t.surelyGone(l, r.Asked) {
-			lost = lost || l.shown
-			t.vanished(l)
+		if !listed[l.task] && t.certainlyEnded(l, r.Asked) {
+			lost = lost || l.confirmed
+			t.endUnlisted(l)
 		}
 	}
 	if lost {
-		// Once, however many: a worker that restarted is not one that fails
-		// what it starts.
-		t.failedOn(r.Worker)
+		// Count one failure for all tasks: the worker may just have been
+		// restarted.
+		t.countFailure(r.Worker)
 	}
 }
 
-func (t *tick) takeUsage(l *lease, u *Usage) {
-	l.showed()
+func (t *tick) processUsage(l *lease, u *Usage) {
+	l.confirm()
 	l.answered = t.now
 	if !u.State.ended() {
 		t.learn(l, u)
 		return
 	}
 	if l.row.State == tackfleet.TaskRunning {
-		t.endedAs(l, u.State)
+		t.endAs(l, u.State)
 	}
-	t.over(l)
+	t.markEnded(l)
 }
 
-// endedAs proposes what a worker said of a task that ended there.
-func (t *tick) endedAs(l *lease, state UsageState) {
+// endAs proposes the end of a try by the final state that its worker reported.
+func (t *tick) endAs(l *lease, state UsageState) {
 	switch {
 	case state == StateDone:
-		t.learnTime(l)
-		t.workedOn(l)
+		t.learnRunTime(l)
+		t.clearFailures(l)
 		t.finish(l, tackfleet.TaskChange{State: tackfleet.TaskDone})
 	case state == StateStopped && l.stage != stageRunning:
 		t.requeue(l, tackfleet.TryStopped, "made room on "+string(l.worker))
 	case state == StateStopped:
 		t.requeue(l, tackfleet.TryFailed, "stopped on "+string(l.worker)+" without our asking")
 	default:
-		t.failedOn(l.worker)
+		t.countFailure(l.worker)
 		t.requeue(l, tackfleet.TryFailed, "failed on "+string(l.worker))
 	}
 }
 
-// surelyGone reports whether a list without the task shows that the task runs
-// no more, rather than that the list is older than the start.
-func (t *tick) surelyGone(l *lease, asked tackclock.Time) bool {
-	if !l.sent || l.gone {
+// certainlyEnded reports whether a report without the task, requested at asked,
+// means that the task does not run any more. Otherwise the report may be older
+// than the start.
+func (t *tick) certainlyEnded(l *lease, asked tackclock.Time) bool {
+	if !l.sent || l.ended {
 		return false
 	}
-	begun := l.sentAt
-	if !l.shown {
-		begun = begun.Add(t.cfg.OrderLimit)
+	startedBy := l.sentAt
+	if !l.confirmed {
+		startedBy = startedBy.Add(t.cfg.OrderLimit)
 	}
-	return asked.Add(-t.cfg.UsageLag).After(begun)
+	return asked.Add(-t.cfg.UsageLag).After(startedBy)
 }
 
-// vanished ends a try whose worker doesn't know the task.
-func (t *tick) vanished(l *lease) {
+// endUnlisted ends a try because its worker does not know the task any more.
+func (t *tick) endUnlisted(l *lease) {
 	if l.row.State == tackfleet.TaskRunning {
 		t.requeue(l, tackfleet.TryFailed, string(l.worker)+" has it no more")
 	}
-	t.over(l)
+	t.markEnded(l)
 }
 
-// stray handles a task that a worker lists and has no lease for.
-func (t *tick) stray(vm tackid.VM, u *Usage) {
+// handleUnleased handles a task in a worker's report for which there is no
+// lease.
+func (t *tick) handleUnleased(vm tackid.VM, u *Usage) {
 	row, ok := t.f.Task(u.Task)
 	switch {
 	case ok && row.State == tackfleet.TaskUnknown && row.Token == u.Token && u.State == StateDone:
--- a/core/tackplace/bench_test.go
+++ b/core/tackplace/bench_test.go
@@ -12,8 +12,8 @@
 )
 
 type (
-	// scenario is a pool of workers under more batch work than it holds, to
-	// which urgent tasks come.
+	// scenario is a pool with more batch work than it has room for, and urgent
+	// tasks that are created over time.
 	scenario struct {
 		name                     string
 		workers, cores, memoryMB int
@@ -27,45 +27,45 @@
 		urgent         int
 		unknown        int // not idempotent, and the start was lost
 		p50, p99, p999 tackclock.Duration
-		used, plain    float64 // parts of the cores, by the placer and the baseline
+		used, firstFit float64 // share of the cores in use, with the placer and with first fit
 		moves, tasks   int
-		over           float64 // part of worker ticks with more cores in use than there are
+		over           float64 // share of worker ticks with overcommitted cores
 	}
 )
 
 var (
-	brittany  = scenario{"Brittany", 50, 16, 32_000, 10, 5 * tackclock.Minute, 15 * tackclock.Minute, 0, 0}
-	mindanao  = scenario{"Mindanao", 50, 32, 128_000, 10, 5 * tackclock.Minute, 15 * tackclock.Minute, 0, 0}
-	letter    = scenario{"letter 1", 2300, 16, 32_000, 45, 3 * tackclock.Minute, 3 * tackclock.Minute, 0, 0}
-	scenarios = []scenario{brittany, mindanao, letter, brittany.losing(0.005), brittany.tight(5), brittany.tight(1), brittany.tight(20)}
+	brittany   = scenario{"Brittany", 50, 16, 32_000, 10, 5 * tackclock.Minute, 15 * tackclock.Minute, 0, 0}
+	mindanao   = scenario{"Mindanao", 50, 32, 128_000, 10, 5 * tackclock.Minute, 15 * tackclock.Minute, 0, 0}
+	largeFleet = scenario{"large fleet", 2300, 16, 32_000, 45, 3 * tackclock.Minute, 3 * tackclock.Minute, 0, 0}
+	scenarios  = []scenario{brittany, mindanao, largeFleet, brittany.withLoss(0.005), brittany.withHeadroom(5), brittany.withHeadroom(1), brittany.withHeadroom(20)}
 )
 
-func (s scenario) losing(part float64) scenario {
+func (s scenario) withLoss(part float64) scenario {
 	s.name += ", orders lost"
 	s.loss = part
 	return s
 }
 
-func (s scenario) tight(headroom int) scenario {
+func (s scenario) withHeadroom(headroom int) scenario {
 	s.name += fmt.Sprintf(", headroom %d %%", headroom)
 	s.headroom = headroom
 	return s
 }
 
-// batch makes the sizes of a batch task: declared ones, and by what part of
-// them it really goes.
+// batch draws the declared sizes of a batch task.
 func (w *world) batch(s *scenario) (cores, memory int) {
-	return 1 + w.rnd.IntN(s.cores/4), s.memoryMB / s.cores / 2 * (1 + w.rnd.IntN(6))
+	return 1 + w.rng.IntN(s.cores/4), s.memoryMB / s.cores / 2 * (1 + w.rng.IntN(6))
 }
 
-func (w *world) actually(o *Order) (float64, float64, tackclock.Duration) {
+// actualUsage draws the actual sizes and the run time of a task.
+func (w *world) actualUsage(o *Order) (float64, float64, tackclock.Duration) {
 	row, _ := w.fleet.Task(o.Task)
-	cores := float64(row.Cores) * (0.2 + 0.6*w.rnd.Float64())
-	memory := float64(row.MemoryMB) * (0.3 + 0.6*w.rnd.Float64())
+	cores := float64(row.Cores) * (0.2 + 0.6*w.rng.Float64())
+	memory := float64(row.MemoryMB) * (0.3 + 0.6*w.rng.Float64())
 	if row.Class == tackid.ClassUrgent {
 		return cores, memory, 30 * tackclock.Second
 	}
-	return cores, memory, tackclock.Duration(2+w.rnd.IntN(20)) * tackclock.Minute
+	return cores, memory, tackclock.Duration(2+w.rng.IntN(20)) * tackclock.Minute
 }
 
 func (s *scenario) fill(w *world, from, n int) {
@@ -75,11 +75,11 @@
 	}
 }
 
-// measure runs the scenario: batch work fills the pool, then urgent tasks
-// come.
+// measure runs the scenario: batch tasks fill the pool, then urgent tasks are
+// created.
 func (s scenario) measure() outcome {
 	w := newWorld(1, s.workers, s.cores, s.memoryMB)
-	w.actual = w.actually
+	w.actual = w.actualUsage
 	w.cfg.Headroom = s.headroom
 	for i := range s.teams {
 		w.do(tackcommand.Command{SetQuota: &tackcommand.SetQuota{
@@ -90,16 +90,16 @@
 	w.run(s.warm)
 	w.loss = s.loss
 	var o outcome
-	came := make(map[tackid.Task]tackclock.Time)
+	created := make(map[tackid.Task]tackclock.Time)
 	ticks := 0.0
 	for end := w.now.Add(s.length); w.now.Before(end); ticks++ {
-		if w.rnd.IntN(5) == 0 {
+		if w.rng.IntN(5) == 0 {
 			id := fmt.Sprintf("urgent-%04d", o.urgent)
 			o.urgent++
-			w.create(id, fmt.Sprintf("team-%02d", o.urgent%s.teams), 1+w.rnd.IntN(2), s.memoryMB/8, tackid.ClassUrgent, o.urgent%2 == 0)
-			came[tackid.Task(id)] = w.now.Add(tackclock.Duration(w.rnd.IntN(int(testTick))))
+			w.create(id, fmt.Sprintf("team-%02d", o.urgent%s.teams), 1+w.rng.IntN(2), s.memoryMB/8, tackid.ClassUrgent, o.urgent%2 == 0)
+			created[tackid.Task(id)] = w.now.Add(tackclock.Duration(w.rng.IntN(int(testTick))))
 		}
-		if w.rnd.IntN(5) == 0 {
+		if w.rng.IntN(5) == 0 {
 			s.fill(w, filled, s.workers/20)
 			filled += s.workers / 20
 		}
@@ -112,17 +112,17 @@
 	o.over /= ticks
 	w.loss = 0
 	w.run(10 * tackclock.Second)
-	o.count(w, came)
-	o.plain = s.firstFit()
-	if len(w.wrong) > 0 {
-		panic(fmt.Sprint(w.wrong))
+	o.count(w, created)
+	o.firstFit = s.firstFit()
+	if len(w.violations) > 0 {
+		panic(fmt.Sprint(w.violations))
 	}
 	return o
 }
 
-func (o *outcome) count(w *world, came map[tackid.Task]tackclock.Time) {
+func (o *outcome) count(w *world, created map[tackid.Task]tackclock.Time) {
 	var waits []tackclock.Duration
-	for id, at := range came {
+	for id, at := range created {
 		began := w.began[id]
 		switch row, _ := w.fleet.Task(id); {
 		case len(began) > 0:
@@ -143,8 +143,8 @@
 	}
 }
 
-// cores returns the cores in use, no more of a worker than it has, and how
-// many workers are asked for more than they have.
+// cores returns the number of cores in use, and the number of workers whose
+// tasks use more cores than the worker has.
 func (w *world) cores() (sum, over float64) {
 	for id, f := range w.workers {
 		vm, _ := w.fleet.VM(id)
@@ -162,33 +162,33 @@
 	return sum, over
 }
 
-// firstFit returns the part of the cores in use when each task is put on the
-// first worker that has what was declared, in the order in which they came.
+// firstFit returns the share of the cores in use if each task, in the order of
+// arrival, is put on the first worker with enough room for the declared sizes.
 func (s *scenario) firstFit() float64 {
 	w := newWorld(1, 0, 1, 1)
-	free := make([]need, s.workers)
+	free := make([]resources, s.workers)
 	for i := range free {
-		free[i] = need{cores: float64(s.cores), memoryMB: s.memoryMB}
+		free[i] = resources{cores: float64(s.cores), memoryMB: s.memoryMB}
 	}
 	used := 0.0
 	for misses := 0; misses < 50; {
 		cores, memory := w.batch(s)
-		n := need{cores: float64(cores), memoryMB: memory}
-		at := slices.IndexFunc(free, n.within)
+		n := resources{cores: float64(cores), memoryMB: memory}
+		at := slices.IndexFunc(free, n.fitsIn)
 		if at < 0 {
 			misses++
 			continue
 		}
-		free[at].less(n)
-		used += float64(cores) * (0.2 + 0.6*w.rnd.Float64())
+		free[at].subtract(n)
+		used += float64(cores) * (0.2 + 0.6*w.rng.Float64())
 	}
 	return used / float64(s.workers*s.cores)
 }
 
-// TestFigures holds the figures to bounds. They come from the model clock and
-// seeds, so they are the same on every machine.
+// TestFigures checks the figures against bounds. They depend only on the
+// simulated clock and the seeds, so they are the same on every machine.
 func TestFigures(t *testing.T) {
-	for _, s := range []scenario{brittany, mindanao, brittany.tight(1), brittany.losing(0.005)} {
+	for _, s := range []scenario{brittany, mindanao, brittany.withHeadroom(1), brittany.withLoss(0.005)} {
 		t.Run(s.name, func(t *testing.T) {
 			o := s.measure()
 			t.Logf("%+v", o)
@@ -198,14 +198,13 @@
 			if s.headroom == 0 && o.moves > o.tasks/100 {
 				t.Errorf("%d moves for %d tasks", o.moves, o.tasks)
 			}
-			if o.used < 1.1*o.plain {
-				t.Errorf("%.2f of the cores in use, %.2f by first fit", o.used, o.plain)
+			if o.used < 1.1*o.firstFit {
+				t.Errorf("%.2f of the cores in use, %.2f by first fit", o.used, o.firstFit)
 			}
 		})
 	}
 }
 
-// BenchmarkPlace measures each scenario.
 func BenchmarkPlace(b *testing.B) {
 	for _, s := range scenarios {
 		b.Run(s.name, func(b *testing.B) {
@@ -219,7 +218,7 @@
 			b.ReportMetric(float64(o.p999), "urgent_p99.9_ms")
 			b.ReportMetric(float64(o.unknown), "unknown")
 			b.ReportMetric(o.used, "cores_used")
-			b.ReportMetric(o.plain, "first_fit_used")
+			b.ReportMetric(o.firstFit, "first_fit_used")
 			b.ReportMetric(float64(o.moves), "moves")
 			b.ReportMetric(float64(o.tasks), "tasks")
 			b.ReportMetric(o.over, "workers_over")
@@ -227,12 +226,12 @@
 	}
 }
 
-// BenchmarkDecide measures one decision in a full pool, where work waits.
+// BenchmarkDecide measures one decision in a full pool with waiting tasks.
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{100, 500, 2300} {
 		s := scenario{workers: n, cores: 16, memoryMB: 32_000, teams: 45}
 		w := newWorld(1, n, s.cores, s.memoryMB)
-		w.actual = w.actually
+		w.actual = w.actualUsage
 		s.fill(w, 0, n*12)
 		w.run(tackclock.Minute)
 		v := View{Now: w.now, Term: w.term, Fleet: &w.fleet}
--- a/core/tackplace/estimate.go
+++ b/core/tackplace/estimate.go
@@ -9,48 +9,51 @@
 )
 
 const (
-	// enough is how many measurements of a kind it takes to go by them
-	// rather than by what was declared.
-	enough = 8
-	// weight is that of a new measurement in the mean.
-	weight = 0.1
-	// memoryFade is how much of a high mark of memory a new measurement
-	// below it leaves, so that one outlier is forgotten in time.
-	memoryFade = 0.999
-	// spare is what is kept above the memory that was measured, and how far
-	// above what was declared the cores in use must be to count as more.
-	spare = 1.1
-	// leastCores and mostCores bound what is made of declared cores.
-	leastCores = 0.25
-	mostCores  = 4
+	// minMeasurements is the number of measurements of a kind of tasks from
+	// which on they are used in place of the declared sizes.
+	minMeasurements = 8
+	// sampleWeight is the weight of a new measurement in the mean.
+	sampleWeight = 0.1
+	// memoryPeakDecay is the factor by which a measurement decreases the memory
+	// peak before it, so that a single outlier is forgotten over time.
+	memoryPeakDecay = 0.999
+	// usageMargin is the factor by which the memory set aside exceeds the memory
+	// measured, and by which the cores in use must exceed the declared cores
+	// to count as more than declared.
+	usageMargin = 1.1
+	// minCoresFactor and maxCoresFactor bound the cores set aside for each
+	// declared core.
+	minCoresFactor = 0.25
+	maxCoresFactor = 4
 )
 
 type (
-	// kind is the tasks that are thought to be alike: those of one team on
-	// one pool.
-	kind struct {
+	// taskKind identifies the tasks that are assumed to be alike: those of one
+	// team on one pool.
+	taskKind struct {
 		team tackid.Team
 		pool tackid.Pool
 	}
 
-	// ratios are how actual sizes and run times relate to declared ones.
-	ratios struct {
-		cores   mean
-		minutes mean
-		memory  float64 // the high mark
-		n       int
+	// usageRatios are the ratios of measured sizes and run times to declared
+	// ones.
+	usageRatios struct {
+		cores      mean
+		minutes    mean
+		memoryPeak float64 // the decaying peak
+		n          int
 	}
 
-	// mean is a mean that follows what changes, and how far from it things
-	// are.
+	// mean is an exponentially weighted mean with the mean absolute deviation
+	// from it.
 	mean struct {
-		n     int
-		value float64
-		off   float64
+		n         int
+		value     float64
+		deviation float64
 	}
 
-	// need is the room that a task takes on a worker.
-	need struct {
+	// resources is an amount of each resource of a worker.
+	resources struct {
 		cores        float64
 		memoryMB     int
 		accelerators int
@@ -59,57 +62,58 @@
 
 func (m *mean) add(x float64) {
 	m.n++
-	w := max(weight, 1/float64(m.n))
-	m.off += w * (math.Abs(x-m.value) - m.off)
+	w := max(sampleWeight, 1/float64(m.n))
+	m.deviation += w * (math.Abs(x-m.value) - m.deviation)
 	if m.n == 1 {
-		m.off = 0
+		m.deviation = 0
 	}
 	m.value += w * (x - m.value)
 }
 
-func (n need) wholeCores() int {
+func (n resources) wholeCores() int {
 	return max(1, int(math.Ceil(n.cores)))
 }
 
-// ratiosOf returns what is learned of tasks like row.
-func (p *Placer) ratiosOf(row *tackfleet.Task) *ratios {
-	k := kind{row.Team, row.Pool}
+// ratiosOf returns the ratios of the tasks that are like row.
+func (p *Placer) ratiosOf(row *tackfleet.Task) *usageRatios {
+	k := taskKind{row.Team, row.Pool}
 	r := p.learned[k]
 	if r == nil {
-		r = new(ratios)
+		r = new(usageRatios)
 		p.learned[k] = r
 	}
 	return r
 }
 
-// needOf returns the room to set aside for a task that has not been measured.
+// estimate returns the resources to set aside for a task that has not been
+// measured.
 //
-// Cores can be shared for a while, so what is learned goes before what was
-// declared. Memory can't: a worker that runs out of it kills tasks, so no less
-// than what was declared is set aside.
-func (p *Placer) needOf(row *tackfleet.Task) need {
-	n := need{float64(row.Cores), row.MemoryMB, row.Accelerators}
+// Cores can be overcommitted for a while, so the learned ratio is preferred to
+// the declared cores. Memory can't: a worker that runs out of memory kills
+// tasks, so at least the declared memory is set aside.
+func (p *Placer) estimate(row *tackfleet.Task) resources {
+	n := resources{float64(row.Cores), row.MemoryMB, row.Accelerators}
 	r := p.ratiosOf(row)
-	if r.n < enough {
+	if r.n < minMeasurements {
 		return n
 	}
 	n.cores *= r.coresFactor()
-	n.memoryMB = int(float64(n.memoryMB) * max(1, r.memory*spare))
+	n.memoryMB = int(float64(n.memoryMB) * max(1, r.memoryPeak*usageMargin))
 	return n
 }
 
-// coresFactor returns what to set aside for each declared core: the mean and
-// what tasks commonly stray from it, but no more than was declared as long as
-// the mean is not above it.
-func (r *ratios) coresFactor() float64 {
+// coresFactor returns the cores to set aside for each declared core: the mean
+// ratio plus twice the deviation, but no more than 1 unless the mean clearly
+// exceeds the declared cores.
+func (r *usageRatios) coresFactor() float64 {
 	most := 1.0
-	if r.cores.value > spare {
-		most = mostCores
+	if r.cores.value > usageMargin {
+		most = maxCoresFactor
 	}
-	return min(max(r.cores.value+2*r.cores.off, leastCores), most)
+	return min(max(r.cores.value+2*r.cores.deviation, minCoresFactor), most)
 }
 
-// learn takes in what a running task uses.
+// learn updates the lease and the ratios from the usage of a running task.
 func (t *tick) learn(l *lease, u *Usage) {
 	if u.Cores <= 0 && u.MemoryMB <= 0 {
 		return
@@ -117,20 +121,20 @@
 	l.used.known = true
 	l.used.cores = u.Cores
 	l.used.memoryMB = max(l.used.memoryMB, u.MemoryMB)
-	l.need.memoryMB = max(l.need.memoryMB, int(u.MemoryMB*spare))
+	l.need.memoryMB = max(l.need.memoryMB, int(u.MemoryMB*usageMargin))
 	r := t.ratiosOf(l.row)
 	r.n++
-	r.memory = max(r.memory*memoryFade, u.MemoryMB/float64(l.row.MemoryMB))
+	r.memoryPeak = max(r.memoryPeak*memoryPeakDecay, u.MemoryMB/float64(l.row.MemoryMB))
 	if l.throttled > 0 {
-		return // what it would use can't be seen
+		return // the usage is limited by the throttling
 	}
 	r.cores.add(u.Cores / float64(l.row.Cores))
-	least := max(u.Cores, leastCores*float64(l.row.Cores))
-	l.need.cores = max(least, min(l.need.cores, t.needOf(l.row).cores))
+	least := max(u.Cores, minCoresFactor*float64(l.row.Cores))
+	l.need.cores = max(least, min(l.need.cores, t.estimate(l.row).cores))
 }
 
-// learnTime takes in how long a task took.
-func (t *tick) learnTime(l *lease) {
+// learnRunTime updates the ratios from the run time of a finished task.
+func (t *tick) learnRunTime(l *lease) {
 	if l.row.Minutes > 0 && !l.row.Checkpointed {
 		took := t.now.Sub(l.row.Started)
 		t.ratiosOf(l.row).minutes.add(float64(took) / float64(l.declared()))
@@ -141,14 +145,15 @@
 	return tackclock.Duration(l.row.Minutes) * tackclock.Minute
 }
 
-// endsWithin reports whether a task is expected to end within d. One that is
-// a little late is still expected; of one that is very late nothing is known.
+// endsWithin reports whether a task is expected to end within d. A task that
+// is late by up to a quarter of the expected time is still expected to end;
+// nothing can be said about one that is later.
 func (t *tick) endsWithin(l *lease, d tackclock.Duration) bool {
 	if l.row.Minutes == 0 {
 		return false
 	}
 	expected := float64(l.declared())
-	if m := &t.ratiosOf(l.row).minutes; m.n >= enough {
+	if m := &t.ratiosOf(l.row).minutes; m.n >= minMeasurements {
 		expected *= m.value
 	}
 	left := tackclock.Duration(expected) - t.now.Sub(l.row.Started)
--- a/core/tackplace/failure_test.go
+++ b/core/tackplace/failure_test.go
@@ -36,23 +36,22 @@
 	return n
 }
 
-// Symptom: a correction is applied twice at the same time.
-// Sequence: a worker is cut off and taken as lost while its task goes on under
-// a lease; the task is given to another worker.
-// Cause: without waiting for the end of the lease, silence is taken for an end.
+// Guards against a task that runs on two workers at the same time: a worker is
+// disconnected and reported lost while its task goes on under the lease, and
+// the task is assigned to another worker before the lease has run out.
 func TestLostWorkerKeepsItsLease(t *testing.T) {
 	w := newWorld(1, 2, 4, 4000)
 	w.create("again", "a", 1, 500, tackid.ClassNormal, true)
 	w.create("once", "a", 1, 500, tackid.ClassNormal, false)
 	w.run(5 * tackclock.Second)
 	for _, id := range []string{"again", "once"} {
-		w.workers[w.task(id).Worker].cut = true
+		w.workers[w.task(id).Worker].disconnected = true
 		w.observe(w.task(id).Worker, tackfleet.HealthLost)
 	}
 	first := w.task("again").Worker
-	for id, f := range w.workers { // the other one is back
+	for id, f := range w.workers { // reconnect the other worker
 		if id != first {
-			f.cut = false
+			f.disconnected = false
 			w.observe(id, tackfleet.HealthServing)
 		}
 	}
@@ -64,12 +63,11 @@
 	}
 }
 
-// Symptom: a task that was cancelled runs on while its room is given away, or a
-// task that was moved runs on two workers.
-// Sequence: its start is answered by nobody; it is cancelled, the stop comes
-// first and is answered; then the start arrives. The leader is the same, or
-// another that knows nothing of the start.
-// Cause: the answer to a stop is trusted while a start may be under way.
+// Guards against relying on the answer to a stop while a start may still
+// arrive: the start of a task is not answered, the task is cancelled, and the
+// stop is answered before the start arrives. The task would then run while its
+// resources are assigned again, or run on two workers. The leader is the same,
+// or a new one that does not know of the start.
 func TestStopWaitsForALateStart(t *testing.T) {
 	for _, replaced := range []bool{false, true} {
 		t.Run(fmt.Sprintf("leader replaced %t", replaced), func(t *testing.T) {
@@ -86,12 +84,12 @@
 			}
 			w.cancel("x")
 			w.run(3 * tackclock.Second)
-			start.at, start.left = w.now.Add(5*tackclock.Second), true
+			start.at, start.answered = w.now.Add(5*tackclock.Second), true
 			w.sent = append(w.sent, start)
 			for range 100 {
 				w.step()
 				if w.runningRuns() > 0 && w.placer.Live("w-0000") == 0 {
-					t.Fatal("it runs, and its room is free")
+					t.Fatal("the task runs, but has no live lease")
 				}
 			}
 			if n := w.runningRuns(); n != 0 || len(w.began["x"]) != 1 {
@@ -101,10 +99,9 @@
 	}
 }
 
-// Symptom: a Notice goes out twice.
-// Sequence: its worker falls silent before the start is sent, and the end of
-// the try is proposed; the worker is back before the proposal is applied.
-// Cause: a try whose end was proposed is started all the same.
+// Guards against a start that is sent after the end of its try was proposed, so
+// that the task runs twice: the worker is lost before the start is sent, and is
+// back before the proposal is applied.
 func TestNoStartAfterTheEndWasProposed(t *testing.T) {
 	w := newWorld(9, 2, 4, 4000)
 	w.create("x", "a", 1, 500, tackid.ClassNormal, false)
@@ -123,9 +120,9 @@
 	assertState(t, w, "x", tackfleet.TaskRunning)
 }
 
-// Symptom: a worker gets more tasks than its memory holds.
-// Sequence: what was decided takes long to be applied, and more urgent work comes.
-// Cause: room that was promised and not yet taken counts as free.
+// Guards against a worker that gets more tasks than fit into its memory:
+// proposed assignments take long to be applied, more urgent tasks are created
+// meanwhile, and the resources of the proposals count as free.
 func TestPromisedRoomIsTaken(t *testing.T) {
 	w := newWorld(10, 1, 8, 4000)
 	w.late = 1
@@ -138,10 +135,10 @@
 	assertSound(t, w)
 }
 
-// Symptom: memory runs out on a worker, or a VM is rebooted under a task,
-// shortly after operators cancelled work; or the leader drowns in stops.
-// Sequence: a thousand tasks are cancelled at once, and workers answer late.
-// Cause: a cancelled task leaves the fleet's counts before its worker ends it.
+// Guards against a worker that runs out of memory, a VM that is rebooted while
+// a task runs, and a leader that sends too many stops, after a thousand tasks
+// are cancelled at once and workers answer late. The fleet's counts do not
+// include a cancelled task, although its worker still runs it.
 func TestCancellationsHoldTheirRoom(t *testing.T) {
 	w := newWorld(3, 130, 8, 8000)
 	for i := range 1000 {
@@ -157,7 +154,7 @@
 	w.loss = 0.5
 	w.step()
 	if w.placer.Live("w-0000") == 0 {
-		t.Fatal("a worker whose tasks are only cancelled counts as free")
+		t.Fatal("a worker with cancelled tasks that still run counts as free")
 	}
 	w.loss = 0
 	w.run(30 * tackclock.Second)
@@ -167,9 +164,9 @@
 	}
 }
 
-// Symptom: every task of a pool is set aside within a minute.
-// Sequence: one worker of ten fails whatever it starts, at once.
-// Cause: the worker that fails is always the emptiest.
+// Guards against one of ten workers causing every task of the pool to be set
+// aside within a minute: everything that it starts fails at once, so it always
+// has the most room.
 func TestFailingWorkerIsAvoided(t *testing.T) {
 	w := newWorld(4, 10, 8, 8000)
 	bad := w.workers["w-0003"]
@@ -179,13 +176,13 @@
 		w.create(fmt.Sprintf("x-%03d", i), "a", 1, 900, tackid.ClassNormal, true)
 	}
 	w.run(10 * tackclock.Minute)
-	Convey("It draws a few tasks and probes, all of which end elsewhere", t, func() {
+	Convey("It gets only a few tasks and probes, and all tasks end on other workers", t, func() {
 		for i := range 400 {
 			So(w.task(fmt.Sprintf("x-%03d", i)).State, ShouldEqual, tackfleet.TaskDone)
 		}
 		So(bad.starts, ShouldBeLessThan, 15)
 	})
-	Convey("Once it works again a probe brings it back", t, func() {
+	Convey("After a successful probe it is not avoided any more", t, func() {
 		bad.fails = false
 		w.actual = func(o *Order) (float64, float64, tackclock.Duration) { return 1, 500, 10 * tackclock.Minute }
 		w.create("again", "a", 1, 900, tackid.ClassNormal, true)
@@ -195,13 +192,12 @@
 		before := bad.starts
 		w.run(40 * tackclock.Minute)
 		So(bad.starts, ShouldBeGreaterThan, before)
-		So(w.placer.standing["w-0003"], ShouldBeNil)
+		So(w.placer.failures["w-0003"], ShouldBeNil)
 	})
 }
 
-// Symptom: a worker that was restarted stands idle for half an hour.
-// Sequence: it restarts while eight tasks run on it, and none is left.
-// Cause: each of the eight counts as a failure of its own.
+// Guards against a worker that stays idle for half an hour after a restart,
+// because each of the eight tasks that it lost counts as a failure of its own.
 func TestRestartedWorkerGetsWork(t *testing.T) {
 	w := newWorld(13, 2, 8, 8000)
 	for i := range 200 {
@@ -217,11 +213,9 @@
 	}
 }
 
-// Symptom: a task that no worker can ever run waits for ever, or a task that
-// always fails takes room for ever.
-// Sequence: a task wants more memory than the largest worker has; another
-// fails on every worker.
-// Cause: a task that doesn't fit now is not told from one that never will.
+// Guards against a task that waits forever because it needs more memory than
+// the largest worker has, and a task that is retried forever because it fails
+// on every worker.
 func TestWhatCanNeverRunIsSetAside(t *testing.T) {
 	w := newWorld(5, 6, 8, 8000)
 	w.create("large", "a", 1, 9000, tackid.ClassNormal, true)
@@ -237,11 +231,9 @@
 	}
 }
 
-// Symptom: a wave waits an hour for batch work, cuts it, or runs a
-// reconciliation twice.
-// Sequence: a worker is drained with a task that ends soon, a long one, and
-// one that is not idempotent.
-// Cause: a drain that treats all work alike.
+// Guards against a drain that treats all tasks alike, and so waits an hour for
+// batch work, interrupts it, or runs a task twice that is not idempotent. The
+// worker has a task that ends soon, a long one, and one that is not idempotent.
 func TestDrainLetsMovesOrWaits(t *testing.T) {
 	w := newWorld(6, 1, 8, 8000)
 	w.create("soon", "a", 1, 500, tackid.ClassNormal, true)
@@ -265,10 +257,8 @@
 	}
 }
 
-// Symptom: an urgent Notice waits for hours behind batch work.
-// Sequence: batch work fills the memory, or the cores, of every worker; an
-// urgent task comes.
-// Cause: without throttling and stopping nothing makes room.
+// Guards against an urgent task that waits for hours because batch tasks fill
+// the memory or the cores of every worker.
 func TestBatchGivesWay(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -297,9 +287,9 @@
 	}
 }
 
-// Symptom: workers run out of memory and kill what they run.
-// Sequence: a team declares half of what its tasks use; usage lags by 5 s.
-// Cause: room is set aside by what was declared only.
+// Guards against workers that run out of memory and kill their tasks because
+// only the declared memory is set aside: a team declares half of what its
+// tasks use, and usage reports lag by 5 s.
 func TestDeclaredTooLittle(t *testing.T) {
 	w := newWorld(7, 4, 16, 16000)
 	w.actual = func(o *Order) (float64, float64, tackclock.Duration) { return 1, 2000, 3 * tackclock.Minute }
@@ -329,11 +319,10 @@
 	}
 }
 
-// Symptom: a task whose first try is over is ended in its second, and then run
-// a third time beside it.
-// Sequence: the end of a try is proposed twice, and the second proposal is
-// applied after the task was given to another worker.
-// Cause: a change that names no token is taken as being about the present try.
+// Guards against a change about one try that ends the next one: the end of the
+// first try is proposed twice, and the second proposal is applied after the
+// task was assigned to another worker. The task would then run a third time
+// while the second try still runs. The token in the change prevents this.
 func TestChangeOfAnEarlierTry(t *testing.T) {
 	w := newWorld(8, 2, 4, 4000)
 	w.create("x", "a", 1, 500, tackid.ClassNormal, true)
@@ -347,11 +336,10 @@
 	assertState(t, w, "x", tackfleet.TaskRunning)
 }
 
-// Symptom: one team's backlog keeps the others waiting, or the loss of a rack
-// takes all of a team's work.
-// Sequence: a team queues 400 tasks, then two others 100 each; a quota bounds
-// one of them.
-// Cause: first come, first served, on the first worker that has room.
+// Guards against one team's backlog delaying the other teams, and against the
+// loss of a rack stopping all of a team's work, as with
+// first-come-first-served placement on the first worker with room. One team
+// queues 400 tasks, then two others queue 100 each, one of them with a quota.
 func TestTeamsShareAndSpread(t *testing.T) {
 	w := newWorld(12, 16, 8, 64_000)
 	w.do(tackcommand.Command{SetQuota: &tackcommand.SetQuota{Team: "b", Cores: 20}})
@@ -379,10 +367,11 @@
 	}
 }
 
-// A task that crashes each worker which starts it would go through a pool, as items of
-// jobs once did. A task's tries are in the log before the worker is asked, so that
-// crashes need not be told from other ends: it is set aside after its last try, and one
-// that may not run twice after the first. Its neighbours go on.
+// Guards against a task that crashes every worker of a pool, one after the
+// other, as items of jobs once did. A try is in the log before the worker is
+// asked to start the task, so crashes need no special handling: the task is
+// set aside after its last try, or becomes unknown after its first one if it
+// is not idempotent. Other tasks go on.
 func TestTaskThatCrashesItsWorkersIsSetAside(t *testing.T) {
 	w := newWorld(7, 6, 8, 8000)
 	w.create("crasher", "a", 1, 100, tackid.ClassNormal, true)
--- a/core/tackplace/lease.go
+++ b/core/tackplace/lease.go
@@ -12,60 +12,62 @@
 	stageStop
 )
 
-// hurry is how long an answer is waited for before a start is sent again, or a
-// stop while urgent work waits.
-const hurry = 500 * tackclock.Millisecond
+// resendAfter is how long to wait for an answer before resending a start, or a
+// stop for which urgent work is waiting.
+const resendAfter = 500 * tackclock.Millisecond
 
 type (
-	// stage is where a lease stands on its way to its end.
+	// stage is a step of evicting a task from its worker.
 	stage uint8
 
-	// lease is a task on a worker that may run there. It lasts until the
-	// worker said that the task ended, or until has passed.
+	// lease is the right of a worker to run a task. It lasts until the worker
+	// reports that the task has ended, or until it expires.
 	lease struct {
 		task   tackid.Task
 		worker tackid.VM
 		token  tackid.Token
 		row    *tackfleet.Task
-		on     *worker // as of the tick under way; nil where it is not known
-		need   need
+		on     *worker // in the current tick; nil if it is not known
+		need   resources
 
-		// until is when the lease has surely run out.
-		until tackclock.Time
+		// expires is the time at which the lease has certainly run out.
+		expires tackclock.Time
 		// renewed is when a renewal was last sent, answered when the worker
 		// last answered for this task.
 		renewed  tackclock.Time
 		answered tackclock.Time
-		// sent says that a start may have left, at the time sentAt.
-		sent   bool
-		sentAt tackclock.Time
-		shown  bool // the worker was seen to have the task
-		// startable is until when a start may still reach the worker. A stop
-		// that came before it would be answered, and the task then run.
-		startable tackclock.Time
-		gone      bool // the try is over
-		// dropped says that the lease of a cancelled task is over.
+		// sent reports that a start may have been sent, at sentAt.
+		sent      bool
+		sentAt    tackclock.Time
+		confirmed bool // the worker is known to have or have had the task
+		// startArrivesBy is the time until which a start may still reach the
+		// worker. A stop sent earlier might be answered before the start
+		// arrives and runs the task.
+		startArrivesBy tackclock.Time
+		ended          bool // the try has ended
+		// dropped reports that the lease of a cancelled task has ended.
 		dropped bool
-		// again has the start sent once more under the same token.
-		again  bool
+		// resend requests that the start is resent under the same token.
+		resend bool
 		resent bool
-		// restore says that another leader may have throttled the task.
-		restore bool
+		// maybeThrottled reports that another leader may have throttled the task.
+		maybeThrottled bool
 
 		stage        stage
-		stageAt      tackclock.Time
-		hurried      bool // an urgent task waits for the room
+		stageSince   tackclock.Time
+		urgent       bool // an urgent task waits for the task to be evicted
 		checkpointed bool
 
 		pending   Verb
 		pendingAt tackclock.Time
-		throttled int                  // cores it was bounded to, 0 for none
-		end       tackfleet.TaskChange // what was last proposed of it
+		throttled int                  // number of cores the task is throttled to, or 0
+		endChange tackfleet.TaskChange // the change proposed at the end of the try
 		used      usage
-		seen      int
+		lastTick  int // the tick in which the lease was last found in the state
 	}
 
-	// usage is what a task was measured to use, at most.
+	// usage is the last measured number of cores and the largest measured
+	// memory of a task.
 	usage struct {
 		known    bool
 		cores    float64
@@ -73,91 +75,93 @@
 	}
 )
 
-// lookAtTasks brings the leases up to the fleet's state.
-func (t *tick) lookAtTasks() {
+// collectTasks updates the leases and queues from the fleet's state.
+func (t *tick) collectTasks() {
 	if !t.v.Pending {
-		clear(t.promised)
+		clear(t.proposed)
 	}
-	t.before, t.live = t.live, make([]*lease, 0, len(t.live)+1)
-	last := t.before
+	t.previous, t.live = t.live, make([]*lease, 0, len(t.live)+1)
+	last := t.previous
 	for row := range t.f.EachTask() {
 		switch row.State {
 		case tackfleet.TaskRunning:
-			t.follow(row)
+			t.trackRunning(row)
 		case tackfleet.TaskCancelled:
-			t.followCancelled(row)
+			t.trackCancelled(row)
 		case tackfleet.TaskQueued:
 			t.queue(row)
 		}
-		if row.State != tackfleet.TaskQueued && len(t.promised) > 0 {
-			delete(t.promised, row.ID)
+		if row.State != tackfleet.TaskQueued && len(t.proposed) > 0 {
+			delete(t.proposed, row.ID)
 		}
 	}
 	for _, l := range last {
-		if l.seen != t.count && t.leases[l.task] == l {
+		if l.lastTick != t.tickCount && t.leases[l.task] == l {
 			delete(t.leases, l.task)
 		}
 	}
 }
 
-// leaseOf returns the lease that the task had at the last decision, or nil.
-// It is called in the order of the tasks, so both lists are gone through once.
+// leaseOf returns the lease that the task had at the last decision, or nil. It
+// must be called in the order of the task ids: like a merge, it walks through
+// the earlier leases only once.
 func (t *tick) leaseOf(id tackid.Task) *lease {
-	for len(t.before) > 0 && t.before[0].task < id {
-		t.before = t.before[1:]
+	for len(t.previous) > 0 && t.previous[0].task < id {
+		t.previous = t.previous[1:]
 	}
-	if len(t.before) == 0 || t.before[0].task != id || t.before[0].dropped {
+	if len(t.previous) == 0 || t.previous[0].task != id || t.previous[0].dropped {
 		return nil
 	}
-	return t.before[0]
+	return t.previous[0]
 }
 
-// follow keeps the lease of a running task.
-func (t *tick) follow(row *tackfleet.Task) {
+// trackRunning updates the lease of a running task, and creates it if there is
+// none.
+func (t *tick) trackRunning(row *tackfleet.Task) {
 	l := t.leaseOf(row.ID)
 	if l == nil || l.token != row.Token {
 		l = t.newLease(row)
 		t.leases[row.ID] = l
 	}
 	l.row = row
-	l.seen = t.count
+	l.lastTick = t.tickCount
 	l.on = t.workers[l.worker]
 	t.live = append(t.live, l)
-	t.held[row.Team] += row.Cores
+	t.quotaCores[row.Team] += row.Cores
 }
 
-// newLease returns the lease of a task that was given to its worker. One from
-// an earlier leader may have been renewed just before this term began.
+// newLease returns the lease of a task that was assigned to its worker. A lease
+// of an earlier leader may have been renewed just before this term began.
 func (t *tick) newLease(row *tackfleet.Task) *lease {
-	l := &lease{task: row.ID, worker: row.Worker, token: row.Token, row: row, answered: t.now, need: t.needOf(row)}
+	l := &lease{task: row.ID, worker: row.Worker, token: row.Token, row: row, answered: t.now, need: t.estimate(row)}
 	if t.inherited(row) {
 		l.sent = true
 		l.sentAt = t.began
-		l.startable = t.began.Add(t.cfg.OrderLimit)
-		l.again = row.Idempotent && t.began.Sub(row.Started) < t.cfg.Lease
-		l.restore = row.Class == tackid.ClassBatch
-		l.until = t.cfg.outlives(t.began)
-		// Spread the first renewals: they would all be due at once.
+		l.startArrivesBy = t.began.Add(t.cfg.OrderLimit)
+		l.resend = row.Idempotent && t.began.Sub(row.Started) < t.cfg.Lease
+		l.maybeThrottled = row.Class == tackid.ClassBatch
+		l.expires = t.cfg.leaseEnd(t.began)
+		// Spread the first renewals, which would otherwise all be due at once.
 		l.renewed = t.now.Add(tackclock.Duration(row.Token)%(t.cfg.Lease/6) - t.cfg.Lease/3)
 	}
 	return l
 }
 
-// inherited reports whether another leader gave the task to its worker.
+// inherited reports whether another leader assigned the task to its worker.
 func (p *Placer) inherited(row *tackfleet.Task) bool {
 	return tackid.Revision(row.Token) <= p.base
 }
 
-// followCancelled keeps the lease of a task that was cancelled while it ran.
+// trackCancelled keeps the lease of a task that was cancelled while it ran.
 //
-// A cancelled task leaves the fleet's counts at once, while its worker goes on
-// until it is told. Without this its room would be given away twice, and a
-// drained VM rebooted under it.
-func (t *tick) followCancelled(row *tackfleet.Task) {
+// The fleet's counts do not include a cancelled task, but its worker runs it
+// until it is told to stop. Without the lease the task's resources could be
+// assigned twice, and a drained VM could be rebooted while the task still runs.
+func (t *tick) trackCancelled(row *tackfleet.Task) {
 	l := t.leaseOf(row.ID)
 	if l != nil && l.token == row.Token {
 		l.row = row
-		l.seen = t.count
+		l.lastTick = t.tickCount
 		l.on = t.workers[l.worker]
 		t.live = append(t.live, l)
 		return
@@ -168,24 +172,24 @@
 	if row.Ended.Before(t.now.Add(-t.cfg.OrderLimit - 2*t.cfg.Lease)) {
 		return
 	}
-	t.follow(row)
-	t.held[row.Team] -= row.Cores
+	t.trackRunning(row)
+	t.quotaCores[row.Team] -= row.Cores
 }
 
-// keepLeases starts, renews and ends leases.
-func (t *tick) keepLeases() {
+// updateLeases starts, renews and ends the leases as needed.
+func (t *tick) updateLeases() {
 	for _, l := range t.live {
 		switch {
 		case l.row.State != tackfleet.TaskRunning:
 			t.endCancelled(l)
-		case l.gone:
-			t.repeatEnd(l)
+		case l.ended:
+			t.proposeEndAgain(l)
 		case !l.sent:
 			t.start(l)
-		case l.again || t.unanswered(l):
-			t.startAgain(l)
-		case !l.until.After(t.now):
-			t.lost(l)
+		case l.resend || t.startUnanswered(l):
+			t.resendStart(l)
+		case !l.expires.After(t.now):
+			t.expire(l)
 		case l.stage == stageStop:
 			t.stop(l)
 		case l.stage == stageCheckpoint:
@@ -196,8 +200,9 @@
 	}
 }
 
-// start has the worker run a task. For one that is not idempotent the order is
-// sent once: after an answer that was lost, a second could run it twice.
+// start orders the worker to run a task. The start of a task that is not
+// idempotent is sent only once: if only the answer was lost, a second start
+// could run the task twice.
 func (t *tick) start(l *lease) {
 	w := l.on
 	if w == nil || !w.vm.Available() {
@@ -206,118 +211,123 @@
 	}
 	l.sent = true
 	l.sentAt = t.now
-	l.startable = t.now.Add(t.cfg.OrderLimit)
-	l.until = t.cfg.outlives(t.now)
+	l.startArrivesBy = t.now.Add(t.cfg.OrderLimit)
+	l.expires = t.cfg.leaseEnd(t.now)
 	l.renewed = t.now
 	t.order(l, VerbStart, Order{Lease: t.cfg.Lease, Cores: l.need.wholeCores(), MemoryMB: l.need.memoryMB})
 }
 
-// unanswered reports whether the start of a task that may be run again waits
-// for its answer too long.
-func (t *tick) unanswered(l *lease) bool {
-	return l.row.Idempotent && l.pending == VerbStart && !l.shown && t.now.Sub(l.pendingAt) >= hurry
+// startUnanswered reports whether the start of an idempotent task has been
+// waiting for an answer for too long.
+func (t *tick) startUnanswered(l *lease) bool {
+	return l.row.Idempotent && l.pending == VerbStart && !l.confirmed && t.now.Sub(l.pendingAt) >= resendAfter
 }
 
-// startAgain sends the start of a task that may have got lost, or that another
-// leader may not have sent any more. The token is the same, so a worker that
-// has the task goes on with it; waiting for reports instead would hold up
-// urgent work for UsageLag.
-func (t *tick) startAgain(l *lease) {
-	l.again = false
+// resendStart resends a start that may have been lost, or that another leader
+// may not have sent. The token is the same, so a worker that already has the
+// task continues with it. Waiting for the worker's report instead would delay
+// urgent work by UsageLag.
+func (t *tick) resendStart(l *lease) {
+	l.resend = false
 	l.pending = ""
-	if w := l.on; w == nil || !w.vm.Available() || l.shown {
+	if w := l.on; w == nil || !w.vm.Available() || l.confirmed {
 		return
 	}
 	l.sentAt = t.now
-	l.startable = t.now.Add(t.cfg.OrderLimit)
-	l.until = max(l.until, t.cfg.outlives(t.now))
+	l.startArrivesBy = t.now.Add(t.cfg.OrderLimit)
+	l.expires = max(l.expires, t.cfg.leaseEnd(t.now))
 	l.renewed = t.now
 	l.resent = true
 	t.order(l, VerbStart, Order{Lease: t.cfg.Lease, Cores: l.need.wholeCores(), MemoryMB: l.need.memoryMB})
 }
 
-// renew extends a lease in time, as long as its worker shows itself.
+// renew renews a lease when a third of it has passed, unless its worker is
+// silent.
 func (t *tick) renew(l *lease) {
-	if t.now.Sub(l.renewed) < t.cfg.Lease/3 || t.silent(l) {
+	if t.now.Sub(l.renewed) < t.cfg.Lease/3 || t.workerSilent(l) {
 		return
 	}
 	if t.order(l, VerbRenew, Order{Lease: t.cfg.Lease}) {
 		l.renewed = t.now
-		l.until = max(l.until, t.cfg.outlives(t.now))
+		l.expires = max(l.expires, t.cfg.leaseEnd(t.now))
 	}
 }
 
-// silent reports whether the worker of a lease neither serves nor answers. Its
-// leases are left to run out, which is the only way to be sure of them.
-func (t *tick) silent(l *lease) bool {
+// workerSilent reports whether the worker of a lease is neither serving nor
+// answering. Its leases are left to run out, since only then the tasks have
+// certainly ended.
+func (t *tick) workerSilent(l *lease) bool {
 	w := l.on
 	if w != nil && w.vm.Health == tackfleet.HealthServing {
 		return false
 	}
-	return t.now.Sub(max(l.answered, t.heard[l.worker])) >= t.cfg.GiveUp
+	return t.now.Sub(max(l.answered, t.reported[l.worker])) >= t.cfg.GiveUp
 }
 
-// lost gives a task back whose lease has surely run out.
-func (t *tick) lost(l *lease) {
+// expire ends a try whose lease has certainly run out.
+func (t *tick) expire(l *lease) {
 	t.requeue(l, tackfleet.TryFailed, "lease ran out on "+string(l.worker))
 }
 
-// repeatEnd proposes the end of a try again, in case the first got lost.
-func (t *tick) repeatEnd(l *lease) {
-	if !t.v.Pending && l.end.Task != "" {
-		t.propose(l.end)
+// proposeEndAgain proposes the end of a try again, in case the first proposal
+// was lost.
+func (t *tick) proposeEndAgain(l *lease) {
+	if !t.v.Pending && l.endChange.Task != "" {
+		t.propose(l.endChange)
 	}
 }
 
-// requeue ends a try. The fleet decides what becomes of the task.
+// requeue proposes the end of a try that did not complete the task. The fleet
+// decides whether the task is tried again.
 func (t *tick) requeue(l *lease, end tackfleet.TryEnd, reason string) {
 	t.finish(l, tackfleet.TaskChange{
 		State: tackfleet.TaskQueued, End: end, Reason: reason, Checkpointed: l.checkpointed,
 	})
 }
 
-// finish proposes how a try ended. Nothing more is asked of its worker, even
-// if the proposal takes long: a start sent meanwhile would run the task after
-// the fleet gave it to another worker.
+// finish proposes the end of a try. No more orders are sent to its worker,
+// even if the proposal takes long to be applied: a start sent meanwhile could
+// run the task after the fleet has assigned it to another worker.
 func (t *tick) finish(l *lease, c tackfleet.TaskChange) {
 	c.Task, c.Token = l.task, l.token
-	l.end = c
-	l.gone = true
+	l.endChange = c
+	l.ended = true
 	t.propose(c)
 }
 
-// endCancelled stops a cancelled task. One stop a task is sent, again only
-// when it was not answered, so a burst costs no more than its number.
+// endCancelled stops a cancelled task. It sends one stop and repeats it only
+// if it is not answered, so that many cancellations at once do not cause more
+// orders than tasks.
 func (t *tick) endCancelled(l *lease) {
-	if !l.sent || !l.until.After(t.now) {
-		t.over(l)
+	if !l.sent || !l.expires.After(t.now) {
+		t.markEnded(l)
 		return
 	}
-	if !l.startable.After(t.now) {
+	if !l.startArrivesBy.After(t.now) {
 		t.order(l, VerbStop, Order{})
 	}
 }
 
-// yield starts to take a task off its worker.
-func (t *tick) yield(l *lease, hurried bool) {
-	l.hurried = l.hurried || hurried
+// evict starts to evict a task from its worker.
+func (t *tick) evict(l *lease, urgent bool) {
+	l.urgent = l.urgent || urgent
 	if l.stage != stageRunning || !l.movable(t.now) {
 		return
 	}
 	l.stage = stageCheckpoint
-	l.stageAt = t.now
+	l.stageSince = t.now
 	l.pending = ""
 	t.order(l, VerbCheckpoint, Order{})
 }
 
-// awaitCheckpoint stops a task once its work is saved, or saving takes too
+// awaitCheckpoint stops a task once its work is saved, or if saving takes too
 // long.
 func (t *tick) awaitCheckpoint(l *lease) {
 	limit := t.cfg.OrderLimit
-	if l.hurried {
+	if l.urgent {
 		limit = t.cfg.CheckpointLimit
 	}
-	if l.pending == VerbCheckpoint && t.now.Sub(l.stageAt) < limit {
+	if l.pending == VerbCheckpoint && t.now.Sub(l.stageSince) < limit {
 		return
 	}
 	l.stage = stageStop
@@ -325,10 +335,10 @@
 	t.stop(l)
 }
 
-// stop has the worker end a task. It is not renewed any more, so it ends even
-// if no answer ever comes.
+// stop orders the worker to end a task. The lease is not renewed any more, so
+// the task ends even if the order is never answered.
 func (t *tick) stop(l *lease) {
-	if l.hurried && t.now.Sub(l.pendingAt) >= hurry {
+	if l.urgent && t.now.Sub(l.pendingAt) >= resendAfter {
 		l.pending = ""
 	}
 	t.order(l, VerbStop, Order{})
--- a/core/tackplace/model_test.go
+++ b/core/tackplace/model_test.go
@@ -12,15 +12,15 @@
 	"pgregory.net/rapid"
 )
 
-// TestMachine drives the placer through lost and late orders, late proposals,
-// lost workers and new leaders, and looks at what the workers run.
+// TestMachine runs the placer with lost and late orders, late proposals, lost
+// workers and new leaders, and checks what the workers run.
 func TestMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(rapid.Uint64().Draw(t, "seed"), 4, 4, 4000)
 		w.loss, w.late = 0.2, 0.3
 		w.do(tackcommand.Command{SetQuota: &tackcommand.SetQuota{Team: "t-0", Cores: 5}})
 		w.actual = func(*Order) (float64, float64, tackclock.Duration) {
-			return w.rnd.Float64() * 3, w.rnd.Float64() * 900, tackclock.Duration(w.rnd.IntN(120_000))
+			return w.rng.Float64() * 3, w.rng.Float64() * 900, tackclock.Duration(w.rng.IntN(120_000))
 		}
 		made := 0
 		vm := func() tackid.VM { return tackid.VM(fmt.Sprintf("w-%04d", rapid.IntRange(0, 3).Draw(t, "vm"))) }
@@ -37,9 +37,9 @@
 			},
 			"cut": func(t *rapid.T) {
 				id := vm()
-				w.workers[id].cut = !w.workers[id].cut
+				w.workers[id].disconnected = !w.workers[id].disconnected
 				health := tackfleet.HealthServing
-				if w.workers[id].cut && rapid.Bool().Draw(t, "noticed") {
+				if w.workers[id].disconnected && rapid.Bool().Draw(t, "noticed") {
 					health = tackfleet.HealthLost
 				}
 				w.observe(id, health)
@@ -49,7 +49,7 @@
 			"leader":  func(*rapid.T) { w.replaceLeader() },
 			"":        func(t *rapid.T) { assertSound(t, w) },
 		}
-		// Some faults need a longer history than one round makes.
+		// Some faults need a longer history than one call of Repeat makes.
 		for range 4 {
 			t.Repeat(actions)
 		}
--- a/core/tackplace/placer.go
+++ b/core/tackplace/placer.go
@@ -1,10 +1,11 @@
-// Package tackplace decides which worker runs which task, and when a task has
-// to give way.
+// Package tackplace decides which worker runs which task, and when a task is
+// throttled or evicted to make room.
 //
 // A worker runs a task under a lease that the leader renews, and the task's
-// token fences older leases off. The fleet's state says which worker has a
-// task; what else the Placer knows (when a lease surely ends, what tasks
-// really use, which workers fail) it learns again after a change of leader.
+// token fences off older leases. The fleet's state says which worker has a
+// task. Everything else that the Placer knows (when a lease has certainly run
+// out, which resources tasks actually use, which workers fail) is learned again
+// after a change of leader.
 package tackplace
 
 import (
@@ -14,39 +15,41 @@
 )
 
 type (
-	// Placer decides for the leader. The zero value is ready. It is not safe
-	// for concurrent use.
+	// Placer makes the leader's placement decisions. The zero value is ready
+	// to use. It is not safe for concurrent use.
 	Placer struct {
 		term uint64
-		// began is the first decision of the term and base the revision that
-		// the fleet was at then: tasks with a later token were given out by
-		// this leader, and nobody else can have asked a worker to run them.
+		// began is the time of the first decision of the term, and base the
+		// revision of the fleet at that time. Tasks with a later token were
+		// assigned by this leader, so nobody else can have ordered a worker to
+		// run them.
 		began tackclock.Time
 		base  tackid.Revision
 
-		leases   map[tackid.Task]*lease
-		live     []*lease // those of the last decision, by task
-		promised map[tackid.Task]promise
-		claims   map[tackid.Task]claim
-		standing map[tackid.VM]*standing
-		heard    map[tackid.VM]tackclock.Time
-		learned  map[kind]*ratios
-		onWorker map[tackid.VM]int
-		count    int
+		leases       map[tackid.Task]*lease
+		live         []*lease // those of the last decision, by task
+		proposed     map[tackid.Task]assignment
+		reservations map[tackid.Task]reservation
+		failures     map[tackid.VM]*failureRecord
+		reported     map[tackid.VM]tackclock.Time
+		learned      map[taskKind]*usageRatios
+		leasesOn     map[tackid.VM]int
+		tickCount    int
 	}
 
-	// promise is room that a proposal takes that may still be applied.
-	promise struct {
+	// assignment is a proposed assignment of a task to a worker that may still
+	// be applied.
+	assignment struct {
 		worker tackid.VM
-		need   need
+		need   resources
 		team   tackid.Team
-		cores  int // as declared, for the quota
+		cores  int // declared cores, which count against the quota
 	}
 
-	// claim keeps the room that is being made for an urgent task.
-	claim struct {
+	// reservation holds the resources that are being freed for an urgent task.
+	reservation struct {
 		worker tackid.VM
-		need   need
+		need   resources
 		until  tackclock.Time
 	}
 
@@ -58,83 +61,83 @@
 		now tackclock.Time
 		cfg Settings
 
-		workers map[tackid.VM]*worker
-		sorted  []*worker // by id
-		pools   map[tackid.Pool]*pool
-		before  []*lease            // those of the last decision that are not met yet
-		held    map[tackid.Team]int // declared cores against the quota
-		changes []tackfleet.TaskChange
-		// ending are the tasks whose change this tick proposes.
-		ending map[tackid.Task]bool
-		orders [len(verbOrder)][]Order
-		starts int
+		workers    map[tackid.VM]*worker
+		sorted     []*worker // by id
+		pools      map[tackid.Pool]*pool
+		previous   []*lease            // leases of the last decision that leaseOf has not passed yet
+		quotaCores map[tackid.Team]int // declared cores that count against the quota
+		changes    []tackfleet.TaskChange
+		// changing holds the tasks for which this tick proposes a change.
+		changing map[tackid.Task]bool
+		orders   [len(verbOrder)][]Order
+		starts   int
 	}
 )
 
-// verbOrder is the order in which what is asked of workers goes out: what
-// somebody waits for first.
+// verbOrder is the order in which orders are sent: the ones that somebody waits
+// for come first.
 var verbOrder = [...]Verb{VerbStart, VerbStop, VerbCheckpoint, VerbThrottle, VerbRenew}
 
-// Decide returns what to do next. It is meant for the leader, a few times a
-// second. A change it proposes may get lost or be refused: the next call sees
-// the state as it is.
+// Decide returns what to do next. The leader calls it a few times a second. A
+// proposed change may be lost or refused; the next call decides again from the
+// state as it is then.
 func (p *Placer) Decide(v View, cfg Settings) Decision {
-	p.enter(&v)
+	p.startTerm(&v)
 	t := &tick{
 		Placer: p, v: v, f: v.Fleet, now: v.Now, cfg: cfg.withDefaults(),
-		workers: make(map[tackid.VM]*worker),
-		pools:   make(map[tackid.Pool]*pool),
-		held:    make(map[tackid.Team]int),
-		ending:  make(map[tackid.Task]bool),
+		workers:    make(map[tackid.VM]*worker),
+		pools:      make(map[tackid.Pool]*pool),
+		quotaCores: make(map[tackid.Team]int),
+		changing:   make(map[tackid.Task]bool),
 	}
-	t.lookAtWorkers()
-	t.lookAtTasks()
-	t.takeAnswers()
-	t.takeReports()
-	t.keepLeases()
+	t.collectWorkers()
+	t.collectTasks()
+	t.processAnswers()
+	t.processReports()
+	t.updateLeases()
 	t.fillWorkers()
 	t.drain()
-	t.relieve()
+	t.relieveWorkers()
 	t.place()
 	return t.decision()
 }
 
-// Live returns the number of leases on the worker that could still be live at
-// the last decision, those of cancelled tasks included.
+// Live returns the number of leases on the worker that may have been live at
+// the last decision, including those of cancelled tasks.
 func (p *Placer) Live(worker tackid.VM) int {
-	return p.onWorker[worker]
+	return p.leasesOn[worker]
 }
 
-// enter starts anew in a new term. What another leader asked of workers
-// meanwhile is not known here, so nothing from before may be relied on.
-func (p *Placer) enter(v *View) {
-	p.count++
+// startTerm resets the Placer in a new term. Another leader may have sent
+// orders to workers meanwhile, so nothing learned earlier may be relied on.
+func (p *Placer) startTerm(v *View) {
+	p.tickCount++
 	if p.term == v.Term && p.leases != nil {
 		return
 	}
 	*p = Placer{
-		term: v.Term, began: v.Now, base: v.Fleet.Revision(), count: p.count,
-		leases:   make(map[tackid.Task]*lease),
-		promised: make(map[tackid.Task]promise),
-		claims:   make(map[tackid.Task]claim),
-		standing: make(map[tackid.VM]*standing),
-		heard:    make(map[tackid.VM]tackclock.Time),
-		learned:  make(map[kind]*ratios),
-		onWorker: make(map[tackid.VM]int),
+		term: v.Term, began: v.Now, base: v.Fleet.Revision(), tickCount: p.tickCount,
+		leases:       make(map[tackid.Task]*lease),
+		proposed:     make(map[tackid.Task]assignment),
+		reservations: make(map[tackid.Task]reservation),
+		failures:     make(map[tackid.VM]*failureRecord),
+		reported:     make(map[tackid.VM]tackclock.Time),
+		learned:      make(map[taskKind]*usageRatios),
+		leasesOn:     make(map[tackid.VM]int),
 	}
 }
 
-// propose takes a task to its next state, unless this tick proposed one.
+// propose adds a change of a task, unless this tick has already proposed one.
 func (t *tick) propose(c tackfleet.TaskChange) {
-	if t.ending[c.Task] {
+	if t.changing[c.Task] {
 		return
 	}
-	t.ending[c.Task] = true
+	t.changing[c.Task] = true
 	t.changes = append(t.changes, c)
 }
 
-// order asks a worker for something, if the last order of the lease was
-// answered or can't be any more.
+// order sends an order to the lease's worker and reports whether it did. It
+// does not while the last order of the lease may still be answered.
 func (t *tick) order(l *lease, verb Verb, o Order) bool {
 	if l.pending != "" && t.now.Sub(l.pendingAt) < t.cfg.OrderLimit {
 		return false
--- a/core/tackplace/queue.go
+++ b/core/tackplace/queue.go
@@ -9,36 +9,36 @@
 	"auburntack/core/tackid"
 )
 
-// depth is how many tasks of a team are looked at in one decision, of each
-// class and pool.
-const depth = 32
+// queueDepth is the number of tasks of each queue that are considered in one
+// decision.
+const queueDepth = 32
 
 type (
-	// pool is a pool's workers, and what waits for them.
+	// pool holds the workers of a pool and the tasks that wait for them.
 	pool struct {
-		workers []*worker
-		largest need // by each measure
-		unseen  bool // a VM has not announced its size yet
-		queues  [3]map[line]*queue
-		teams   map[tackid.Team]float64 // cores that each team's tasks take
-		misfits []need                  // needs that found no room in this decision
+		workers     []*worker
+		largest     resources // the largest amount of each resource that any worker has
+		sizeUnknown bool      // a VM has not announced its size yet
+		queues      [3]map[queueKey]*queue
+		teams       map[tackid.Team]float64 // cores used by each team's tasks
+		unmet       []resources             // requirements that no worker could meet in this decision
 	}
 
-	// line tells the queues of a class apart. Tasks that want accelerators
-	// wait by themselves, so that they don't hold up the others.
-	line struct {
+	// queueKey identifies a queue within its class. Tasks that need accelerators
+	// have queues of their own, so that they don't delay other tasks.
+	queueKey struct {
 		team         tackid.Team
 		accelerators bool
 	}
 
-	// queue is the first tasks of a line, by age.
+	// queue holds the oldest tasks with one key, oldest first.
 	queue struct {
-		line  line
+		key   queueKey
 		tasks []*tackfleet.Task
 	}
 )
 
-// order of the classes.
+// classes lists the classes in the order in which their tasks are placed.
 var classes = [...]tackid.Class{tackid.ClassUrgent, tackid.ClassNormal, tackid.ClassBatch}
 
 func (t *tick) poolOf(id tackid.Pool) *pool {
@@ -57,9 +57,10 @@
 	p.largest.accelerators = max(p.largest.accelerators, w.free.accelerators)
 }
 
-// queue takes in a task that waits, or sets it aside if it can never run.
+// queue adds a waiting task to its queue, or proposes to set it aside if it can
+// never run.
 func (t *tick) queue(row *tackfleet.Task) {
-	if t.isPromised(row.ID) {
+	if t.isProposed(row.ID) {
 		return
 	}
 	p := t.poolOf(row.Pool)
@@ -69,34 +70,35 @@
 	}
 	class := min(int(row.Class), len(p.queues)-1)
 	if p.queues[class] == nil {
-		p.queues[class] = make(map[line]*queue)
+		p.queues[class] = make(map[queueKey]*queue)
 	}
-	at := line{row.Team, row.Accelerators > 0}
+	at := queueKey{row.Team, row.Accelerators > 0}
 	q := p.queues[class][at]
 	if q == nil {
-		q = &queue{line: at}
+		q = &queue{key: at}
 		p.queues[class][at] = q
 	}
 	q.add(row)
 }
 
-func (t *tick) isPromised(id tackid.Task) bool {
-	if len(t.promised) == 0 {
+func (t *tick) isProposed(id tackid.Task) bool {
+	if len(t.proposed) == 0 {
 		return false
 	}
-	_, promised := t.promised[id]
-	return promised
+	_, proposed := t.proposed[id]
+	return proposed
 }
 
-// tooLarge says why no worker of the pool could ever run the task. A worker
-// that has not announced itself yet may be a larger one.
+// tooLarge returns the reason why no worker of the pool can ever run the task,
+// or "" if one may. A worker that has not announced itself yet may be large
+// enough.
 func (p *pool) tooLarge(row *tackfleet.Task) string {
-	if len(p.workers) == 0 || p.unseen {
+	if len(p.workers) == 0 || p.sizeUnknown {
 		return ""
 	}
-	declared := need{float64(row.Cores), row.MemoryMB, row.Accelerators}
+	declared := resources{float64(row.Cores), row.MemoryMB, row.Accelerators}
 	for _, w := range p.workers {
-		if declared.within(need{float64(w.vm.Cores), w.vm.MemoryMB, w.vm.Accelerators}) {
+		if declared.fitsIn(resources{float64(w.vm.Cores), w.vm.MemoryMB, w.vm.Accelerators}) {
 			return ""
 		}
 	}
@@ -104,22 +106,22 @@
 		row.Cores, row.MemoryMB, row.Accelerators, row.Pool, p.largest.cores, p.largest.memoryMB, p.largest.accelerators)
 }
 
-// add keeps the oldest tasks in order.
+// add adds a task to the queue, which keeps the oldest depth tasks.
 func (q *queue) add(row *tackfleet.Task) {
-	if len(q.tasks) == depth && older(q.tasks[depth-1], row) <= 0 {
+	if len(q.tasks) == queueDepth && older(q.tasks[queueDepth-1], row) <= 0 {
 		return
 	}
 	at, _ := slices.BinarySearchFunc(q.tasks, row, older)
 	q.tasks = slices.Insert(q.tasks, at, row)
-	q.tasks = q.tasks[:min(len(q.tasks), depth)]
+	q.tasks = q.tasks[:min(len(q.tasks), queueDepth)]
 }
 
 func older(a, b *tackfleet.Task) int {
 	return cmp.Or(cmp.Compare(a.Created, b.Created), cmp.Compare(a.ID, b.ID))
 }
 
-// place gives waiting tasks to workers: the urgent first, then the team that
-// has least of its pool.
+// place assigns waiting tasks to workers, by class and then by team: the team
+// that uses the fewest cores of the pool comes first.
 func (t *tick) place() {
 	ids := make([]tackid.Pool, 0, len(t.pools))
 	for id := range t.pools {
@@ -134,17 +136,17 @@
 	}
 }
 
-// countTeams counts the cores that the teams have on each pool.
+// countTeams sums up the cores that the teams use on each pool.
 func (t *tick) countTeams() {
 	for _, l := range t.live {
-		if !l.gone {
-			t.poolOf(l.row.Pool).teams[l.row.Team] += l.room().cores
+		if !l.ended {
+			t.poolOf(l.row.Pool).teams[l.row.Team] += l.allocated().cores
 		}
 	}
 }
 
-// placeClass shares a pool's room among the teams: the next task is always
-// that of the team with the least.
+// placeClass places the tasks of one class. The next task is always that of the
+// team that uses the fewest cores of the pool.
 func (t *tick) placeClass(p *pool, class tackid.Class) {
 	queues := make([]*queue, 0, len(p.queues[class]))
 	for _, q := range p.queues[class] {
@@ -154,7 +156,7 @@
 	for len(queues) > 0 && t.starts < t.cfg.MaxStarts {
 		least := 0
 		for i, q := range queues {
-			if p.teams[q.line.team] < p.teams[queues[least].line.team] {
+			if p.teams[q.key.team] < p.teams[queues[least].key.team] {
 				least = i
 			}
 		}
@@ -166,84 +168,90 @@
 	}
 }
 
-// placeTask gives the task to a worker if there is one with room.
+// placeTask assigns the task to a worker if there is one with room and the
+// team's quota allows it.
 func (t *tick) placeTask(p *pool, row *tackfleet.Task) {
 	q, bounded := t.f.Quota(row.Team)
-	if bounded && q.Cores > 0 && t.held[row.Team]+row.Cores > q.Cores {
+	if bounded && q.Cores > 0 && t.quotaCores[row.Team]+row.Cores > q.Cores {
 		return
 	}
-	n := t.needOf(row)
+	n := t.estimate(row)
 	n.memoryMB = min(n.memoryMB, max(row.MemoryMB, p.largest.memoryMB))
 	n.cores = min(n.cores, p.largest.cores)
-	w := t.roomFor(p, row, n)
+	w := t.findWorker(p, row, n)
 	if w == nil && row.Class == tackid.ClassUrgent {
 		w = t.makeRoom(p, row, n)
 	}
 	if w == nil {
 		return
 	}
-	t.give(p, w, row, n)
+	t.assign(p, w, row, n)
 }
 
-// give proposes to run the task on the worker.
-func (t *tick) give(p *pool, w *worker, row *tackfleet.Task, n need) {
-	delete(t.claims, row.ID)
+// assign proposes the assignment of the task to the worker.
+func (t *tick) assign(p *pool, w *worker, row *tackfleet.Task, n resources) {
+	delete(t.reservations, row.ID)
 	w.take(n, row.Team)
-	w.probed = w.probed || w.busy
+	w.probing = w.probing || w.avoided
 	p.teams[row.Team] += n.cores
-	t.held[row.Team] += row.Cores
+	t.quotaCores[row.Team] += row.Cores
 	t.starts++
-	t.promised[row.ID] = promise{worker: w.vm.ID, need: n, team: row.Team, cores: row.Cores}
+	t.proposed[row.ID] = assignment{worker: w.vm.ID, need: n, team: row.Team, cores: row.Cores}
 	t.propose(tackfleet.TaskChange{Task: row.ID, State: tackfleet.TaskRunning, Worker: w.vm.ID, Token: row.Token})
 }
 
-// roomFor returns the worker to run the task on, or nil. Of those with room it
-// takes one in a rack with few of the team's tasks, and of these the fullest,
-// which leaves the large rooms for large tasks.
-func (t *tick) roomFor(p *pool, row *tackfleet.Task, n need) *worker {
-	for _, m := range p.misfits {
-		if row.Class != tackid.ClassUrgent && m.within(n) {
+// findWorker returns the worker to run the task on, or nil. Of the workers
+// with room it avoids the one of the task's last try, then prefers the rack
+// with the fewest of the team's tasks, then the worker with the fewest free
+// cores, which keeps large gaps for large tasks.
+func (t *tick) findWorker(p *pool, row *tackfleet.Task, n resources) *worker {
+	for _, m := range p.unmet {
+		if row.Class != tackid.ClassUrgent && m.fitsIn(n) {
 			return nil
 		}
 	}
 	var best *worker
 	for _, w := range p.workers {
-		if t.fits(w, row, n) && (best == nil || w.better(best, row)) {
+		if t.fits(w, row, n) && (best == nil || w.preferredTo(best, row)) {
 			best = w
 		}
 	}
 	if best == nil && row.Class != tackid.ClassUrgent {
-		p.misfits = append(p.misfits, n)
+		p.unmet = append(p.unmet, n)
 	}
 	return best
 }
 
-func (t *tick) fits(w *worker, row *tackfleet.Task, n need) bool {
-	if !t.mayGet(w, row) {
+// fits reports whether the worker may get the task and has room for it. Tasks
+// that are not urgent must leave some memory free.
+func (t *tick) fits(w *worker, row *tackfleet.Task, n resources) bool {
+	if !t.eligible(w, row) {
 		return false
 	}
 	free := w.free
-	if c, claimed := t.claims[row.ID]; claimed && c.worker == w.vm.ID {
-		free.more(c.need)
+	if c, reserved := t.reservations[row.ID]; reserved && c.worker == w.vm.ID {
+		free.add(c.need)
 	}
 	if row.Class != tackid.ClassUrgent {
 		free.memoryMB -= min(w.vm.MemoryMB*t.cfg.Headroom/100, max(0, w.vm.MemoryMB-n.memoryMB))
 	}
-	return n.within(free)
+	return n.fitsIn(free)
 }
 
-// mayGet reports whether the worker may get the task at all. A worker that is
-// avoided gets one task at a time that can be run again, and no urgent one.
-func (t *tick) mayGet(w *worker, row *tackfleet.Task) bool {
+// eligible reports whether the worker may get the task, regardless of room. A
+// worker that is avoided gets only one task at a time as a probe, which must be
+// idempotent, not urgent and in its first try.
+func (t *tick) eligible(w *worker, row *tackfleet.Task) bool {
 	if !w.vm.Available() {
 		return false
 	}
-	return !w.busy || !w.probed && row.Idempotent && row.Class != tackid.ClassUrgent && row.Tries == 0
+	return !w.avoided || !w.probing && row.Idempotent && row.Class != tackid.ClassUrgent && row.Tries == 0
 }
 
-func (w *worker) better(o *worker, row *tackfleet.Task) bool {
-	if again, other := w.vm.ID == row.Worker, o.vm.ID == row.Worker; again != other {
-		return other
+// preferredTo reports whether w is preferred to o for the task.
+func (w *worker) preferredTo(o *worker, row *tackfleet.Task) bool {
+	if tried, otherTried := w.vm.ID == row.Worker, o.vm.ID == row.Worker; tried != otherTried {
+		return otherTried
 	}
 	if a, b := w.rack.teams[row.Team], o.rack.teams[row.Team]; a != b {
 		return a < b
--- a/core/tackplace/view.go
+++ b/core/tackplace/view.go
@@ -13,29 +13,30 @@
 	VerbRenew Verb = "renew"
 	// VerbCheckpoint has a task save its work.
 	VerbCheckpoint Verb = "checkpoint"
-	// VerbThrottle bounds a task to Cores.
+	// VerbThrottle limits a task to Cores.
 	VerbThrottle Verb = "throttle"
-	// VerbStop ends a task. The answer says that it runs no more.
+	// VerbStop ends a task. The answer confirms that it does not run any more.
 	VerbStop Verb = "stop"
 )
 
 const (
-	// OutcomeUnknown is an order that was sent and not answered.
+	// OutcomeUnknown is the outcome of an order that was sent and not answered.
 	OutcomeUnknown Outcome = iota
-	// OutcomeDone is an order that the worker carried out.
+	// OutcomeDone is the outcome of an order that the worker carried out.
 	OutcomeDone
-	// OutcomeRefused is an order that the worker did not carry out.
+	// OutcomeRefused is the outcome of an order that the worker did not carry
+	// out.
 	OutcomeRefused
-	// OutcomeNotSent is an order that surely never left.
+	// OutcomeNotSent is the outcome of an order that was certainly not sent.
 	OutcomeNotSent
 )
 
 const (
 	// StateRunning is the state of a task that its worker runs.
 	StateRunning UsageState = "running"
-	// StateDone is the state of a task that ended well.
+	// StateDone is the state of a task that succeeded.
 	StateDone UsageState = "done"
-	// StateFailed is the state of a task that ended badly.
+	// StateFailed is the state of a task that failed.
 	StateFailed UsageState = "failed"
 	// StateStopped is the state of a task that was stopped, or whose lease
 	// ran out.
@@ -43,38 +44,39 @@
 )
 
 type (
-	// Verb is what a worker is asked to do with a task.
+	// Verb is the kind of an order.
 	Verb string
 
-	// Outcome is what became of an order.
+	// Outcome is the outcome of an order.
 	Outcome uint8
 
-	// UsageState is what a worker says of a task. One that is none of the
-	// constants counts as running.
+	// UsageState is the state of a task as reported by its worker. Unknown
+	// values count as running.
 	UsageState string
 
-	// View is what the leader sees.
+	// View is the state on which the Placer bases a decision.
 	View struct {
 		Now tackclock.Time
-		// Term is the leader's; a new one makes the Placer start anew.
+		// Term is the leader's term. A new term resets the Placer.
 		Term  uint64
 		Fleet *tackfleet.State
-		// Pending says that changes of earlier decisions may still come.
+		// Pending reports that changes of earlier decisions may still be
+		// applied.
 		Pending bool
-		// Reports and Answers are those that came since the last call.
+		// Reports and Answers are those received since the last call.
 		Reports []Report
 		Answers []Answer
 	}
 
-	// Report is what the platform said of one worker's tasks. What it says
-	// is older than Asked by up to Settings.UsageLag.
+	// Report is the platform's report on the tasks of one worker. It was
+	// requested at Asked, and its data may be older by Settings.UsageLag.
 	Report struct {
 		Worker tackid.VM
 		Asked  tackclock.Time
 		Tasks  []Usage
 	}
 
-	// Usage is what the platform measured of one task, Lag before the report.
+	// Usage is the resource usage of one task, measured Lag before the report.
 	Usage struct {
 		Task     tackid.Task
 		Token    tackid.Token
@@ -84,8 +86,8 @@
 		Lag      tackclock.Duration
 	}
 
-	// Order asks a worker to do something with a task. Lease counts from
-	// when the worker gets it.
+	// Order is an order to a worker about a task. Lease is counted from the
+	// time at which the worker receives the order.
 	Order struct {
 		Worker   tackid.VM
 		Task     tackid.Task
@@ -96,7 +98,7 @@
 		MemoryMB int
 	}
 
-	// Answer is what became of an order. Each order needs one, within
+	// Answer is the outcome of an order. Each order must get an Answer within
 	// Settings.OrderLimit.
 	Answer struct {
 		Order
@@ -104,15 +106,15 @@
 		Reason  string
 	}
 
-	// Decision is what to propose and what to ask of workers, the most
-	// urgent first.
+	// Decision is the result of Placer.Decide: changes to propose and orders
+	// to send to workers, the most urgent first.
 	Decision struct {
 		Changes []tackfleet.Change
 		Orders  []Order
 	}
 )
 
-// ended reports whether the worker says that the task runs no more.
+// ended reports whether a task in this state has ended.
 func (s UsageState) ended() bool {
 	return s == StateDone || s == StateFailed || s == StateStopped
 }
--- a/core/tackplace/worker.go
+++ b/core/tackplace/worker.go
@@ -10,17 +10,17 @@
 )
 
 type (
-	// worker is a VM that has announced its size, and the room on it.
+	// worker is a VM that has announced its size.
 	worker struct {
-		vm     *tackfleet.VM
-		free   need
-		leases []*lease
-		rack   *rack
-		probed bool // it has a probe, or may not get one yet
-		busy   bool // it is avoided, and gets probes only
+		vm      *tackfleet.VM
+		free    resources
+		leases  []*lease
+		rack    *rack
+		probing bool // has a probe, or may not get one yet
+		avoided bool // gets only probes
 	}
 
-	// rack counts the tasks of each team in one failure domain.
+	// rack holds the number of tasks of each team in one rack.
 	rack struct {
 		teams map[tackid.Team]int
 	}
@@ -30,76 +30,77 @@
 		rack       tackid.Rack
 	}
 
-	// standing is how a worker did lately.
-	standing struct {
+	// failureRecord records the consecutive failures of a worker.
+	failureRecord struct {
 		failures int
 		wait     tackclock.Duration
 		probeAt  tackclock.Time
 	}
 )
 
-// lookAtWorkers takes in the VMs that announced a size.
-func (t *tick) lookAtWorkers() {
+// collectWorkers collects the VMs that have announced a size.
+func (t *tick) collectWorkers() {
 	racks := make(map[rackName]*rack)
 	for vm := range t.f.EachVM() {
 		p := t.poolOf(vm.Pool)
 		if vm.Cores == 0 {
-			p.unseen = p.unseen || vm.Health != tackfleet.HealthLost
+			p.sizeUnknown = p.sizeUnknown || vm.Health != tackfleet.HealthLost
 			continue
 		}
 		name := rackName{vm.DataCentre, vm.Rack}
 		if racks[name] == nil {
 			racks[name] = &rack{teams: make(map[tackid.Team]int)}
 		}
-		w := &worker{vm: vm, rack: racks[name], free: need{float64(vm.Cores), vm.MemoryMB, vm.Accelerators}}
+		w := &worker{vm: vm, rack: racks[name], free: resources{float64(vm.Cores), vm.MemoryMB, vm.Accelerators}}
 		t.workers[vm.ID] = w
 		t.sorted = append(t.sorted, w)
 		p.add(w)
 	}
 }
 
-// fillWorkers takes the room of live leases, promises and claims.
+// fillWorkers subtracts the resources of live leases, proposed assignments and
+// reservations from the free resources of the workers.
 func (t *tick) fillWorkers() {
-	clear(t.onWorker)
+	clear(t.leasesOn)
 	for _, w := range t.sorted {
-		w.busy, w.probed = t.avoided(w.vm.ID)
+		w.avoided, w.probing = t.avoided(w.vm.ID)
 	}
 	for _, l := range t.live {
 		switch w := l.on; {
-		case l.gone:
+		case l.ended:
 		case w == nil:
-			t.onWorker[l.worker]++
+			t.leasesOn[l.worker]++
 		default:
 			w.leases = append(w.leases, l)
-			w.take(l.room(), l.row.Team)
-			w.probed = w.probed || w.busy && !l.row.Started.Before(t.standing[l.worker].probeAt)
+			w.take(l.allocated(), l.row.Team)
+			w.probing = w.probing || w.avoided && !l.row.Started.Before(t.failures[l.worker].probeAt)
 		}
 	}
 	for _, w := range t.sorted {
-		t.onWorker[w.vm.ID] = len(w.leases)
+		t.leasesOn[w.vm.ID] = len(w.leases)
 	}
-	for _, id := range slices.Sorted(maps.Keys(t.promised)) {
-		p := t.promised[id]
-		t.onWorker[p.worker]++
-		t.held[p.team] += p.cores
+	for _, id := range slices.Sorted(maps.Keys(t.proposed)) {
+		p := t.proposed[id]
+		t.leasesOn[p.worker]++
+		t.quotaCores[p.team] += p.cores
 		if w := t.workers[p.worker]; w != nil {
 			w.take(p.need, p.team)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(t.claims)) {
-		c := t.claims[id]
+	for _, id := range slices.Sorted(maps.Keys(t.reservations)) {
+		c := t.reservations[id]
 		w := t.workers[c.worker]
 		if w == nil || !c.until.After(t.now) {
-			delete(t.claims, id)
+			delete(t.reservations, id)
 			continue
 		}
-		w.free.less(c.need)
+		w.free.subtract(c.need)
 	}
 }
 
-// room returns what the lease takes. A throttled task takes what it was
-// bounded to.
-func (l *lease) room() need {
+// allocated returns the resources that the lease takes. A throttled task takes
+// only the cores that it is throttled to.
+func (l *lease) allocated() resources {
 	n := l.need
 	if l.throttled > 0 {
 		n.cores = min(n.cores, float64(l.throttled))
@@ -107,57 +108,58 @@
 	return n
 }
 
-func (w *worker) take(n need, team tackid.Team) {
-	w.free.less(n)
+func (w *worker) take(n resources, team tackid.Team) {
+	w.free.subtract(n)
 	w.rack.teams[team]++
 }
 
-func (n *need) less(m need) {
+func (n *resources) subtract(m resources) {
 	n.cores -= m.cores
 	n.memoryMB -= m.memoryMB
 	n.accelerators -= m.accelerators
 }
 
-func (n *need) more(m need) {
+func (n *resources) add(m resources) {
 	n.cores += m.cores
 	n.memoryMB += m.memoryMB
 	n.accelerators += m.accelerators
 }
 
-// within reports whether n fits into m.
-func (n need) within(m need) bool {
+// fitsIn reports whether n fits into m.
+func (n resources) fitsIn(m resources) bool {
 	return n.cores <= m.cores && n.memoryMB <= m.memoryMB && n.accelerators <= m.accelerators
 }
 
-// avoided reports whether a worker failed too much in a row, and whether it
-// may not get a probe now.
+// avoided reports whether a worker is avoided after too many consecutive
+// failures, and whether it has to wait for its next probe.
 //
-// A worker that fails everything at once is always the emptiest one. Without
-// this it would draw task after task and use up all their tries.
+// A worker on which every task fails at once always has the most room. If it
+// was not avoided it would get task after task and use up their tries.
 func (t *tick) avoided(vm tackid.VM) (avoid, wait bool) {
-	s := t.standing[vm]
+	s := t.failures[vm]
 	if s == nil || s.failures < t.cfg.FailuresInRow {
 		return false, false
 	}
 	return true, t.now.Before(s.probeAt)
 }
 
-// failedOn counts a task that failed on its worker.
-func (t *tick) failedOn(vm tackid.VM) {
-	s := t.standing[vm]
+// countFailure counts a task that failed on its worker.
+func (t *tick) countFailure(vm tackid.VM) {
+	s := t.failures[vm]
 	if s == nil {
-		s = new(standing)
-		t.standing[vm] = s
+		s = new(failureRecord)
+		t.failures[vm] = s
 	}
 	s.failures++
 	if s.failures < t.cfg.FailuresInRow || t.now.Before(s.probeAt) {
-		return // what was started together counts once
+		return // tasks that were started together count once
 	}
-	s.wait = min(max(2*s.wait, t.cfg.ProbeAfter), longestProbe)
+	s.wait = min(max(2*s.wait, t.cfg.ProbeAfter), maxProbeInterval)
 	s.probeAt = t.now.Add(s.wait)
 }
 
-// workedOn clears a worker on which a task ended well.
-func (t *tick) workedOn(l *lease) {
-	delete(t.standing, l.worker)
+// clearFailures clears the failures of a worker after a task has succeeded on
+// it.
+func (t *tick) clearFailures(l *lease) {
+	delete(t.failures, l.worker)
 }
--- a/core/tackplace/world_test.go
+++ b/core/tackplace/world_test.go
@@ -32,49 +32,49 @@
 	}
 
 	fakeWorker struct {
-		runs   map[tackid.Task]*run
-		token  map[tackid.Task]tackid.Token
-		starts int
-		fails  bool // everything it starts
-		cut    bool // hears nothing
-		from   tackclock.Time
+		runs         map[tackid.Task]*run
+		token        map[tackid.Task]tackid.Token
+		starts       int
+		fails        bool // every task fails at once
+		disconnected bool
+		reportedAt   tackclock.Time
 	}
 
 	message struct {
-		at    tackclock.Time
-		order Order
-		left  bool // answered unknown already
-		term  uint64
+		at       tackclock.Time
+		order    Order
+		answered bool // with OutcomeUnknown
+		term     uint64
 	}
 
-	// world is a fleet, workers that run what they are asked to, and a
-	// leader that may be replaced. What it says is late or lost by loss.
+	// world simulates a fleet, its workers, and a leader that may be replaced.
+	// Orders and answers are late or lost with the probability loss.
 	world struct {
-		fleet    tackfleet.State
-		now      tackclock.Time
-		revision tackid.Revision
-		term     uint64
-		placer   Placer
-		cfg      Settings
-		rnd      *rand.Rand
-		loss     float64
-		late     float64
-		saving   tackclock.Duration // what a checkpoint takes
-		workers  map[tackid.VM]*fakeWorker
-		sent     []message
-		unsure   []message // those that the platform's client gives up on
-		answers  []Answer
-		pending  []tackfleet.Change
-		began    map[tackid.Task][]tackclock.Time
-		wrong    []string
-		orders   map[Verb]int
-		actual   func(o *Order) (cores, memory float64, takes tackclock.Duration)
+		fleet      tackfleet.State
+		now        tackclock.Time
+		revision   tackid.Revision
+		term       uint64
+		placer     Placer
+		cfg        Settings
+		rng        *rand.Rand
+		loss       float64
+		late       float64
+		saving     tackclock.Duration // time that a checkpoint takes
+		workers    map[tackid.VM]*fakeWorker
+		sent       []message
+		unanswered []message // orders whose outcome will be reported as unknown
+		answers    []Answer
+		pending    []tackfleet.Change
+		began      map[tackid.Task][]tackclock.Time
+		violations []string
+		orders     map[Verb]int
+		actual     func(o *Order) (cores, memory float64, takes tackclock.Duration)
 	}
 )
 
 func newWorld(seed uint64, workers, cores, memoryMB int) *world {
 	w := &world{
-		now: tackclock.Time(tackclock.Day), term: 1, rnd: rand.New(rand.NewPCG(seed, 1)), saving: 300,
+		now: tackclock.Time(tackclock.Day), term: 1, rng: rand.New(rand.NewPCG(seed, 1)), saving: 300,
 		workers: make(map[tackid.VM]*fakeWorker), began: make(map[tackid.Task][]tackclock.Time),
 		orders: make(map[Verb]int),
 		actual: func(o *Order) (float64, float64, tackclock.Duration) {
@@ -118,33 +118,33 @@
 	return t
 }
 
-// replaceLeader starts a new term. Of what the old one proposed, some still
-// comes; its orders are under way.
+// replaceLeader starts a new term. Some of the old leader's proposals are still
+// applied, and its orders still arrive.
 func (w *world) replaceLeader() {
 	for _, c := range w.pending {
-		if w.rnd.IntN(2) == 0 {
+		if w.rng.IntN(2) == 0 {
 			w.apply(c)
 		}
 	}
-	w.pending, w.answers, w.unsure = nil, nil, nil
+	w.pending, w.answers, w.unanswered = nil, nil, nil
 	w.term++
 	w.placer = Placer{}
 }
 
-// step takes the world one tick on. Proposals are applied at once, or with
-// the chance late a tick later.
+// step advances the world by one tick. Proposals are applied at once, or a tick
+// later with the probability late.
 func (w *world) step() {
 	w.now = w.now.Add(testTick)
 	w.deliver()
 	w.work()
-	if w.rnd.Float64() >= w.late {
+	if w.rng.Float64() >= w.late {
 		w.applyPending()
 	}
 	view := View{Now: w.now, Term: w.term, Fleet: &w.fleet, Pending: len(w.pending) > 0, Reports: w.reports(), Answers: w.answers}
 	w.answers = nil
 	d := w.placer.Decide(view, w.cfg)
 	w.pending = append(w.pending, d.Changes...)
-	if w.rnd.Float64() >= w.late {
+	if w.rng.Float64() >= w.late {
 		w.applyPending()
 	}
 	for _, o := range d.Orders {
@@ -172,44 +172,44 @@
 	if o.Verb == VerbCheckpoint {
 		m.at = m.at.Add(w.saving)
 	}
-	if w.rnd.Float64() < w.loss {
-		m.left = true
-		w.unsure = append(w.unsure, message{at: w.now.Add(2 * tackclock.Second), order: o, term: w.term})
-		if w.rnd.IntN(2) == 0 {
+	if w.rng.Float64() < w.loss {
+		m.answered = true
+		w.unanswered = append(w.unanswered, message{at: w.now.Add(2 * tackclock.Second), order: o, term: w.term})
+		if w.rng.IntN(2) == 0 {
 			return
 		}
-		m.at = w.now.Add(tackclock.Duration(w.rnd.IntN(9500)))
+		m.at = w.now.Add(tackclock.Duration(w.rng.IntN(9500)))
 	}
 	w.sent = append(w.sent, m)
 }
 
 func (w *world) deliver() {
-	for len(w.unsure) > 0 && !w.unsure[0].at.After(w.now) {
-		if w.unsure[0].term == w.term {
-			w.answers = append(w.answers, Answer{Order: w.unsure[0].order})
+	for len(w.unanswered) > 0 && !w.unanswered[0].at.After(w.now) {
+		if w.unanswered[0].term == w.term {
+			w.answers = append(w.answers, Answer{Order: w.unanswered[0].order})
 		}
-		w.unsure = w.unsure[1:]
+		w.unanswered = w.unanswered[1:]
 	}
 	slices.SortStableFunc(w.sent, func(a, b message) int { return cmp.Compare(a.at, b.at) })
 	for len(w.sent) > 0 && !w.sent[0].at.After(w.now) {
 		m := w.sent[0]
 		w.sent = w.sent[1:]
-		outcome := w.workers[m.order.Worker].take(w, m.order)
+		outcome := w.workers[m.order.Worker].handle(w, m.order)
 		switch {
-		case m.left || m.term != w.term:
-		case w.rnd.Float64() < w.loss:
-			w.unsure = append(w.unsure, message{at: w.now.Add(2 * tackclock.Second), order: m.order, term: w.term})
+		case m.answered || m.term != w.term:
+		case w.rng.Float64() < w.loss:
+			w.unanswered = append(w.unanswered, message{at: w.now.Add(2 * tackclock.Second), order: m.order, term: w.term})
 		default:
 			w.answers = append(w.answers, Answer{Order: m.order, Outcome: outcome})
 		}
 	}
 }
 
-// take carries an order out as a worker does.
-func (f *fakeWorker) take(w *world, o Order) Outcome {
+// handle carries out an order like a worker.
+func (f *fakeWorker) handle(w *world, o Order) Outcome {
 	r := f.runs[o.Task]
 	switch {
-	case f.cut:
+	case f.disconnected:
 		return OutcomeUnknown
 	case o.Token < f.token[o.Task]:
 		return OutcomeRefused
@@ -232,13 +232,13 @@
 	return OutcomeDone
 }
 
-// startAgain answers a start that came before. What a platform says to it, or
-// does, is not known.
+// startAgain answers a repeated start. The answer is random, since it is not
+// known what a platform does in this case.
 func (f *fakeWorker) startAgain(w *world, o Order) Outcome {
 	if row, _ := w.fleet.Task(o.Task); !row.Idempotent {
-		w.wrong = append(w.wrong, fmt.Sprintf("%s, not idempotent, was to be started twice", o.Task))
+		w.violations = append(w.violations, fmt.Sprintf("%s, not idempotent, got a second start", o.Task))
 	}
-	if w.rnd.IntN(2) == 0 {
+	if w.rng.IntN(2) == 0 {
 		return OutcomeRefused
 	}
 	return OutcomeDone
@@ -248,7 +248,7 @@
 	row, _ := w.fleet.Task(o.Task)
 	w.began[o.Task] = append(w.began[o.Task], w.now)
 	if n := len(w.began[o.Task]); n > 1 && !row.Idempotent {
-		w.wrong = append(w.wrong, fmt.Sprintf("%s, not idempotent, started %d times", o.Task, n))
+		w.violations = append(w.violations, fmt.Sprintf("%s, not idempotent, started %d times", o.Task, n))
 	}
 	f.starts++
 	f.token[o.Task] = o.Token
@@ -263,7 +263,7 @@
 	return OutcomeDone
 }
 
-// work ends what is done and what lost its lease.
+// work ends the tasks that are done and those whose lease has run out.
 func (w *world) work() {
 	for _, f := range w.workers {
 		for id, r := range f.runs {
@@ -280,16 +280,16 @@
 	}
 }
 
-// reports says what each worker's tasks were testLag ago, every 2 s. Ends show
-// at once, as the platform hears of them.
+// reports returns every 2 s the usage of each worker's tasks as it was testLag
+// ago. Ends are reported at once.
 func (w *world) reports() []Report {
 	var reports []Report
 	for vm := range w.fleet.EachVM() {
 		f := w.workers[vm.ID]
-		if f.cut || w.now.Sub(f.from) < 2*tackclock.Second || w.rnd.Float64() < w.loss {
+		if f.disconnected || w.now.Sub(f.reportedAt) < 2*tackclock.Second || w.rng.Float64() < w.loss {
 			continue
 		}
-		f.from = w.now
+		f.reportedAt = w.now
 		r := Report{Worker: vm.ID, Asked: w.now}
 		for _, x := range f.runs {
 			if x.began.After(w.now.Add(-testLag)) && x.state == StateRunning {
@@ -303,7 +303,7 @@
 	return reports
 }
 
-// check looks at what the workers do, not at what the placer thinks.
+// check checks what the workers do, independently of the placer's state.
 func (w *world) check() {
 	live := make(map[tackid.Task]tackid.VM)
 	for id, f := range w.workers {
@@ -314,17 +314,17 @@
 			}
 			memory += r.order.MemoryMB
 			if other, twice := live[task]; twice {
-				w.wrong = append(w.wrong, fmt.Sprintf("%s runs on %s and %s", task, id, other))
+				w.violations = append(w.violations, fmt.Sprintf("%s runs on %s and %s", task, id, other))
 			}
 			live[task] = id
 		}
 		if vm, ok := w.fleet.VM(id); ok && memory > vm.MemoryMB {
-			w.wrong = append(w.wrong, fmt.Sprintf("%s runs tasks of %d MB on %d", id, memory, vm.MemoryMB))
+			w.violations = append(w.violations, fmt.Sprintf("%s runs tasks of %d MB on %d", id, memory, vm.MemoryMB))
 		}
 	}
 	for _, q := range w.fleet.Quotas() {
 		if n := w.fleet.CoresOf(q.Team); q.Cores > 0 && n > q.Cores {
-			w.wrong = append(w.wrong, fmt.Sprintf("%s runs %d of %d cores", q.Team, n, q.Cores))
+			w.violations = append(w.violations, fmt.Sprintf("%s runs %d of %d cores", q.Team, n, q.Cores))
 		}
 	}
 }
@@ -332,7 +332,7 @@
 type fataler interface{ Fatalf(string, ...any) }
 
 func assertSound(t fataler, w *world) {
-	if len(w.wrong) > 0 {
-		t.Fatalf("%s", strings.Join(w.wrong[:min(len(w.wrong), 5)], "\n"))
+	if len(w.violations) > 0 {
+		t.Fatalf("%s", strings.Join(w.violations[:min(len(w.violations), 5)], "\n"))
 	}
 }
--- a/core/tackplace/yield.go
+++ b/core/tackplace/yield.go
@@ -10,55 +10,56 @@
 )
 
 const (
-	// claimFor is how long room is kept for an urgent task while others are
-	// taken off; after that another worker is tried.
-	claimFor = 2 * tackclock.Second
-	// fullMemory is the part of a worker's memory, measured, above which
-	// tasks are taken off.
-	fullMemory = 0.95
+	// reservationLimit is how long resources are reserved for an urgent task
+	// while other tasks are evicted. After that another worker is tried.
+	reservationLimit = 2 * tackclock.Second
+	// memoryLimit is the measured share of a worker's memory above which tasks
+	// are evicted.
+	memoryLimit = 0.95
 )
 
-// makeRoom finds a worker on which work of the batch class gives way to an
-// urgent task. It returns the worker where that is so at once, by throttling,
-// and otherwise keeps the room that is being made.
-func (t *tick) makeRoom(p *pool, row *tackfleet.Task, n need) *worker {
-	if _, waits := t.claims[row.ID]; waits {
+// makeRoom frees resources for an urgent task by throttling or evicting batch
+// tasks. If throttling is enough it returns the worker. Otherwise it starts to
+// evict tasks, reserves their resources and returns nil.
+func (t *tick) makeRoom(p *pool, row *tackfleet.Task, n resources) *worker {
+	if _, reserved := t.reservations[row.ID]; reserved {
 		return nil
 	}
-	if w := t.throttled(p, row, n); w != nil {
+	if w := t.throttleFor(p, row, n); w != nil {
 		return w
 	}
 	var best *worker
-	var least []*lease
+	var fewest []*lease
 	for _, w := range p.workers {
-		if !t.mayGet(w, row) {
+		if !t.eligible(w, row) {
 			continue
 		}
-		leave := w.victims(t.now, n)
-		if leave != nil && (best == nil || len(leave) < len(least)) {
-			best, least = w, leave
+		victims := w.victims(t.now, n)
+		if victims != nil && (best == nil || len(victims) < len(fewest)) {
+			best, fewest = w, victims
 		}
 	}
 	if best == nil {
 		return nil
 	}
-	for _, l := range least {
-		t.yield(l, true)
+	for _, l := range fewest {
+		t.evict(l, true)
 	}
-	t.claims[row.ID] = claim{worker: best.vm.ID, need: n, until: t.now.Add(claimFor)}
-	best.free.less(n)
+	t.reservations[row.ID] = reservation{worker: best.vm.ID, need: n, until: t.now.Add(reservationLimit)}
+	best.free.subtract(n)
 	return nil
 }
 
-// throttled bounds batch tasks on a worker that lacks nothing but cores.
-// Nothing has to be saved or stopped, so the urgent task starts at once.
-func (t *tick) throttled(p *pool, row *tackfleet.Task, n need) *worker {
+// throttleFor throttles batch tasks on a worker that lacks only cores for the
+// task, and returns that worker. No work has to be saved or stopped, so the
+// urgent task can start at once.
+func (t *tick) throttleFor(p *pool, row *tackfleet.Task, n resources) *worker {
 	for _, w := range p.workers {
 		missing := n.cores - w.free.cores
-		if !t.mayGet(w, row) || n.memoryMB > w.free.memoryMB || n.accelerators > w.free.accelerators {
+		if !t.eligible(w, row) || n.memoryMB > w.free.memoryMB || n.accelerators > w.free.accelerators {
 			continue
 		}
-		if w.spareable() < missing {
+		if w.reclaimableCores() < missing {
 			continue
 		}
 		t.throttle(w, missing)
@@ -67,78 +68,81 @@
 	return nil
 }
 
-// bound returns the cores that a lease can be throttled to.
-func (l *lease) bound() int {
+// throttledCores returns the number of cores that the task can be throttled to.
+func (l *lease) throttledCores() int {
 	return max(1, l.row.Cores/4)
 }
 
-// spare returns the cores that throttling a lease gives.
-func (l *lease) spare() float64 {
-	if l.row.Class != tackid.ClassBatch || l.throttled > 0 || l.pending != "" || !l.shown || l.stage != stageRunning {
+// reclaimableCores returns the number of cores freed by throttling the task.
+func (l *lease) reclaimableCores() float64 {
+	if l.row.Class != tackid.ClassBatch || l.throttled > 0 || l.pending != "" || !l.confirmed || l.stage != stageRunning {
 		return 0
 	}
-	return max(0, l.need.cores-float64(l.bound()))
+	return max(0, l.need.cores-float64(l.throttledCores()))
 }
 
-func (w *worker) spareable() float64 {
+// reclaimableCores returns the number of cores freed by throttling all batch
+// tasks.
+func (w *worker) reclaimableCores() float64 {
 	sum := 0.0
 	for _, l := range w.leases {
-		sum += l.spare()
+		sum += l.reclaimableCores()
 	}
 	return sum
 }
 
 func (t *tick) throttle(w *worker, missing float64) {
 	for _, l := range w.leases {
-		gives := l.spare()
-		if missing <= 0 || gives == 0 {
+		freed := l.reclaimableCores()
+		if missing <= 0 || freed == 0 {
 			continue
 		}
-		if t.order(l, VerbThrottle, Order{Cores: l.bound()}) {
-			l.throttled = l.bound()
-			w.free.cores += gives
-			missing -= gives
+		if t.order(l, VerbThrottle, Order{Cores: l.throttledCores()}) {
+			l.throttled = l.throttledCores()
+			w.free.cores += freed
+			missing -= freed
 		}
 	}
 }
 
-// victims returns the batch tasks to take off for n to fit, the youngest
-// first, or nil if that is not enough.
-func (w *worker) victims(now tackclock.Time, n need) []*lease {
+// victims returns the batch tasks to evict so that n fits, the most recently
+// started first, or nil if evicting all of them is not enough.
+func (w *worker) victims(now tackclock.Time, n resources) []*lease {
 	free := w.free
-	var leave []*lease
-	for _, l := range slices.SortedFunc(slices.Values(w.leases), younger) {
-		if n.within(free) {
+	var evicted []*lease
+	for _, l := range slices.SortedFunc(slices.Values(w.leases), byLatestStart) {
+		if n.fitsIn(free) {
 			break
 		}
 		if l.stage != stageRunning || !l.movable(now) || l.row.Class != tackid.ClassBatch {
 			continue
 		}
-		leave = append(leave, l)
-		free.more(l.room())
+		evicted = append(evicted, l)
+		free.add(l.allocated())
 	}
-	if !n.within(free) {
+	if !n.fitsIn(free) {
 		return nil
 	}
-	return leave
+	return evicted
 }
 
-func younger(a, b *lease) int {
+// byLatestStart orders leases by the start time of the task, latest first.
+func byLatestStart(a, b *lease) int {
 	return cmp.Or(cmp.Compare(b.row.Started, a.row.Started), cmp.Compare(a.task, b.task))
 }
 
 // movable reports whether the task can be stopped and run again.
 func (l *lease) movable(now tackclock.Time) bool {
-	return l.row.Idempotent && l.sent && !l.startable.After(now) && l.row.State == tackfleet.TaskRunning
+	return l.row.Idempotent && l.sent && !l.startArrivesBy.After(now) && l.row.State == tackfleet.TaskRunning
 }
 
-// drain empties workers that are to get no work. What is expected to end soon
-// is let end; of the rest, what can be run again is taken off. Another
-// non-idempotent task holds the drain until it ends or the wave gives up.
+// drain evicts tasks from workers that are being drained or moved. Tasks that
+// are expected to end soon may finish. Tasks that can't be run again are not
+// evicted: they delay the drain until they end or the wave gives up.
 func (t *tick) drain() {
 	for _, l := range t.live {
 		w := l.on
-		if w == nil || l.gone || l.stage != stageRunning || !l.movable(t.now) {
+		if w == nil || l.ended || l.stage != stageRunning || !l.movable(t.now) {
 			continue
 		}
 		if w.vm.State != tackfleet.VMDraining && w.vm.State != tackfleet.VMMoving {
@@ -146,24 +150,24 @@
 		}
 		left := t.cfg.FinishWithin - t.now.Sub(w.vm.Since)
 		if !t.endsWithin(l, left) {
-			t.yield(l, false)
+			t.evict(l, false)
 		}
 	}
 }
 
-// relieve takes tasks off workers whose memory was measured to run full, and
-// gives throttled tasks their cores back where there is room again.
-func (t *tick) relieve() {
+// relieveWorkers evicts tasks from workers whose measured memory usage is too
+// high, and ends the throttling of tasks where there is room again.
+func (t *tick) relieveWorkers() {
 	for _, l := range t.live {
 		w := l.on
-		if w == nil || l.gone || l.stage != stageRunning || l.throttled == 0 && !t.heldBack(l) {
+		if w == nil || l.ended || l.stage != stageRunning || l.throttled == 0 && !t.seemsThrottled(l) {
 			continue
 		}
-		gives := l.need.cores - float64(l.throttled)
-		if w.free.cores >= gives && t.order(l, VerbThrottle, Order{Cores: l.need.wholeCores()}) {
-			w.free.cores -= gives
+		restored := l.need.cores - float64(l.throttled)
+		if w.free.cores >= restored && t.order(l, VerbThrottle, Order{Cores: l.need.wholeCores()}) {
+			w.free.cores -= restored
 			l.throttled = 0
-			l.restore = false
+			l.maybeThrottled = false
 		}
 	}
 	for _, w := range t.sorted {
@@ -171,10 +175,11 @@
 	}
 }
 
-// heldBack reports whether a task seems to be throttled by another leader.
-func (t *tick) heldBack(l *lease) bool {
-	bound := float64(l.bound())
-	return l.restore && l.used.known && l.used.cores <= bound*spare && bound < l.need.cores
+// seemsThrottled reports whether a task seems to have been throttled by another
+// leader.
+func (t *tick) seemsThrottled(l *lease) bool {
+	bound := float64(l.throttledCores())
+	return l.maybeThrottled && l.used.known && l.used.cores <= bound*usageMargin && bound < l.need.cores
 }
 
 func (t *tick) relieveMemory(w *worker) {
@@ -185,22 +190,23 @@
 			used -= l.used.memoryMB
 		}
 	}
-	if used <= fullMemory*float64(w.vm.MemoryMB) {
+	if used <= memoryLimit*float64(w.vm.MemoryMB) {
 		return
 	}
-	for _, l := range slices.SortedFunc(slices.Values(w.leases), leastClass) {
-		if used <= fullMemory*float64(w.vm.MemoryMB) {
+	for _, l := range slices.SortedFunc(slices.Values(w.leases), byEvictionOrder) {
+		if used <= memoryLimit*float64(w.vm.MemoryMB) {
 			return
 		}
 		if l.stage == stageRunning && l.movable(t.now) && l.row.Class != tackid.ClassUrgent {
 			used -= l.used.memoryMB
-			t.yield(l, false)
+			t.evict(l, false)
 		}
 	}
 }
 
-// leastClass puts batch work first, and the younger of equals.
-func leastClass(a, b *lease) int {
+// byEvictionOrder orders batch tasks first, and then by start time, latest
+// first.
+func byEvictionOrder(a, b *lease) int {
 	aBatch, bBatch := a.row.Class == tackid.ClassBatch, b.row.Class == tackid.ClassBatch
 	if aBatch != bBatch {
 		if aBatch {
@@ -208,5 +214,5 @@
 		}
 		return 1
 	}
-	return younger(a, b)
+	return byLatestStart(a, b)
 }
