--- a/core/tackfleet/benchmark_test.go
+++ b/core/tackfleet/benchmark_test.go
@@ -15,12 +15,12 @@
 const (
 	benchPools = 36
 	benchTeams = 45
-	// dayCommands is how many configuration changes a day remembers.
+	// dayCommands is the number of remembered configuration changes of a day.
 	dayCommands = 3300
 )
 
-// size is a number of VMs and whether a day of commands and a full history
-// are part of the state.
+// size is the size of a fleet: the number of VMs, and whether the state
+// includes a day of commands and a full history.
 type size struct {
 	vms int
 	day bool
@@ -55,13 +55,14 @@
 		}}})
 	}
 	if z.day {
-		f.day()
+		f.applyDay()
 	}
 	return f
 }
 
-// day fills the history and applies a day's commands with their ids.
-func (f *fleet) day() {
+// applyDay fills the history and applies the commands of a day, each with an
+// id.
+func (f *fleet) applyDay() {
 	set := f.parse("set config log.level debug")
 	for range EventLimit {
 		f.apply(Change{Command: set})
@@ -71,8 +72,8 @@
 	}
 }
 
-// TestSnapshotBytes holds the bytes of a snapshot, which do not depend on the
-// machine, within bounds.
+// TestSnapshotBytes checks the size of a snapshot, which does not depend on the
+// machine, against bounds.
 func TestSnapshotBytes(t *testing.T) {
 	bounds := map[size]int{sizes[0]: 30_000, sizes[1]: 105_000, sizes[2]: 440_000, sizes[3]: 970_000}
 	for _, z := range sizes {
@@ -85,8 +86,8 @@
 	}
 }
 
-// TestChangeBytes holds the bytes of the commonest changes in a log entry, and
-// those that a remembered command takes in a snapshot.
+// TestChangeBytes checks the size of the most common changes in a log entry,
+// and of a remembered command in a snapshot, against bounds.
 func TestChangeBytes(t *testing.T) {
 	f := newFleet(t)
 	id := tackid.CommandID("0f8fad5b-d9cb-469f-a165-0e02b2c3d479")
@@ -118,7 +119,8 @@
 	}
 }
 
-// TestApplyAllocations holds the allocations of the commonest changes.
+// TestApplyAllocations checks the allocations of the most common changes
+// against bounds.
 func TestApplyAllocations(t *testing.T) {
 	f := fleetOf(t, sizes[2])
 	for _, b := range applyCases(f) {
@@ -131,7 +133,7 @@
 	}
 }
 
-// applyCase applies one or two changes that leave the fleet as it was.
+// applyCase applies one or two changes that together leave the fleet unchanged.
 type applyCase struct {
 	name        string
 	apply       func()
@@ -218,10 +220,10 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkCheckedBefore counts how often a budget would break if it were
-// checked by whoever proposes, against the state that it has applied, and not
-// again when the change is applied: with up to three changes under way, each
-// drains one of the 64 VMs of a pool with a budget of 80% or gives it back.
+// BenchmarkCheckedBefore counts how often a budget would be broken if it were
+// checked only against the proposer's state, and not again when the change is
+// applied. There are up to three changes in flight, each of which drains or
+// undrains one of the 64 VMs of a pool with a budget of 80%.
 func BenchmarkCheckedBefore(b *testing.B) {
 	const window, changes = 3, 10_000
 	for _, underWay := range []int{0, 1, window} {
@@ -235,8 +237,8 @@
 	}
 }
 
-// raceBudgets returns how many of the drains that had room when they were
-// proposed had none when they were applied, underWay changes later.
+// raceBudgets returns how many of the drains that the budget allowed when they
+// were proposed are refused when they are applied, underWay changes later.
 func raceBudgets(b *testing.B, underWay, changes int) int {
 	f := fleetOf(b, sizes[2])
 	f.must("set budget service-0 min_available 80%")
--- a/core/tackfleet/change.go
+++ b/core/tackfleet/change.go
@@ -7,12 +7,12 @@
 )
 
 type (
-	// Change is what one log entry asks of the fleet: exactly one of Command,
-	// which an operator gave, and the others, which the leader proposes from
-	// what it sees. A WaveStep takes all of its VMs or none. Of the lists,
-	// each item stands for itself: one that no longer fits, because a command
-	// came first, is passed over and counted by Result.PassedOver, and the
-	// change is refused only if none took effect.
+	// Change is the content of one log entry. It has exactly one of Command,
+	// which an operator gave, and the fields after it, which the leader
+	// proposes. A WaveStep takes all of its VMs or none. The items of a list
+	// are independent: an item that is no longer valid, because of a command
+	// applied earlier, is passed over and counted by Result.PassedOver. The
+	// change is refused only if no item took effect.
 	Change struct {
 		ID      tackid.CommandID     `cbor:"1,keyasint,omitempty"`
 		Expect  tackid.Revision      `cbor:"2,keyasint,omitempty"`
@@ -27,9 +27,9 @@
 		Tasks      []TaskChange  `cbor:"10,keyasint,omitempty"`
 	}
 
-	// Result is what applying a change came to. Revision is where the change
-	// stands; for a command that was sent before, it is the first one's.
-	// Refused is nil for an accepted change.
+	// Result is the result of applying a change. Revision is the revision of
+	// the change, or of the first one for a repeated command. Refused is nil
+	// if the change was accepted.
 	Result struct {
 		Revision   tackid.Revision
 		Repeated   bool
@@ -44,7 +44,7 @@
 		Revision tackid.Revision `cbor:"3,keyasint"`
 	}
 
-	// Event is one line of the history.
+	// Event is one entry of the history.
 	Event struct {
 		Revision tackid.Revision  `cbor:"1,keyasint"`
 		Time     tackclock.Time   `cbor:"2,keyasint"`
--- a/core/tackfleet/commanded.go
+++ b/core/tackfleet/commanded.go
@@ -6,9 +6,9 @@
 	"auburntack/core/tackid"
 )
 
-// commanded applies an operator's command and records it in the history.
-func (s *State) commanded(c *tackcommand.Command, expect tackid.Revision) *RefusedError {
-	if refused := s.stale(c, expect); refused != nil {
+// applyCommand applies an operator's command and records it in the history.
+func (s *State) applyCommand(c *tackcommand.Command, expect tackid.Revision) *RefusedError {
+	if refused := s.checkExpected(c, expect); refused != nil {
 		return refused
 	}
 	if refused := s.execute(c); refused != nil {
@@ -43,7 +43,7 @@
 	return s.executeOther(c)
 }
 
-// executeOther carries out the commands that are not about pools and VMs.
+// executeOther carries out the commands that execute does not handle.
 func (s *State) executeOther(c *tackcommand.Command) *RefusedError {
 	switch {
 	case c.CreateWave != nil:
@@ -62,7 +62,7 @@
 	return tackentry.Refuse(CodeInvalid, "this command does not change the fleet")
 }
 
-// deletePool deletes a pool on which nothing rests.
+// deletePool deletes a pool that is not used by VMs, services, waves or tasks.
 func (s *State) deletePool(c *tackcommand.DeletePool) *RefusedError {
 	if w := s.rollouts.Unended(c.Pool); w != nil {
 		return tackentry.Refuse(CodeInUse, "wave %q is over pool %q", w.ID, c.Pool)
@@ -73,7 +73,8 @@
 	return s.roster.DeletePool(c)
 }
 
-// moveVM makes a VM leave its pool, and the waves over that pool.
+// moveVM starts to move a VM to another pool, and removes it from the waves
+// over its old pool.
 func (s *State) moveVM(c *tackcommand.MoveVM) *RefusedError {
 	refused := s.roster.MoveVM(s.at, c)
 	if refused == nil {
@@ -82,7 +83,7 @@
 	return refused
 }
 
-// removeVM forgets a VM on which no task runs.
+// removeVM removes a VM on which no task runs.
 func (s *State) removeVM(c *tackcommand.RemoveVM) *RefusedError {
 	if refused := s.noTasks(c.VM); refused != nil {
 		return refused
--- a/core/tackfleet/commands_test.go
+++ b/core/tackfleet/commands_test.go
@@ -12,11 +12,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Symptom: a VM that was put back in service is drained again by nobody.
-// Sequence: an operator drains it, loses the answer, and sends again with the
-// same id, through a peer that was restored from a snapshot, after somebody
-// else undrained the VM.
-// Cause: the answer was not remembered, or not by the snapshot.
+// Guards against a resent command that takes effect again because its answer
+// is not remembered, or not part of the snapshot: an operator drains a VM, the
+// answer is lost, another operator undrains the VM, and the first operator
+// resends the command with the same id through a peer that was restored from a
+// snapshot.
 func TestResentCommand(t *testing.T) {
 	f := newFleet(t)
 	f.pool("a", "w", 2)
@@ -39,10 +39,8 @@
 	})
 }
 
-// Symptom: the memory of a peer grows for ever, or a command resent the next
-// morning finds its id forgotten.
-// Sequence: commands with an id come in for days.
-// Cause: the answers were kept without a bound, or with one that is too small.
+// Guards against a peer whose memory grows with every command id, and against
+// ids that are forgotten before a command may be resent the next morning.
 func TestAnswersAreBounded(t *testing.T) {
 	f := newFleet(t)
 	set := Change{ID: "first", Command: f.parse("set config k 1")}
@@ -68,10 +66,9 @@
 	}
 }
 
-// Symptom: a peer of the older version does not start after one of the newer
-// version sent it a snapshot.
-// Sequence: a rolling upgrade brings a field that the older version lacks.
-// Cause: the decoder refused what it did not know.
+// Guards against a peer that can't start from a snapshot of a newer version
+// because the decoder refuses unknown fields, as in a rolling upgrade that
+// adds a field.
 func TestSnapshotOfALaterVersion(t *testing.T) {
 	f := newFleet(t)
 	f.pool("a", "w", 2)
@@ -87,7 +84,7 @@
 	data, _ = cbor.Marshal(fields)
 	var restored State
 	if err := restored.Restore(data); err != nil || len(restored.VMs()) != 2 {
-		t.Fatalf("%d VMs, %v, want the unknown field passed over", len(restored.VMs()), err)
+		t.Fatalf("%d VMs, %v, want the unknown field ignored", len(restored.VMs()), err)
 	}
 	fields[1] = snapshotVersion + 1
 	data, _ = cbor.Marshal(fields)
--- a/core/tackfleet/expect.go
+++ b/core/tackfleet/expect.go
@@ -6,14 +6,14 @@
 	"auburntack/core/tackid"
 )
 
-// stale refuses a command when something that it names was changed after the
-// revision that the operator expected. Two operators who looked at the same
-// state and send conditional commands can't both have their way.
-func (s *State) stale(c *tackcommand.Command, expect tackid.Revision) *RefusedError {
+// checkExpected refuses a command if something that it names was changed after
+// the expected revision. Of two operators who look at the same state and send
+// conditional commands about the same thing, only the first one succeeds.
+func (s *State) checkExpected(c *tackcommand.Command, expect tackid.Revision) *RefusedError {
 	if expect == 0 {
 		return nil
 	}
-	at := s.touched(c)
+	at := s.lastTouched(c)
 	if at <= expect {
 		return nil
 	}
@@ -22,8 +22,8 @@
 	return refused
 }
 
-// touched returns the newest revision that changed anything c names.
-func (s *State) touched(c *tackcommand.Command) tackid.Revision {
+// lastTouched returns the last revision that changed anything named by c.
+func (s *State) lastTouched(c *tackcommand.Command) tackid.Revision {
 	switch {
 	case c.CreatePool != nil:
 		return s.poolTouched(c.CreatePool.Pool)
@@ -47,7 +47,7 @@
 	return s.otherTouched(c)
 }
 
-// otherTouched is touched for the commands that are not about pools and VMs.
+// otherTouched is touched for the commands that lastTouched does not handle.
 func (s *State) otherTouched(c *tackcommand.Command) tackid.Revision {
 	switch {
 	case c.CreateWave != nil:
--- a/core/tackfleet/history.go
+++ b/core/tackfleet/history.go
@@ -7,21 +7,21 @@
 	"auburntack/core/tackid"
 )
 
-// Filter chooses events. Its zero value chooses all of them.
+// Filter selects events. Its zero value selects all events.
 type Filter struct {
-	// VM chooses the events that concern one VM.
+	// VM selects the events that concern one VM.
 	VM tackid.VM
-	// Key chooses the events that set one configuration key.
+	// Key selects the events that set one configuration key.
 	Key string
-	// Limit is the greatest number of events, the newest ones; 0 means all.
+	// Limit is the maximum number of events, the newest ones; 0 means all.
 	Limit int
 }
 
-// History returns the chosen events from the oldest to the newest.
+// History returns the selected events from the oldest to the newest.
 func (s *State) History(f Filter) []Event {
 	var events []Event
 	for i := len(s.events) - 1; i >= 0; i-- {
-		if !f.chooses(&s.events[i]) {
+		if !f.matches(&s.events[i]) {
 			continue
 		}
 		events = append(events, s.events[i])
@@ -33,7 +33,7 @@
 	return events
 }
 
-func (f *Filter) chooses(e *Event) bool {
+func (f *Filter) matches(e *Event) bool {
 	if f.VM != "" && !slices.Contains(e.VMs, f.VM) {
 		return false
 	}
@@ -60,8 +60,8 @@
 	s.record(e)
 }
 
-// record adds an event at the current revision. The oldest events are dropped
-// a quarter of the limit at a time, so that they are not shifted each time.
+// record adds an event at the current revision. A quarter of EventLimit is
+// dropped at a time, so that the events are not shifted with every new one.
 func (s *State) record(e Event) {
 	e.Revision = s.at.Revision
 	e.Time = s.at.Time
--- a/core/tackfleet/property_test.go
+++ b/core/tackfleet/property_test.go
@@ -22,7 +22,8 @@
 	someTasks    = []tackid.Task{"t1", "t2", "t3", "t4"}
 )
 
-// drawChange draws a change of any kind; many of them do not fit the state.
+// drawChange draws a change of any kind; many of them are not valid in the
+// state.
 func drawChange(t *rapid.T, s *State) Change {
 	switch rapid.IntRange(0, 11).Draw(t, "kind") {
 	case 0, 1, 2:
@@ -56,8 +57,8 @@
 	return step
 }
 
-// drawPhase draws a phase for a VM, mostly the one that comes next for a VM
-// that a wave holds.
+// drawPhase draws a phase change, mostly the next phase of a VM that a wave
+// holds.
 func drawPhase(t *rapid.T, s *State) WavePhase {
 	phase := Phase(rapid.IntRange(0, int(PhaseSkipped)).Draw(t, "phase"))
 	var next []WavePhase
@@ -95,9 +96,9 @@
 	return rapid.SampledFrom(from).Draw(t, fmt.Sprintf("%T", from))
 }
 
-// someFleet returns a fleet with three services and a running wave on each of
+// sampleFleet returns a fleet with three services and a running wave on each of
 // two pools, and six VMs of which five serve.
-func someFleet() *fleet {
+func sampleFleet() *fleet {
 	f := newFleet(nil)
 	for _, p := range somePools {
 		f.apply(Change{Command: &tackcommand.Command{CreatePool: &tackcommand.CreatePool{Pool: p}}})
@@ -123,13 +124,13 @@
 // change does nothing.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := someFleet()
+		f := sampleFleet()
 		for range rapid.IntRange(1, 60).Draw(t, "changes") {
-			before, was := f.VMs(), contents(t, &f.State)
+			before, was := f.VMs(), encodeContents(t, &f.State)
 			c := drawChange(t, &f.State)
 			r := f.apply(c)
-			if r.Refused != nil && !bytes.Equal(was, contents(t, &f.State)) {
-				t.Fatalf("refused with %v, and yet the state changed", r.Refused)
+			if r.Refused != nil && !bytes.Equal(was, encodeContents(t, &f.State)) {
+				t.Fatalf("refused with %v, but the state changed", r.Refused)
 			}
 			checkBudgets(t, &f.State, before, c)
 			checkPools(t, &f.State, before, c)
@@ -138,8 +139,8 @@
 	})
 }
 
-// contents encodes all but the revision and the time.
-func contents(t *rapid.T, s *State) []byte {
+// encodeContents encodes the state without the revision and the time.
+func encodeContents(t *rapid.T, s *State) []byte {
 	all, err := s.Snapshot()
 	var fields map[int]cbor.RawMessage
 	if err == nil {
@@ -155,9 +156,9 @@
 	return data
 }
 
-// checkBudgets fails if VMs that could serve before no longer can, other than
-// by what was observed of them, and a service of their pool is then left with
-// fewer proven VMs than its budget asks of the pool as it was before.
+// checkBudgets fails if a change other than an observation takes VMs out of
+// service and leaves a service of their pool with fewer proven VMs than its
+// budget requires, computed from the size of the pool before the change.
 func checkBudgets(t *rapid.T, s *State, before []VM, c Change) {
 	if c.Observe != nil || c.Joined != nil {
 		return
@@ -192,8 +193,8 @@
 	}
 }
 
-// checkPools fails unless each VM is in the list of one pool, its own, and
-// came there by being added or by joining.
+// checkPools fails unless each VM is listed in exactly one pool, its own, and
+// got there by being added or by joining.
 func checkPools(t *rapid.T, s *State, before []VM, c Change) {
 	listed := make(map[tackid.VM]tackid.Pool)
 	for _, p := range s.Pools() {
@@ -206,7 +207,7 @@
 	}
 	for _, v := range s.VMs() {
 		if _, found := listed[v.ID]; !found {
-			t.Fatalf("vm %s of pool %s is listed nowhere", v.ID, v.Pool)
+			t.Fatalf("vm %s of pool %s is not listed in any pool", v.ID, v.Pool)
 		}
 		i := slices.IndexFunc(before, func(b VM) bool { return b.ID == v.ID })
 		if i >= 0 && before[i].Pool != v.Pool && (c.Joined == nil || before[i].State != VMMoving) {
@@ -215,7 +216,8 @@
 	}
 }
 
-// checkWaves fails unless the waves and the VMs agree on who holds what.
+// checkWaves fails unless the waves and the VMs agree on which wave holds
+// which VM.
 func checkWaves(t *rapid.T, s *State) {
 	for _, v := range s.VMs() {
 		holders := 0
@@ -230,17 +232,17 @@
 			}
 		}
 		if holders > 1 || (holders == 0) != (v.Wave == "") {
-			t.Fatalf("vm %s is held by %d waves, and says %q", v.ID, holders, v.Wave)
+			t.Fatalf("vm %s is held by %d waves, but its wave is %q", v.ID, holders, v.Wave)
 		}
 	}
 }
 
-// TestReplicasAgree applies the same changes on two replicas, of which one is
-// restored from its own snapshot now and then, and compares their bytes and
-// answers; some commands are sent twice.
+// TestReplicasAgree applies the same changes to two replicas, one of which is
+// restored from its own snapshot now and then, and compares their snapshots and
+// answers. Some commands are sent twice.
 func TestReplicasAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := someFleet()
+		f := sampleFleet()
 		data, err := f.Snapshot()
 		other := new(State)
 		if err != nil || other.Restore(data) != nil {
--- a/core/tackfleet/proposed.go
+++ b/core/tackfleet/proposed.go
@@ -7,16 +7,16 @@
 	"auburntack/core/tackid"
 )
 
-// observe takes over what a VM announced.
+// observe applies an observation of a VM.
 func (s *State) observe(o *Observation) *RefusedError {
 	changed, refused := s.roster.Observe(s.at, o)
 	if changed {
-		s.record(eventOf(o.VM, "is "+o.Health.String()))
+		s.record(vmEvent(o.VM, "is "+o.Health.String()))
 	}
 	return refused
 }
 
-// drained notes that no work is left on a VM that an operator drained.
+// drained ends the drain of a VM that an operator drained, after its last work.
 func (s *State) drained(id *tackid.VM) *RefusedError {
 	if refused := s.noTasks(*id); refused != nil {
 		return refused
@@ -24,11 +24,11 @@
 	if refused := s.roster.Drained(s.at, *id); refused != nil {
 		return refused
 	}
-	s.record(eventOf(*id, "is drained"))
+	s.record(vmEvent(*id, "is drained"))
 	return nil
 }
 
-// joined puts a moving VM into its new pool.
+// joined moves a VM into its new pool.
 func (s *State) joined(id *tackid.VM) *RefusedError {
 	if refused := s.noTasks(*id); refused != nil {
 		return refused
@@ -36,7 +36,7 @@
 	if refused := s.roster.Joined(s.at, *id); refused != nil {
 		return refused
 	}
-	s.record(eventOf(*id, "joined pool "+string(s.roster.VM(*id).Pool)))
+	s.record(vmEvent(*id, "joined pool "+string(s.roster.VM(*id).Pool)))
 	return nil
 }
 
@@ -49,8 +49,9 @@
 	return nil
 }
 
-// wavePhase takes one VM to the next phase. The platform gets a VM only once
-// no task runs there: a task would be cut short and its outcome unknown.
+// wavePhase moves one VM to the next phase. The platform may operate on a VM
+// only after its last task has ended: the task would be interrupted and its
+// outcome unknown.
 func (s *State) wavePhase(c *WavePhase) *RefusedError {
 	if c.Phase == PhaseOperating {
 		if refused := s.noTasks(c.VM); refused != nil {
@@ -61,7 +62,7 @@
 		return refused
 	}
 	if c.Phase == PhaseDone || c.Phase == PhaseFailed {
-		s.record(eventOf(c.VM, "is "+c.Phase.String()+" in wave "+string(c.Wave)))
+		s.record(vmEvent(c.VM, "is "+c.Phase.String()+" in wave "+string(c.Wave)))
 	}
 	return nil
 }
@@ -79,8 +80,8 @@
 	return nil
 }
 
-// taskChange takes one task to the next state. A worker gets it only while it
-// is in service in the task's pool.
+// taskChange moves one task to the next state. A worker can get the task only
+// while it is in service in the task's pool.
 func (s *State) taskChange(c *TaskChange) *RefusedError {
 	t := s.tasks.Task(c.Task)
 	if t != nil && c.State == TaskRunning {
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// eventOf returns an event that tells what became of one VM.
-func eventOf(id tackid.VM, what string) Event {
+// vmEvent returns an event about one VM.
+func vmEvent(id tackid.VM, what string) Event {
 	return Event{Text: "vm " + string(id) + " " + what, VMs: []tackid.VM{id}}
 }
--- a/core/tackfleet/query.go
+++ b/core/tackfleet/query.go
@@ -124,18 +124,20 @@
 	return s.tasks.CoresOf(team)
 }
 
-// CanTake reports whether the VMs may all be taken out of service now,
-// together; nil means that they may. Apply asks the same again.
+// CanTake returns nil if the VMs may all be taken out of service together now,
+// and the reason for refusal otherwise. Apply makes the same check.
 func (s *State) CanTake(vms []tackid.VM) *RefusedError {
 	return s.roster.CanTake(vms)
 }
 
-// Count returns how the VMs of a pool stand towards its budgets now.
+// Count returns the current counts of a pool's VMs, against which its budgets
+// are checked.
 func (s *State) Count(pool tackid.Pool) tackbudget.Count {
 	return s.roster.Count(pool)
 }
 
-// valueOf returns a copy of a row and whether there was one.
+// valueOf returns a copy of *row and true, or the zero value and false if row
+// is nil.
 func valueOf[V any](row *V) (V, bool) {
 	if row == nil {
 		var zero V
--- a/core/tackfleet/snapshot.go
+++ b/core/tackfleet/snapshot.go
@@ -13,13 +13,13 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// snapshotVersion is the version of the encoding. A reader passes over fields
-// that it does not know, so only a change of meaning needs another version.
+// snapshotVersion is the version of the encoding. A reader ignores unknown
+// fields, so the version changes only if the meaning of a field changes.
 const snapshotVersion = 1
 
 type (
-	// snapshot is the encoding of a State. Every list is in a settled order,
-	// so that equal states give equal bytes.
+	// snapshot is the encoding of a State. Every list has a fixed order, so
+	// that equal states give equal bytes.
 	snapshot struct {
 		Version  int                  `cbor:"1,keyasint"`
 		Revision tackid.Revision      `cbor:"2,keyasint"`
@@ -32,7 +32,7 @@
 		Answers  []storedAnswer       `cbor:"9,keyasint,omitempty"`
 	}
 
-	// storedAnswer is a command id and what it was answered with.
+	// storedAnswer is a command id with its answer.
 	storedAnswer struct {
 		ID     tackid.CommandID `cbor:"1,keyasint"`
 		Time   tackclock.Time   `cbor:"2,keyasint"`
@@ -69,8 +69,8 @@
 	return data, nil
 }
 
-// Restore replaces the state by a snapshot. On an error the state is left as
-// it was; a snapshot of another version is a *VersionError.
+// Restore replaces the state by a snapshot. If it returns an error the state is
+// unchanged. The error is a *VersionError for a snapshot of another version.
 func (s *State) Restore(data []byte) error {
 	var snap snapshot
 	if err := cbor.Unmarshal(data, &snap); err != nil {
--- a/core/tackfleet/state_test.go
+++ b/core/tackfleet/state_test.go
@@ -9,7 +9,8 @@
 	"auburntack/core/tackid"
 )
 
-// fleet drives a State by commands in their text form, as an operator would.
+// fleet is a State with helpers to apply commands in text form, as an operator
+// would.
 type fleet struct {
 	State
 	t        testing.TB
@@ -52,14 +53,14 @@
 	}
 }
 
-// observe makes VMs be seen with a health.
+// observe applies an observation of each VM with the health.
 func (f *fleet) observe(h Health, vms ...tackid.VM) {
 	for _, id := range vms {
 		f.apply(Change{Observe: []Observation{{VM: id, Health: h, DataCentre: "rennes-a", Rack: "r1", Cores: 16, MemoryMB: 32768}}})
 	}
 }
 
-// pool makes a pool with n serving VMs named prefix-1 and so on.
+// pool creates a pool with n serving VMs named prefix-1 and so on.
 func (f *fleet) pool(pool, prefix string, n int) []tackid.VM {
 	f.t.Helper()
 	f.must("create pool " + pool)
@@ -90,7 +91,7 @@
 	}
 }
 
-// phase takes one VM of a wave to a phase.
+// phase moves one VM of a wave to a phase.
 func (f *fleet) phase(w tackid.Wave, vm tackid.VM, phase Phase) Result {
 	return f.apply(Change{WavePhases: []WavePhase{{Wave: w, VM: vm, Phase: phase, Operation: "op-1"}}})
 }
@@ -100,7 +101,8 @@
 	return f.apply(Change{WaveStep: &WaveStep{Wave: w, VMs: vms}})
 }
 
-// restart goes on from a snapshot, as a peer does that was restarted.
+// restart replaces the state by one restored from its snapshot, like the
+// restart of a peer.
 func (f *fleet) restart() {
 	f.t.Helper()
 	data, err := f.Snapshot()
--- a/core/tackfleet/types.go
+++ b/core/tackfleet/types.go
@@ -8,8 +8,9 @@
 	"auburntack/core/tacktask"
 )
 
-// The names of the parts, so that one who works with the whole fleet needs
-// one import. They are documented where they are declared.
+// Names of the packages tackroster, tackrollout, tacktask and tackentry, so
+// that users of the whole fleet need only one import. They are documented
+// where they are declared.
 const (
 	HealthUnknown = tackroster.HealthUnknown
 	HealthServing = tackroster.HealthServing
@@ -63,7 +64,7 @@
 	CodeQuota   = tackentry.CodeQuota
 	CodeReused  = tackentry.CodeReused
 
-	// MaxTries is how often a task is started at most.
+	// MaxTries is the maximum number of times that a task is started.
 	MaxTries = tacktask.MaxTries
 )
 
--- a/core/tackfleet/vms_test.go
+++ b/core/tackfleet/vms_test.go
@@ -8,12 +8,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Symptom: a service has fewer VMs than its budget asks for, although each
-// operator saw room for one.
-// Sequence: two operators look at three serving VMs and a budget of two; both
-// drain one, and the commands are applied one after the other.
-// Cause: the budget was checked when the commands were given, and not against
-// the state in which they are applied.
+// Guards against a budget that is checked only when a command is given, and
+// not again when it is applied: two operators look at three serving VMs and a
+// budget of two, and both drain one.
 func TestRacingOperators(t *testing.T) {
 	for _, second := range []string{"drain vm w-2", "move vm w-2 to pool b", "remove vm w-2"} {
 		t.Run(second, func(t *testing.T) {
@@ -30,12 +27,9 @@
 	}
 }
 
-// Symptom: a pool got two VMs more, although both operators wanted one more
-// than the ten they saw.
-// Sequence: both look at revision R, add one VM each, and give R as what they
-// expect.
-// Cause: a conditional command was not compared with the revision at which
-// what it names was changed last.
+// Guards against a conditional command that is applied although what it names
+// was changed after the expected revision: two operators look at the same
+// revision, expect it, and add one VM each to the same pool.
 func TestRacingConditionalCommands(t *testing.T) {
 	f := newFleet(t)
 	f.pool("a", "w", 2)
@@ -47,17 +41,15 @@
 	assertRefused(t, r, CodeStale)
 	other := Change{Expect: seen, Command: f.parse("drain vm w-1")}
 	f.observe(HealthLost, "w-1")
-	Convey("The refusal names the revision, and what was not named or only observed refuses nothing", t, func() {
+	Convey("The refusal names the revision; observations and changes of other VMs don't cause one", t, func() {
 		So(r.Refused.At, ShouldEqual, seen+1)
 		So(f.apply(other).Refused, ShouldBeNil)
 	})
 }
 
-// Symptom: a service loses its last proven VM right after a reboot, as the
-// second loss often follows.
-// Sequence: one of three VMs comes back from maintenance, serves and settles;
-// the next one is stopped on the strength of it, and the first one fails.
-// Cause: a settling VM was counted like one that has proved itself.
+// Guards against counting a settling VM like a proven one. A VM is often lost
+// again soon after maintenance: if the next VM is stopped while the first one
+// settles, and the first one fails, the service falls below its budget.
 func TestSettlingIsNotReliedOn(t *testing.T) {
 	f := newFleet(t)
 	f.pool("a", "w", 3)
@@ -75,11 +67,9 @@
 	assertAccepted(t, f.step("m", "w-2"))
 }
 
-// Symptom: a service stops answering while its budget is said to hold.
-// Sequence: VMs were added or fell silent, or the budget is above what there
-// is; an operator drains one that serves.
-// Cause: VMs of which nothing is known were counted as available, or only the
-// first service of the pool was asked.
+// Guards against counting VMs with unknown health as available, and against
+// checking only the first service of a pool, when an operator drains a serving
+// VM.
 func TestDownVMsDoNotCount(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -91,8 +81,8 @@
 		{"one lost", func(f *fleet) { f.observe(HealthLost, "w-4") }, CodeBudget},
 		{"one drained", func(f *fleet) { f.must("drain vm w-4") }, CodeBudget},
 		{"one moving", func(f *fleet) { f.must("move vm w-4 to pool b") }, CodeBudget},
-		{"a budget above what there is", func(f *fleet) { f.must("set budget api min_available 9") }, CodeBudget},
-		{"a second service asks for more", func(f *fleet) { f.must("create service zeta on pool a", "set budget zeta min_available 76%") }, CodeBudget},
+		{"a budget above the number of VMs", func(f *fleet) { f.must("set budget api min_available 9") }, CodeBudget},
+		{"a second service with a higher budget", func(f *fleet) { f.must("create service zeta on pool a", "set budget zeta min_available 76%") }, CodeBudget},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -119,11 +109,9 @@
 	})
 }
 
-// Symptom: requests of two pools' services reach one VM.
-// Sequence: a VM is moved, or removed and added to another pool at once,
-// while a peer still routes by the older state.
-// Cause: the VM became routable in the new pool before every peer had left
-// the old one.
+// Guards against a VM that gets requests of two pools' services: it is moved,
+// or removed and added to another pool at once, and becomes routable in the
+// new pool while a peer still routes by an older state.
 func TestMoveIsFenced(t *testing.T) {
 	tests := []struct{ name, leave, enter string }{
 		{"move", "move vm w-1 to pool b", ""},
@@ -150,7 +138,7 @@
 	}
 }
 
-// TestRefusals goes through the refusals of the commands about pools and VMs.
+// TestRefusals checks the codes with which invalid commands are refused.
 func TestRefusals(t *testing.T) {
 	tests := []struct {
 		text string
--- a/core/tackfleet/waves_test.go
+++ b/core/tackfleet/waves_test.go
@@ -14,12 +14,10 @@
 	}
 }
 
-// Symptom: a VM stays drained for ever after a wave was paused, stopped or
-// cancelled, or the platform reboots a VM that is back in service.
-// Sequence: w-1 drains and w-2 is being rebooted when the wave is held; the
-// leader's proposal to operate on w-1 is applied after that.
-// Cause: the VMs of the wave were not given back, or the late proposal was
-// let through.
+// Guards against a VM that stays drained after its wave was paused, stopped or
+// cancelled, and against a VM that is rebooted after it was returned to
+// service: w-1 is draining and w-2 is being rebooted when the wave is paused,
+// and the leader's proposal to operate on w-1 is applied after that.
 func TestHeldWaveGivesBack(t *testing.T) {
 	tests := []struct {
 		name string
@@ -55,12 +53,10 @@
 	}
 }
 
-// Symptom: a VM is rebooted while another wave upgrades it, or a wave never
-// finishes.
-// Sequence: two waves run over one pool and both reach for w-1; w-2 is moved
-// away before its turn.
-// Cause: the first wave's hold was not looked at, or the VM that left was
-// waited for.
+// Guards against a VM that two waves take at the same time, and against a wave
+// that never finishes because it waits for a VM that has left the pool: two
+// waves run over one pool and both try to take w-1, and w-2 is moved away
+// before its turn.
 func TestWavesShareAPool(t *testing.T) {
 	f := newFleet(t)
 	f.pool("a", "w", 2)
@@ -84,10 +80,9 @@
 	assertAccepted(t, f.step("n", "w-1"))
 }
 
-// Symptom: a correction of the gazetteer is entered twice.
-// Sequence: the worker of a task falls silent, and the task is queued again
-// although it may have run to its end.
-// Cause: a task that must not run twice was treated like one that may.
+// Guards against a task that is not idempotent and runs twice because its
+// worker was lost: the task may have run to its end, so it must not be queued
+// again.
 func TestTaskAtMostOnce(t *testing.T) {
 	f := newFleet(t)
 	f.pool("a", "w", 2)
