--- a/core/tackrollout/commands.go
+++ b/core/tackrollout/commands.go
@@ -6,7 +6,7 @@
 	"auburntack/core/tackroster"
 )
 
-// Create plans a wave over a pool that exists.
+// Create creates a planned wave. The caller has checked that the pool exists.
 func (o *Rollouts) Create(at tackentry.At, c *tackcommand.CreateWave) *tackentry.RefusedError {
 	if o.waves.Get(c.Wave) != nil {
 		return tackentry.Refuse(tackentry.CodeExists, "wave %q exists", c.Wave)
@@ -50,8 +50,8 @@
 	return refused
 }
 
-// start takes the VMs that are in the pool now. VMs that join later are not
-// part of the wave.
+// start starts the wave with the VMs that are in its pool now. VMs that join
+// the pool later are not part of the wave.
 func (w *Wave) start(at tackentry.At, r *tackroster.Roster) *tackentry.RefusedError {
 	if w.Status != WavePlanned {
 		return w.refuse("start")
@@ -71,13 +71,13 @@
 	if w.Status != WaveRunning {
 		return w.refuse("pause")
 	}
-	w.hold(at, r, PhaseWaiting)
+	w.releaseDraining(at, r, PhaseWaiting)
 	w.Status = WavePaused
 	return nil
 }
 
-// resume goes on with a wave. VMs that failed and that an operator put back
-// in service are maintained again.
+// resume continues a paused or stopped wave. Failed VMs that an operator has
+// returned to service are maintained again.
 func (w *Wave) resume(at tackentry.At, r *tackroster.Roster) *tackentry.RefusedError {
 	if w.Status != WavePaused && w.Status != WaveStopped {
 		return w.refuse("resume")
@@ -88,7 +88,7 @@
 			continue
 		}
 		if v := r.VM(m.VM); v != nil && v.Pool == w.Pool && v.State == tackroster.VMInService {
-			m.enter(PhaseWaiting, at.Time)
+			m.setPhase(PhaseWaiting, at.Time)
 		}
 	}
 	w.Status = WaveRunning
@@ -101,10 +101,10 @@
 	if w.ended() {
 		return w.refuse("cancel")
 	}
-	w.hold(at, r, PhaseSkipped)
+	w.releaseDraining(at, r, PhaseSkipped)
 	for i := range w.VMs {
 		if w.VMs[i].Phase == PhaseWaiting {
-			w.VMs[i].enter(PhaseSkipped, at.Time)
+			w.VMs[i].setPhase(PhaseSkipped, at.Time)
 		}
 	}
 	o.end(at, w, WaveCancelled)
--- a/core/tackrollout/model.go
+++ b/core/tackrollout/model.go
@@ -7,41 +7,41 @@
 )
 
 const (
-	// WavePlanned is the status of a wave that was created.
+	// WavePlanned is the status of a wave that was created but not started.
 	WavePlanned WaveStatus = iota
-	// WaveRunning is the status of a wave that takes VMs out.
+	// WaveRunning is the status of a wave that takes VMs out of service.
 	WaveRunning
-	// WavePaused is the status of a wave that an operator holds; VMs that
-	// are out come back, and no further one is taken.
+	// WavePaused is the status of a wave that an operator paused. VMs that are
+	// out of service come back, and no more VMs are taken.
 	WavePaused
-	// WaveStopped is the status of a wave that stopped by itself; its Reason
-	// says why, and an operator resumes or cancels it.
+	// WaveStopped is the status of a wave that was stopped automatically. Its
+	// Reason says why; an operator resumes or cancels it.
 	WaveStopped
-	// WaveFinished is the status of a wave that maintained every VM.
+	// WaveFinished is the status of a wave that is done with every VM.
 	WaveFinished
-	// WaveCancelled is the status of a wave that an operator ended.
+	// WaveCancelled is the status of a wave that an operator cancelled.
 	WaveCancelled
 )
 
 const (
-	// PhaseWaiting is the phase of a VM the wave has not reached.
+	// PhaseWaiting is the phase of a VM that the wave has not taken yet.
 	PhaseWaiting Phase = iota
 	// PhaseDraining is the phase of a VM that finishes its work.
 	PhaseDraining
-	// PhaseOperating is the phase of a VM whose operation the platform has.
+	// PhaseOperating is the phase of a VM on which the platform operates.
 	PhaseOperating
-	// PhaseReturning is the phase of a VM that was maintained and whose
-	// backend servers are awaited.
+	// PhaseReturning is the phase of a VM whose operation has ended and whose
+	// backend servers do not announce themselves yet.
 	PhaseReturning
-	// PhaseSettling is the phase of a VM that serves again for the settling
-	// time.
+	// PhaseSettling is the phase of a VM that serves again until the settling
+	// time is over.
 	PhaseSettling
-	// PhaseDone is the phase of a VM the wave is through with.
+	// PhaseDone is the phase of a VM that was maintained.
 	PhaseDone
 	// PhaseFailed is the phase of a VM that did not come back.
 	PhaseFailed
-	// PhaseSkipped is the phase of a VM that left the pool, or that the wave
-	// was cancelled before.
+	// PhaseSkipped is the phase of a VM that was not maintained because it
+	// left the pool, was lost or held elsewhere, or the wave was cancelled.
 	PhaseSkipped
 )
 
@@ -53,14 +53,14 @@
 )
 
 type (
-	// WaveStatus is where a wave stands.
+	// WaveStatus is the status of a wave.
 	WaveStatus uint8
-	// Phase is where one VM stands in a wave.
+	// Phase is the phase of one VM in a wave.
 	Phase uint8
 	// Action is what a wave does to each VM.
 	Action string
 
-	// Wave takes every VM of a pool through maintenance.
+	// Wave is the maintenance of every VM of a pool, a few at a time.
 	Wave struct {
 		ID          tackid.Wave     `cbor:"1,keyasint"`
 		Pool        tackid.Pool     `cbor:"2,keyasint"`
@@ -74,12 +74,12 @@
 		VMs         []WaveVM        `cbor:"10,keyasint,omitempty"`
 		Steps       int             `cbor:"11,keyasint,omitempty"`
 		Touched     tackid.Revision `cbor:"12,keyasint,omitempty"`
-		// Resumed is when the wave was started or resumed last: the night that
-		// it must end in is the one after that.
+		// Resumed is when the wave was started or last resumed. The night in
+		// which it must end starts then.
 		Resumed tackclock.Time `cbor:"13,keyasint,omitempty"`
 	}
 
-	// WaveVM is one VM's way through a wave.
+	// WaveVM is the state of one VM in a wave.
 	WaveVM struct {
 		VM        tackid.VM        `cbor:"1,keyasint"`
 		Phase     Phase            `cbor:"2,keyasint,omitempty"`
@@ -91,14 +91,14 @@
 		Fence tackid.Revision `cbor:"6,keyasint,omitempty"`
 	}
 
-	// WaveStep takes VMs out of service for a wave. All of them are drained,
-	// or none where a budget forbids it.
+	// WaveStep takes VMs out of service for a wave. Either all of them are
+	// drained, or none if a budget does not allow it.
 	WaveStep struct {
 		Wave tackid.Wave `cbor:"1,keyasint"`
 		VMs  []tackid.VM `cbor:"2,keyasint"`
 	}
 
-	// WavePhase takes one VM to the next phase of a wave.
+	// WavePhase moves one VM to its next phase in a wave.
 	WavePhase struct {
 		Wave      tackid.Wave      `cbor:"1,keyasint"`
 		VM        tackid.VM        `cbor:"2,keyasint"`
--- a/core/tackrollout/phase.go
+++ b/core/tackrollout/phase.go
@@ -7,9 +7,9 @@
 	"auburntack/core/tackid"
 )
 
-// nextPhases lists the phases that may follow each phase. A VM that falls
-// silent while it settles is awaited again; an operation that has to be asked
-// for again under a new id stays in its phase.
+// nextPhases lists the phases that may follow each phase. A VM that is lost
+// while it settles may go back to returning. PhaseOperating may follow itself
+// for an operation that is requested again with a new id.
 var nextPhases = [...][]Phase{
 	PhaseWaiting:   {PhaseSkipped},
 	PhaseDraining:  {PhaseOperating, PhaseWaiting, PhaseFailed},
@@ -21,12 +21,12 @@
 	PhaseSkipped:   nil,
 }
 
-// leadsTo reports whether a WavePhase may take a VM from p to next.
+// leadsTo reports whether a WavePhase may move a VM from p to next.
 func (p Phase) leadsTo(next Phase) bool {
 	return int(p) < len(nextPhases) && slices.Contains(nextPhases[p], next)
 }
 
-// ended reports whether the wave is through with a VM in this phase.
+// ended reports whether the wave is done with a VM in this phase.
 func (p Phase) ended() bool {
 	return p == PhaseDone || p == PhaseFailed || p == PhaseSkipped
 }
@@ -36,13 +36,12 @@
 	return p == PhaseDraining || p == PhaseOperating || p == PhaseReturning
 }
 
-// enter changes the phase.
-func (m *WaveVM) enter(phase Phase, now tackclock.Time) {
+func (m *WaveVM) setPhase(phase Phase, now tackclock.Time) {
 	m.Phase = phase
 	m.Since = now
 }
 
-// Out returns how many VMs the wave has out of service.
+// Out returns the number of VMs that the wave has out of service.
 func (w *Wave) Out() int {
 	n := 0
 	for i := range w.VMs {
@@ -53,8 +52,8 @@
 	return n
 }
 
-// Holding returns how many VMs the wave holds: those that are out of service
-// and those that settle.
+// Holding returns the number of VMs that the wave holds: those that are out of
+// service and those that are settling.
 func (w *Wave) Holding() int {
 	n := w.Out()
 	for i := range w.VMs {
@@ -65,7 +64,8 @@
 	return n
 }
 
-// Member returns the VM's way through the wave and whether it is part of it.
+// Member returns the state of a VM in the wave and whether it is part of the
+// wave.
 func (w *Wave) Member(id tackid.VM) (WaveVM, bool) {
 	if m := w.member(id); m != nil {
 		return *m, true
@@ -73,7 +73,8 @@
 	return WaveVM{}, false
 }
 
-// member returns the wave's record of a VM, or nil. The records are sorted.
+// member returns the wave's entry for a VM, or nil. The entries are sorted by
+// VM.
 func (w *Wave) member(id tackid.VM) *WaveVM {
 	i, found := slices.BinarySearchFunc(w.VMs, id, func(m WaveVM, id tackid.VM) int {
 		switch {
@@ -90,7 +91,7 @@
 	return &w.VMs[i]
 }
 
-// ended reports whether nothing further is started in the wave.
+// ended reports whether the wave is finished or cancelled.
 func (w *Wave) ended() bool {
 	return w.Status == WaveFinished || w.Status == WaveCancelled
 }
--- a/core/tackrollout/rollouts.go
+++ b/core/tackrollout/rollouts.go
@@ -1,7 +1,7 @@
-// Package tackrollout keeps the maintenance waves: which VMs each one has
-// taken, in which phase each VM is, and what an operator or the planner may do
-// with a wave next. It takes VMs out of service and gives them back by the
-// roster, which checks the budgets.
+// Package tackrollout is the state of the maintenance waves: which VMs each
+// wave has taken, in which phase each VM is, and which changes of a wave are
+// allowed next. VMs are taken out of service and returned through the package
+// tackroster, which checks the budgets.
 package tackrollout
 
 import (
@@ -13,14 +13,14 @@
 )
 
 const (
-	// EndedAge is how long a wave that ended is kept.
+	// EndedAge is how long a wave is kept after it has ended.
 	EndedAge = 365 * tackclock.Day
-	// EndedLimit is how many ended waves are kept at most.
+	// EndedLimit is the maximum number of ended waves that are kept.
 	EndedLimit = 200
 )
 
 type (
-	// Rollouts is the waves of a fleet. Its zero value is empty.
+	// Rollouts holds the waves of a fleet. Its zero value is empty.
 	Rollouts struct {
 		waves tacktable.Table[tackid.Wave, Wave]
 		ended tacktable.Recent[tackid.Wave, struct{}]
@@ -33,8 +33,8 @@
 	}
 )
 
-// Trim forgets the waves that ended long ago, unless one still holds a VM:
-// without its wave the VM could never come back.
+// Trim removes the waves that ended long ago. A wave that still holds a VM is
+// kept, since the VM could never return to service without its wave.
 func (o *Rollouts) Trim(now tackclock.Time) {
 	for _, ended := range o.ended.Trim(now, EndedAge, EndedLimit) {
 		if w := o.waves.Get(ended.Key); w != nil && w.Holding() > 0 {
@@ -65,15 +65,15 @@
 	return nil
 }
 
-// Skip lets every wave that still waits for the VM pass it over, because it
-// left its pool.
+// Skip marks the VM as skipped in every wave that has not taken it yet,
+// because it left its pool.
 func (o *Rollouts) Skip(at tackentry.At, id tackid.VM) {
 	for _, w := range o.waves.All() {
 		if w.ended() {
 			continue
 		}
 		if m := w.member(id); m != nil && m.Phase == PhaseWaiting {
-			m.enter(PhaseSkipped, at.Time)
+			m.setPhase(PhaseSkipped, at.Time)
 		}
 	}
 }
@@ -94,23 +94,24 @@
 	}
 }
 
-// end ends a wave. VMs that the platform has go on to their end.
+// end ends a wave. Operations that the platform has started are completed.
 func (o *Rollouts) end(at tackentry.At, w *Wave, status WaveStatus) {
 	w.Status = status
 	w.Ended = at.Time
 	o.ended.Put(at.Time, w.ID, struct{}{})
 }
 
-// hold gives back the VMs that are draining; they get the phase next. A VM
-// that the platform already has can't be called back: it goes on to its end,
-// also under a wave that is paused, stopped or cancelled.
-func (w *Wave) hold(at tackentry.At, r *tackroster.Roster, next Phase) {
+// releaseDraining returns the VMs that are draining to service and moves them
+// to the phase next. A VM on which the platform already operates can't be
+// returned early: it completes its remaining phases even if the wave is
+// paused, stopped or cancelled.
+func (w *Wave) releaseDraining(at tackentry.At, r *tackroster.Roster, next Phase) {
 	for i := range w.VMs {
 		m := &w.VMs[i]
 		if m.Phase != PhaseDraining {
 			continue
 		}
-		m.enter(next, at.Time)
+		m.setPhase(next, at.Time)
 		r.GiveBack(at, m.VM, tackroster.VMInService)
 	}
 }
--- a/core/tackrollout/steps.go
+++ b/core/tackrollout/steps.go
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// mayTake refuses a VM that the wave may not take now.
+// mayTake returns nil if the wave may take the VM now, and a refusal otherwise.
 func (w *Wave) mayTake(r *tackroster.Roster, id tackid.VM) *tackentry.RefusedError {
 	v, refused := r.Unheld(id)
 	if refused != nil {
@@ -50,22 +50,23 @@
 	return nil
 }
 
-// take drains the VMs as the wave's next step.
+// take starts to drain the VMs as the wave's next step.
 func (w *Wave) take(at tackentry.At, r *tackroster.Roster, vms []tackid.VM) {
 	w.Steps++
 	for _, id := range vms {
 		r.Hold(at, id, w.ID)
 		m := w.member(id)
-		m.enter(PhaseDraining, at.Time)
+		m.setPhase(PhaseDraining, at.Time)
 		m.Step = w.Steps
 		m.Fence = at.Revision
 		m.Operation = ""
 	}
 }
 
-// Phase takes one VM to the next phase, if that follows the one it is in. A
-// phase proposed before a pause or a cancel is applied after it: it is refused
-// then, and the platform must not be asked for the operation.
+// Phase moves one VM to the next phase, if that may follow its current one. A
+// change that was proposed before the wave was paused or cancelled, and is
+// applied after that, is refused; the operation must then not be requested
+// from the platform.
 func (o *Rollouts) Phase(at tackentry.At, r *tackroster.Roster, c *WavePhase) *tackentry.RefusedError {
 	w := o.waves.Get(c.Wave)
 	if w == nil {
@@ -81,16 +82,16 @@
 	if c.Phase == PhaseSettling && r.VM(c.VM).Health != tackroster.HealthServing {
 		return tackentry.Refuse(tackentry.CodeState, "vm %q does not serve yet", c.VM)
 	}
-	m.enter(c.Phase, at.Time)
+	m.setPhase(c.Phase, at.Time)
 	if c.Operation != "" {
 		m.Operation = c.Operation
 	}
-	follow(at, r, c)
+	updateVM(at, r, c)
 	return nil
 }
 
-// follow gives the VM the state that goes with its phase.
-func follow(at tackentry.At, r *tackroster.Roster, c *WavePhase) {
+// updateVM sets the state of the VM that corresponds to its new phase.
+func updateVM(at tackentry.At, r *tackroster.Roster, c *WavePhase) {
 	switch c.Phase {
 	case PhaseWaiting, PhaseDone:
 		r.GiveBack(at, c.VM, tackroster.VMInService)
@@ -120,7 +121,7 @@
 		}
 		o.end(at, w, WaveFinished)
 	case WaveStopped:
-		w.hold(at, r, PhaseWaiting)
+		w.releaseDraining(at, r, PhaseWaiting)
 		w.Status = WaveStopped
 	default:
 		return tackentry.Refuse(tackentry.CodeInvalid, "a wave ends as finished or stopped")
