--- a/core/tackroster/budget.go
+++ b/core/tackroster/budget.go
@@ -8,14 +8,14 @@
 	"auburntack/core/tackid"
 )
 
-// CanTake reports whether the VMs may all be taken out of service now,
-// together; nil means that they may. It is asked where a change is applied: a
-// check made earlier, by whoever proposes, would let two operators or waves
-// that both saw the last free VM take one each.
+// CanTake returns nil if the VMs may all be taken out of service together now,
+// and a refusal otherwise. The check is made when a change is applied: if only
+// the proposer checked, two operators or waves could both take the last VM
+// that the budget leaves free.
 //
-// A VM that is out of service already, or that is known to be lost, takes
-// nothing away. One whose health is unknown may be serving, so it needs room
-// in the budget although it does not count as available.
+// A VM that is already out of service or known to be lost does not need room
+// in the budget. A VM with unknown health may be serving, so it needs room
+// although it does not count as available.
 func (r *Roster) CanTake(vms []tackid.VM) *tackentry.RefusedError {
 	taken := make(map[tackid.VM]bool, len(vms))
 	var pools []tackid.Pool
@@ -33,16 +33,16 @@
 		}
 	}
 	for _, pool := range pools {
-		if refused := r.budgetsHold(pool, taken); refused != nil {
+		if refused := r.checkBudgets(pool, taken); refused != nil {
 			return refused
 		}
 	}
 	return nil
 }
 
-// budgetsHold refuses if a budget on the pool would break without the taken
-// VMs.
-func (r *Roster) budgetsHold(pool tackid.Pool, taken map[tackid.VM]bool) *tackentry.RefusedError {
+// checkBudgets returns a refusal if a budget on the pool would be broken
+// without the taken VMs.
+func (r *Roster) checkBudgets(pool tackid.Pool, taken map[tackid.VM]bool) *tackentry.RefusedError {
 	count := r.count(pool, taken)
 	for id, v := range r.services.All() {
 		if v.Pool != pool || tackbudget.Short(v.Budget, count) == 0 {
@@ -54,7 +54,8 @@
 	return nil
 }
 
-// Count returns how the VMs of a pool stand towards its budgets now.
+// Count returns the current counts of a pool's VMs, against which its budgets
+// are checked.
 func (r *Roster) Count(pool tackid.Pool) tackbudget.Count {
 	return r.count(pool, nil)
 }
--- a/core/tackroster/model.go
+++ b/core/tackroster/model.go
@@ -9,41 +9,43 @@
 
 const (
 	// HealthUnknown is the health of a VM that has not announced itself, or
-	// whose data centre cannot be heard. It counts as down.
+	// whose data centre can't be reached. The VM counts as down.
 	HealthUnknown Health = iota
-	// HealthServing is the health of a VM whose backend servers announce.
+	// HealthServing is the health of a VM whose backend servers announce
+	// themselves.
 	HealthServing
-	// HealthLost is the health of a VM that fell silent or failed.
+	// HealthLost is the health of a VM that stopped announcing itself or that
+	// failed.
 	HealthLost
 )
 
 const (
 	// VMInService is the state of a VM that may get work.
 	VMInService VMState = iota
-	// VMDraining is the state of a VM that gets no new work and finishes what
-	// it has.
+	// VMDraining is the state of a VM that gets no new work and finishes the
+	// work that it has.
 	VMDraining
-	// VMDrained is the state of a VM on which no work is left.
+	// VMDrained is the state of a drained VM that has no work left.
 	VMDrained
 	// VMMaintenance is the state of a VM that the platform is rebooting or
 	// upgrading.
 	VMMaintenance
 	// VMSettling is the state of a VM that serves again after maintenance
-	// but does not yet count as proven: it gets work, and no further VM is
-	// stopped on the strength of it until the settling time is over.
+	// but does not count as proven yet: it gets work, but budgets do not rely
+	// on it until the settling time is over.
 	VMSettling
 	// VMMoving is the state of a VM that left one pool and has not joined
-	// the next: no peer may route to it.
+	// the next one yet. No peer may route to it.
 	VMMoving
-	// VMFailed is the state of a VM whose maintenance went wrong. It gets no
-	// work until an operator undrains or removes it.
+	// VMFailed is the state of a VM whose maintenance failed. It gets no work
+	// until an operator undrains or removes it.
 	VMFailed
 )
 
 type (
-	// Health is what the announcements say of a VM.
+	// Health is the health of a VM by its announcements.
 	Health uint8
-	// VMState is where a VM stands in maintenance or a move.
+	// VMState is the state of a VM in service, maintenance or a move.
 	VMState uint8
 
 	// VM is a machine of a pool.
@@ -59,16 +61,16 @@
 		// Since is when State was entered, HealthSince when Health was.
 		Since       tackclock.Time `cbor:"9,keyasint,omitempty"`
 		HealthSince tackclock.Time `cbor:"10,keyasint,omitempty"`
-		// Wave holds the VM, if one does.
+		// Wave is the wave that holds the VM, if any.
 		Wave tackid.Wave `cbor:"11,keyasint,omitempty"`
 		// MovingTo is the pool that the VM joins once it is fenced.
 		MovingTo tackid.Pool `cbor:"12,keyasint,omitempty"`
 		// Touched is the revision of the last decision about the VM: a
-		// command, a wave that took it or gave it back, a join. Observations
-		// and the progress of what was decided do not count, so they never
+		// command, a wave that took or returned it, or a join. Observations
+		// and the progress of earlier decisions do not count, so they never
 		// make an operator's expected revision stale.
-		// Fence is the revision at which the VM last stopped being routable:
-		// once every peer has applied it, or lost its lease, nothing new
+		// Fence is the revision at which the VM last stopped being routable.
+		// Once every peer has applied it, or lost its lease, no new work
 		// reaches the VM.
 		Touched tackid.Revision `cbor:"13,keyasint,omitempty"`
 		Fence   tackid.Revision `cbor:"14,keyasint,omitempty"`
@@ -82,8 +84,8 @@
 		Touched tackid.Revision `cbor:"2,keyasint,omitempty"`
 	}
 
-	// Service is what callers ask for. Its Budget says how many of its
-	// pool's VMs must be able to serve at any moment.
+	// Service is a service that callers request, placed on a pool. Its Budget
+	// is the number of VMs of the pool that must be available at any time.
 	Service struct {
 		ID      tackid.Service  `cbor:"1,keyasint"`
 		Pool    tackid.Pool     `cbor:"2,keyasint"`
@@ -91,12 +93,12 @@
 		Touched tackid.Revision `cbor:"4,keyasint,omitempty"`
 	}
 
-	// Budget is a minimum of available VMs, see tackbudget. It is a wish: one
-	// above what is available now is accepted, and then nothing further may
-	// be taken out of service until more VMs serve.
+	// Budget is a minimum number of available VMs, see tackbudget. It may be
+	// larger than the number of VMs available now. Then no more VMs may be
+	// taken out of service until enough VMs serve.
 	Budget = tackbudget.Budget
 
-	// Observation tells what the announcements say of one VM.
+	// Observation is the content of the announcements about one VM.
 	Observation struct {
 		VM           tackid.VM         `cbor:"1,keyasint"`
 		DataCentre   tackid.DataCentre `cbor:"2,keyasint,omitempty"`
--- a/core/tackroster/pools.go
+++ b/core/tackroster/pools.go
@@ -9,7 +9,7 @@
 // maxPercent is the largest percentage a budget may ask for.
 const maxPercent = 100
 
-// CreatePool makes an empty pool.
+// CreatePool creates an empty pool.
 func (r *Roster) CreatePool(at tackentry.At, c *tackcommand.CreatePool) *tackentry.RefusedError {
 	if r.pools.Get(c.Pool) != nil {
 		return tackentry.Refuse(tackentry.CodeExists, "pool %q exists", c.Pool)
@@ -18,7 +18,7 @@
 	return nil
 }
 
-// DeletePool forgets a pool that no VM and no service is on.
+// DeletePool deletes a pool that has no VMs and no services.
 func (r *Roster) DeletePool(c *tackcommand.DeletePool) *tackentry.RefusedError {
 	if refused := r.NeedPool(c.Pool); refused != nil {
 		return refused
@@ -51,9 +51,8 @@
 	return nil
 }
 
-// SetBudget accepts any budget in range, also one above what is available at
-// the moment: it is the operator's wish, and from then on CanTake lets
-// nothing further out until enough VMs serve.
+// SetBudget accepts any budget in range, even if fewer VMs are available at the
+// moment. CanTake then refuses to take out more VMs until enough VMs serve.
 func (r *Roster) SetBudget(at tackentry.At, c *tackcommand.SetBudget) *tackentry.RefusedError {
 	v := r.services.Get(c.Service)
 	if v == nil {
@@ -67,7 +66,7 @@
 	return nil
 }
 
-// NeedPool refuses if there is no such pool.
+// NeedPool returns a refusal if the pool does not exist.
 func (r *Roster) NeedPool(pool tackid.Pool) *tackentry.RefusedError {
 	if r.pools.Get(pool) == nil {
 		return tackentry.Refuse(tackentry.CodeMissing, "no pool %q", pool)
--- a/core/tackroster/roster.go
+++ b/core/tackroster/roster.go
@@ -1,7 +1,7 @@
-// Package tackroster keeps which VMs are in which pool, the services on the
-// pools with their availability budgets, and where each VM stands between
-// service, maintenance and a move. It checks every step that takes VMs out of
-// service against the budgets.
+// Package tackroster is the state of the VMs, the pools that they belong to,
+// and the services on the pools with their availability budgets. Each VM is in
+// service, under maintenance or moving between pools. Every change that takes
+// VMs out of service is checked against the budgets.
 package tackroster
 
 import (
@@ -15,15 +15,15 @@
 )
 
 const (
-	// RemovedAge is how long a removed VM is remembered, so that one added
-	// again at once is fenced from its old pool first.
+	// RemovedAge is how long a removed VM is remembered, so that a VM that is
+	// soon added again is first fenced from its old pool.
 	RemovedAge = 10 * tackclock.Minute
-	// RemovedLimit is how many removed VMs are remembered at most.
+	// RemovedLimit is the maximum number of removed VMs that are remembered.
 	RemovedLimit = 10_000
 )
 
 type (
-	// Roster is the VMs, pools and services of a fleet. Its zero value is
+	// Roster holds the VMs, pools and services of a fleet. Its zero value is
 	// empty.
 	Roster struct {
 		vms      tacktable.Table[tackid.VM, VM]
@@ -31,7 +31,7 @@
 		services tacktable.Table[tackid.Service, Service]
 		removed  tacktable.Recent[tackid.VM, struct{}]
 
-		// members lists the VMs of each pool, worked out from vms.
+		// members lists the VMs of each pool. It is derived from vms.
 		members map[tackid.Pool][]tackid.VM
 	}
 
@@ -44,7 +44,8 @@
 	}
 )
 
-// Trim forgets the VMs that were removed long ago.
+// Trim forgets the VMs that were removed more than RemovedAge ago, and the
+// oldest ones beyond RemovedLimit.
 func (r *Roster) Trim(now tackclock.Time) {
 	r.removed.Trim(now, RemovedAge, RemovedLimit)
 }
@@ -125,7 +126,7 @@
 	}
 	for _, v := range s.VMs {
 		r.vms.Put(v.ID, v)
-		r.enlist(v.Pool, v.ID)
+		r.addMember(v.Pool, v.ID)
 	}
 	for _, v := range s.Services {
 		r.services.Put(v.ID, v)
@@ -135,13 +136,13 @@
 	}
 }
 
-// join puts the VM into the pool.
+// join adds the VM to the pool.
 func (r *Roster) join(at tackentry.At, pool tackid.Pool, vm tackid.VM) {
-	r.enlist(pool, vm)
+	r.addMember(pool, vm)
 	r.touchPool(at, pool)
 }
 
-// leave takes the VM out of the pool.
+// leave removes the VM from the pool.
 func (r *Roster) leave(at tackentry.At, pool tackid.Pool, vm tackid.VM) {
 	ids := r.members[pool]
 	if i, found := slices.BinarySearch(ids, vm); found {
@@ -150,8 +151,8 @@
 	r.touchPool(at, pool)
 }
 
-// enlist puts the VM on the pool's sorted list of members.
-func (r *Roster) enlist(pool tackid.Pool, vm tackid.VM) {
+// addMember inserts the VM into the pool's sorted list of members.
+func (r *Roster) addMember(pool tackid.Pool, vm tackid.VM) {
 	if r.members == nil {
 		r.members = make(map[tackid.Pool][]tackid.VM)
 	}
@@ -161,7 +162,8 @@
 	}
 }
 
-// touchPool notes that the set of the pool's VMs changed.
+// touchPool sets the pool's Touched revision because the set of its VMs
+// changed.
 func (r *Roster) touchPool(at tackentry.At, pool tackid.Pool) {
 	if p := r.pools.Get(pool); p != nil {
 		p.Touched = at.Revision
--- a/core/tackroster/vms.go
+++ b/core/tackroster/vms.go
@@ -6,10 +6,10 @@
 	"auburntack/core/tackid"
 )
 
-// AddVM puts a new VM into a pool; its health is unknown until it announces
-// itself. A VM that was removed a short while ago enters like a moved one: a
-// peer that has not applied the removal yet still routes to it by its old
-// pool, and the VM would serve two pools at once.
+// AddVM adds a new VM to a pool. Its health is unknown until it announces
+// itself. A VM that was removed a short while ago is fenced like a moved one:
+// a peer that has not applied the removal yet still routes to it as part of
+// its old pool, and the VM would serve two pools at once.
 func (r *Roster) AddVM(at tackentry.At, c *tackcommand.AddVM) *tackentry.RefusedError {
 	if v := r.vms.Get(c.VM); v != nil {
 		return tackentry.Refuse(tackentry.CodeExists, "vm %q exists in pool %q", c.VM, v.Pool)
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// MoveVM makes the VM leave its pool. It stays counted as a down member of
-// the old pool until Joined puts it in the new one.
+// MoveVM starts to move a VM to another pool. The VM counts as a member of the
+// old pool that is down until Joined moves it to the new one.
 func (r *Roster) MoveVM(at tackentry.At, c *tackcommand.MoveVM) *tackentry.RefusedError {
 	v, refused := r.Unheld(c.VM)
 	if refused != nil {
@@ -47,14 +47,14 @@
 	if refused := r.CanTake([]tackid.VM{c.VM}); refused != nil {
 		return refused
 	}
-	v.enter(at, VMMoving)
+	v.setState(at, VMMoving)
 	v.MovingTo = c.Pool
 	v.Touched = at.Revision
 	r.touchPool(at, v.Pool)
 	return nil
 }
 
-// DrainVM takes a VM out of service by an operator's wish.
+// DrainVM starts to drain a VM for an operator.
 func (r *Roster) DrainVM(at tackentry.At, c *tackcommand.DrainVM) *tackentry.RefusedError {
 	v, refused := r.Unheld(c.VM)
 	if refused != nil {
@@ -66,12 +66,12 @@
 	if refused := r.CanTake([]tackid.VM{c.VM}); refused != nil {
 		return refused
 	}
-	v.enter(at, VMDraining)
+	v.setState(at, VMDraining)
 	v.Touched = at.Revision
 	return nil
 }
 
-// UndrainVM puts a drained or failed VM back in service.
+// UndrainVM returns a draining, drained or failed VM to service.
 func (r *Roster) UndrainVM(at tackentry.At, c *tackcommand.UndrainVM) *tackentry.RefusedError {
 	v, refused := r.Unheld(c.VM)
 	if refused != nil {
@@ -79,14 +79,14 @@
 	}
 	switch v.State {
 	case VMDraining, VMDrained, VMFailed:
-		v.enter(at, VMInService)
+		v.setState(at, VMInService)
 		v.Touched = at.Revision
 		return nil
 	}
 	return v.refuse("undrain")
 }
 
-// RemoveVM forgets a VM.
+// RemoveVM removes a VM from its pool and from the roster.
 func (r *Roster) RemoveVM(at tackentry.At, c *tackcommand.RemoveVM) *tackentry.RefusedError {
 	v, refused := r.Unheld(c.VM)
 	if refused != nil {
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// Drained notes that no work is left on a VM that an operator drained.
+// Drained ends the drain of a VM that an operator drained, after its last work.
 func (r *Roster) Drained(at tackentry.At, id tackid.VM) *tackentry.RefusedError {
 	v, refused := r.Unheld(id)
 	if refused != nil {
@@ -110,13 +110,14 @@
 	if v.State != VMDraining {
 		return v.refuse("end the drain of")
 	}
-	v.enter(at, VMDrained)
+	v.setState(at, VMDrained)
 	return nil
 }
 
-// Joined puts a moving VM into its new pool. The leader proposes it only once
-// no peer can route to the VM by the old pool. The backend servers of the new
-// pool have not been seen yet, so the health starts as unknown.
+// Joined moves a VM into its new pool. The leader proposes it only after no
+// peer can route to the VM as part of the old pool. The backend servers of the
+// new pool have not announced themselves yet, so the health is unknown at
+// first.
 func (r *Roster) Joined(at tackentry.At, id tackid.VM) *tackentry.RefusedError {
 	v, refused := r.Unheld(id)
 	if refused != nil {
@@ -129,21 +130,21 @@
 	v.Pool = v.MovingTo
 	v.MovingTo = ""
 	r.join(at, v.Pool, v.ID)
-	v.enter(at, VMInService)
+	v.setState(at, VMInService)
 	v.Health = HealthUnknown
 	v.HealthSince = at.Time
 	v.Touched = at.Revision
 	return nil
 }
 
-// Observe takes over what a VM announced and reports whether its health
-// changed. It never changes a pool.
+// Observe applies an observation of a VM and reports whether the VM's health
+// changed. It never changes the VM's pool.
 func (r *Roster) Observe(at tackentry.At, o *Observation) (bool, *tackentry.RefusedError) {
 	v := r.vms.Get(o.VM)
 	if v == nil {
 		return false, tackentry.Refuse(tackentry.CodeMissing, "no vm %q", o.VM)
 	}
-	v.describe(o)
+	v.update(o)
 	if v.Health == o.Health {
 		return false, nil
 	}
@@ -152,7 +153,7 @@
 	return true, nil
 }
 
-// Unheld returns a VM that no wave holds.
+// Unheld returns a VM, or a refusal if it does not exist or a wave holds it.
 func (r *Roster) Unheld(id tackid.VM) (*VM, *tackentry.RefusedError) {
 	v := r.vms.Get(id)
 	if v == nil {
@@ -164,30 +165,30 @@
 	return v, nil
 }
 
-// Hold drains a VM for a wave, which has asked CanTake.
+// Hold starts to drain a VM for a wave, which has called CanTake.
 func (r *Roster) Hold(at tackentry.At, id tackid.VM, wave tackid.Wave) {
 	v := r.vms.Get(id)
-	v.enter(at, VMDraining)
+	v.setState(at, VMDraining)
 	v.Wave = wave
 	v.Touched = at.Revision
 }
 
-// Progress takes a VM that a wave holds to its next state.
+// Progress moves a VM that a wave holds to its next state.
 func (r *Roster) Progress(at tackentry.At, id tackid.VM, state VMState) {
-	r.vms.Get(id).enter(at, state)
+	r.vms.Get(id).setState(at, state)
 }
 
-// GiveBack ends a wave's hold on a VM and leaves it in a state.
+// GiveBack releases a VM that a wave holds and moves it to state.
 func (r *Roster) GiveBack(at tackentry.At, id tackid.VM, state VMState) {
 	v := r.vms.Get(id)
 	v.Wave = ""
 	v.Touched = at.Revision
-	v.enter(at, state)
+	v.setState(at, state)
 }
 
-// enter changes the VM's state and sets the fence where the VM stops being
+// setState changes the VM's state, and sets the fence if the VM stops being
 // routable.
-func (v *VM) enter(at tackentry.At, state VMState) {
+func (v *VM) setState(at tackentry.At, state VMState) {
 	was := v.Routable()
 	v.State = state
 	v.Since = at.Time
@@ -196,9 +197,9 @@
 	}
 }
 
-// describe takes over where the VM is and what it has. What was not announced
-// stays as it was.
-func (v *VM) describe(o *Observation) {
+// update updates the location and size of the VM. Fields that were not
+// announced are not changed.
+func (v *VM) update(o *Observation) {
 	if o.DataCentre != "" {
 		v.DataCentre = o.DataCentre
 	}
@@ -216,7 +217,7 @@
 	}
 }
 
-// refuse refuses what the VM's state does not allow.
+// refuse returns the refusal of an action that the VM's state does not allow.
 func (v *VM) refuse(what string) *tackentry.RefusedError {
 	return tackentry.Refuse(tackentry.CodeState, "can't %s vm %q, it is %s", what, v.ID, v.State)
 }
