--- a/core/tacktask/model.go
+++ b/core/tacktask/model.go
@@ -13,35 +13,35 @@
 	TaskQueued TaskState = iota
 	// TaskRunning is the state of a task under a lease.
 	TaskRunning
-	// TaskDone is the state of a task that ended well.
+	// TaskDone is the state of a task that succeeded.
 	TaskDone
-	// TaskCancelled is the state of a task that an operator ended.
+	// TaskCancelled is the state of a task that an operator cancelled.
 	TaskCancelled
 	// TaskSetAside is the state of a task that failed too often to be tried
 	// again.
 	TaskSetAside
-	// TaskUnknown is the state of a non-idempotent task whose worker was
-	// lost while it ran: nobody can say whether it ended, so it is never
-	// started again by itself.
+	// TaskUnknown is the state of a non-idempotent task whose worker was lost
+	// while it ran. Since the task may have completed, it is never started
+	// again automatically.
 	TaskUnknown
 )
 
 const (
-	// TryFailed is a try that came to nothing, or nobody knows to what.
+	// TryFailed is a try that failed, or whose outcome is unknown.
 	TryFailed TryEnd = iota
-	// TryStopped is a try that was stopped to make room. It does not count:
-	// a task that yields often would be set aside for nothing it did.
+	// TryStopped is a try that was stopped to make room. It does not count as
+	// a try, since a task that is stopped often would otherwise be set aside.
 	TryStopped
-	// TryNotStarted is a try that its worker refused, so that it surely
-	// never ran.
+	// TryNotStarted is a try that certainly never ran, for example because
+	// its worker refused it.
 	TryNotStarted
 )
 
 type (
-	// TryEnd says why a running task goes back to the queue.
+	// TryEnd is the reason why a running task is queued again.
 	TryEnd uint8
 
-	// TaskState is where a task stands.
+	// TaskState is the state of a task.
 	TaskState uint8
 
 	// Task is a unit of work that a worker runs under a lease.
@@ -63,29 +63,29 @@
 		Reason       string          `cbor:"15,keyasint,omitempty"`
 		Touched      tackid.Revision `cbor:"16,keyasint,omitempty"`
 		Accelerators int             `cbor:"17,keyasint,omitempty"`
-		// Checkpointed says that the work so far is kept for the next try.
+		// Checkpointed reports that the work so far is saved for the next try.
 		Checkpointed bool `cbor:"18,keyasint,omitempty"`
-		// Ended is when the task was cancelled or otherwise came to its end.
+		// Ended is when the task was cancelled or otherwise ended.
 		Ended tackclock.Time `cbor:"19,keyasint,omitempty"`
 	}
 
-	// TaskChange takes one task to the next state. Tries counts up when
-	// State is TaskRunning.
+	// TaskChange moves one task to State. If State is TaskRunning, a new try
+	// on Worker starts.
 	TaskChange struct {
 		Task         tackid.Task `cbor:"1,keyasint"`
 		State        TaskState   `cbor:"2,keyasint"`
 		Worker       tackid.VM   `cbor:"3,keyasint,omitempty"`
 		Reason       string      `cbor:"4,keyasint,omitempty"`
 		Checkpointed bool        `cbor:"5,keyasint,omitempty"`
-		// Token, unless zero, is the token that the change is about. Without
-		// it, a change that was proposed twice and came late would end the
-		// next try, whose lease lives.
+		// Token, unless zero, is the token of the try that the change is
+		// about. Without it, a change that was proposed twice could be applied
+		// to the next try, which still has a live lease.
 		Token tackid.Token `cbor:"6,keyasint,omitempty"`
-		// End says why a running task is queued again.
+		// End is the reason why a running task is queued again.
 		End TryEnd `cbor:"7,keyasint,omitempty"`
 	}
 
-	// Quota bounds what a team may hold at once. Zero means no bound.
+	// Quota limits what a team may use at once. Zero means no limit.
 	Quota struct {
 		Team    tackid.Team     `cbor:"1,keyasint"`
 		Slots   int             `cbor:"2,keyasint,omitempty"`
@@ -112,17 +112,18 @@
 	TaskUnknown:   {TaskDone},
 }
 
-// leadsTo reports whether a TaskChange may take a task from t to next.
+// leadsTo reports whether a TaskChange may move a task from t to next.
 func (t TaskState) leadsTo(next TaskState) bool {
 	return int(t) < len(nextStates) && slices.Contains(nextStates[t], next)
 }
 
-// afterTry returns the state of a running task whose try came to nothing.
+// stateAfterTry returns the next state of a running task whose try ended
+// without completing it.
 //
-// A non-idempotent task is never given back to the queue: its worker may have
-// done the work and only its answer was lost, and a second run would do it
-// twice. It becomes unknown instead, until somebody learns how it ended.
-func (t *Task) afterTry(end TryEnd) TaskState {
+// A non-idempotent task that may have started is not queued again: its worker
+// may have done the work and only its answer was lost, so a second run could
+// do the work twice. It becomes unknown instead, until its outcome is known.
+func (t *Task) stateAfterTry(end TryEnd) TaskState {
 	switch {
 	case !t.Idempotent && end != TryNotStarted:
 		return TaskUnknown
@@ -135,7 +136,7 @@
 	return TaskQueued
 }
 
-// ended reports whether the task needs nothing more by itself.
+// ended reports whether the task is neither queued nor running.
 func (t *Task) ended() bool {
 	return t.State != TaskQueued && t.State != TaskRunning
 }
--- a/core/tacktask/tasks.go
+++ b/core/tacktask/tasks.go
@@ -1,5 +1,5 @@
-// Package tacktask keeps the tasks that workers run under leases, and the
-// quotas of the teams that they run for.
+// Package tacktask is the state of the tasks that workers run under leases,
+// and of the quotas of the teams for which they run.
 package tacktask
 
 import (
@@ -13,25 +13,25 @@
 )
 
 const (
-	// MaxTries is how often a task is started at most. One that comes back
-	// after the last try is set aside: it would fail for ever and take room
-	// from others.
+	// MaxTries is the maximum number of times that a task is started. A task
+	// that fails on its last try is set aside, since it would probably fail
+	// again and take room from other tasks.
 	MaxTries = 5
-	// EndedAge is how long a task that ended is kept.
+	// EndedAge is how long a task is kept after it has ended.
 	EndedAge = 24 * tackclock.Hour
-	// EndedLimit is how many ended tasks are kept at most.
+	// EndedLimit is the maximum number of ended tasks that are kept.
 	EndedLimit = 10_000
 )
 
 type (
-	// Tasks is the tasks and quotas of a fleet. Its zero value is empty.
+	// Tasks holds the tasks and quotas of a fleet. Its zero value is empty.
 	Tasks struct {
 		tasks  tacktable.Table[tackid.Task, Task]
 		quotas tacktable.Table[tackid.Team, Quota]
 		ended  tacktable.Recent[tackid.Task, struct{}]
 
-		// What runs on each worker, and the cores that each team's running
-		// tasks hold, are worked out from tasks.
+		// The number of tasks running on each worker, and the number of cores
+		// held by each team's running tasks. They are derived from tasks.
 		running map[tackid.VM]int
 		cores   map[tackid.Team]int
 	}
@@ -44,8 +44,8 @@
 	}
 )
 
-// Create queues a task on a pool that exists. One beyond its team's quota
-// waits.
+// Create queues a task. The caller has checked that the pool exists. A task
+// beyond its team's quota is queued too, and waits.
 func (k *Tasks) Create(at tackentry.At, c *tackcommand.CreateTask) *tackentry.RefusedError {
 	if k.tasks.Get(c.Task) != nil {
 		return tackentry.Refuse(tackentry.CodeExists, "task %q exists", c.Task)
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// Cancel ends a task. Cancelling a cancelled one again is accepted and changes
-// nothing, so a burst of repeated cancellations is harmless.
+// Cancel cancels a task. Cancelling a cancelled task is accepted and has no
+// effect, so repeated cancellations are harmless.
 func (k *Tasks) Cancel(at tackentry.At, c *tackcommand.CancelTask) *tackentry.RefusedError {
 	t := k.tasks.Get(c.Task)
 	if t == nil {
@@ -77,12 +77,12 @@
 	case TaskDone:
 		return tackentry.Refuse(tackentry.CodeState, "task %q is done", c.Task)
 	}
-	k.enter(at, t, TaskCancelled)
+	k.setState(at, t, TaskCancelled)
 	t.Touched = at.Revision
 	return nil
 }
 
-// SetQuota bounds what a team may hold at once.
+// SetQuota sets the quota of a team.
 func (k *Tasks) SetQuota(at tackentry.At, c *tackcommand.SetQuota) *tackentry.RefusedError {
 	if c.Slots < 0 || c.Cores < 0 {
 		return tackentry.Refuse(tackentry.CodeInvalid, "slots and cores are numbers from 0")
@@ -91,8 +91,9 @@
 	return nil
 }
 
-// Change takes one task to the next state. One that goes to a worker gets a
-// new token: the revision, which is higher than any earlier worker's.
+// Change moves one task to the next state. A task that is assigned to a worker
+// gets a new token: the revision, which is higher than the token of any
+// earlier try.
 func (k *Tasks) Change(at tackentry.At, c *TaskChange) *tackentry.RefusedError {
 	t := k.tasks.Get(c.Task)
 	if t == nil {
@@ -103,7 +104,7 @@
 	}
 	next := c.State
 	if t.State == TaskRunning && next == TaskQueued {
-		next = t.afterTry(c.End)
+		next = t.stateAfterTry(c.End)
 	}
 	if !t.State.leadsTo(next) {
 		return tackentry.Refuse(tackentry.CodeState, "task %q can't go from %s to %s", t.ID, t.State, next)
@@ -115,11 +116,11 @@
 	}
 	t.Checkpointed = t.Checkpointed || c.Checkpointed
 	t.Reason = c.Reason
-	k.enter(at, t, next)
+	k.setState(at, t, next)
 	return nil
 }
 
-// start gives the task to a worker, within the team's quota.
+// start assigns the task to a worker, within the team's quota.
 func (k *Tasks) start(at tackentry.At, t *Task, worker tackid.VM) *tackentry.RefusedError {
 	q := k.quotas.Get(t.Team)
 	if q != nil && q.Cores > 0 && k.cores[t.Team]+t.Cores > q.Cores {
@@ -132,8 +133,8 @@
 	return nil
 }
 
-// enter changes the task's state and keeps the counts of what runs.
-func (k *Tasks) enter(at tackentry.At, t *Task, next TaskState) {
+// setState changes the task's state and updates the counts of running tasks.
+func (k *Tasks) setState(at tackentry.At, t *Task, next TaskState) {
 	if t.State == TaskRunning {
 		k.count(t, -1)
 	}
@@ -147,7 +148,7 @@
 	}
 }
 
-// count adds n tasks like t to what its worker and its team run.
+// count adds n tasks like t to the counts of t's worker and team.
 func (k *Tasks) count(t *Task, n int) {
 	if k.running == nil {
 		k.running = make(map[tackid.VM]int)
@@ -163,7 +164,8 @@
 	}
 }
 
-// Trim forgets the tasks that ended long ago.
+// Trim removes the tasks that ended more than EndedAge ago, and the oldest
+// ended ones beyond EndedLimit.
 func (k *Tasks) Trim(now tackclock.Time) {
 	for _, ended := range k.ended.Trim(now, EndedAge, EndedLimit) {
 		k.tasks.Delete(ended.Key)
@@ -201,12 +203,12 @@
 	return k.quotas.Values()
 }
 
-// RunningOn returns how many tasks run on a worker.
+// RunningOn returns the number of tasks running on a worker.
 func (k *Tasks) RunningOn(worker tackid.VM) int {
 	return k.running[worker]
 }
 
-// CoresOf returns how many cores the team's running tasks hold.
+// CoresOf returns the number of cores held by the team's running tasks.
 func (k *Tasks) CoresOf(team tackid.Team) int {
 	return k.cores[team]
 }
