--- a/core/tackcommand/command.go
+++ b/core/tackcommand/command.go
@@ -1,13 +1,12 @@
-// Package tackcommand reads the commands that operators give. A command is
-// one typed value; the text form is for people, the typed form is what the
-// replicated log carries.
+// Package tackcommand defines the commands of operators and parses their text
+// form. The replicated log holds commands as typed values.
 package tackcommand
 
 import "auburntack/core/tackid"
 
 type (
-	// Command is exactly one of its fields. It is encoded in the replicated
-	// log, so a field's number is never given another meaning.
+	// Command has exactly one field set. It is encoded in the replicated log,
+	// so the number of a field must never be reused for another meaning.
 	Command struct {
 		CreatePool    *CreatePool    `cbor:"1,keyasint,omitempty"`
 		DeletePool    *DeletePool    `cbor:"2,keyasint,omitempty"`
@@ -110,7 +109,7 @@
 		Task tackid.Task `cbor:"1,keyasint"`
 	}
 	// AddPeer is "add peer P address A data_centre D [replica yes|no]". It
-	// changes the members of the system itself.
+	// changes the membership of the system itself, not the fleet.
 	AddPeer struct {
 		Peer       tackid.Peer       `cbor:"1,keyasint"`
 		Address    string            `cbor:"2,keyasint"`
@@ -122,16 +121,16 @@
 		Peer tackid.Peer `cbor:"1,keyasint"`
 	}
 
-	// WaveChange is what an operator does with a wave.
+	// WaveChange is a change of a wave by an operator.
 	WaveChange string
 )
 
 const (
 	// WaveStart starts a planned wave.
 	WaveStart WaveChange = "start"
-	// WavePause holds a running wave.
+	// WavePause pauses a running wave.
 	WavePause WaveChange = "pause"
-	// WaveResume goes on with a paused or stopped wave.
+	// WaveResume resumes a paused or stopped wave.
 	WaveResume WaveChange = "resume"
 	// WaveCancel ends a wave.
 	WaveCancel WaveChange = "cancel"
--- a/core/tackcommand/command_test.go
+++ b/core/tackcommand/command_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestParse reads every command of the language; a text that is its own
-// canonical form is given once.
+// TestParse parses every command of the language and compares its canonical
+// text. An empty want means that the text is canonical already.
 func TestParse(t *testing.T) {
 	tests := []struct{ text, want string }{
 		{"create pool p", ""},
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestTextRoundTrip checks that any names and values survive the text form,
-// also those with quotes, line ends and keywords in them.
+// TestTextRoundTrip checks that names and values survive the text form,
+// including those that contain quotes, line ends and keywords.
 func TestTextRoundTrip(t *testing.T) {
 	name := rapid.OneOf(rapid.StringN(1, -1, 64), rapid.SampledFrom([]string{"pool", "max_parallel", "a b", "\"", "50%", "\\", "\v"}))
 	rapid.Check(t, func(t *rapid.T) {
@@ -124,14 +124,14 @@
 		for _, c := range commands {
 			again, err := Parse(c.Text())
 			if err != nil || !reflect.DeepEqual(again, c) {
-				t.Fatalf("%q reads back as %+v, %v", c.Text(), again, err)
+				t.Fatalf("%q is parsed as %+v, %v", c.Text(), again, err)
 			}
 		}
 	})
 }
 
-// FuzzParse checks that a command that can be read is read the same from its
-// own text, and that one that can't says where.
+// FuzzParse checks that a parsed command is parsed again from its text to an
+// equal command, and that a syntax error has a position and expected words.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{
 		"create pool p", "set budget s min_available 50%", "set config k \"a\\n\"", "cancel wave w",
@@ -145,18 +145,18 @@
 		var e *SyntaxError
 		if errors.As(err, &e) {
 			if e.Line < 1 || e.Column < 1 || len(e.Expected) == 0 {
-				t.Fatalf("%q: error without a place or an expectation: %+v", text, e)
+				t.Fatalf("%q: error without a position or expected words: %+v", text, e)
 			}
 			return
 		}
 		again, err := Parse(c.Text())
 		if err != nil || !reflect.DeepEqual(again, c) {
-			t.Fatalf("%q: text %q reads back as %+v, %v", text, c.Text(), again, err)
+			t.Fatalf("%q: text %q is parsed as %+v, %v", text, c.Text(), again, err)
 		}
 	})
 }
 
-// TestPage reads every example of the operators' page.
+// TestPage parses every example in docs/LANGUAGE.md.
 func TestPage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/LANGUAGE.md")
 	if err != nil {
--- a/core/tackcommand/grammar.go
+++ b/core/tackcommand/grammar.go
@@ -3,7 +3,7 @@
 import "auburntack/core/tacksyntax"
 
 // The grammar of the command language. A word is a keyword only where the
-// grammar asks for one, so any name may be one of them.
+// grammar expects one, so names may be equal to keywords.
 type (
 	grammar struct {
 		Create  *createGrammar     `parser:"'create' @@"`
--- a/core/tackcommand/parse.go
+++ b/core/tackcommand/parse.go
@@ -9,12 +9,13 @@
 
 const yes = "yes"
 
-// SyntaxError says where a command can't be read and what was expected.
+// SyntaxError is the position of a syntax error in a command, and what was
+// expected there.
 type SyntaxError = tacksyntax.Error
 
 var language = tacksyntax.New[grammar]("")
 
-// Parse reads the text of one command. The error is a *SyntaxError.
+// Parse parses the text of one command. The error is a *SyntaxError.
 func Parse(text string) (Command, error) {
 	g, err := language.Parse(text)
 	if err != nil {
@@ -23,7 +24,7 @@
 	return g.command(), nil
 }
 
-// command returns the command that was read.
+// command returns the parsed command.
 func (g *grammar) command() Command {
 	switch {
 	case g.Create != nil:
@@ -67,8 +68,8 @@
 	return Command{CreatePool: &CreatePool{Pool: tackid.Pool(g.Pool)}}
 }
 
-// task returns the task with its options; of an option that is given more
-// than once the last one counts.
+// task returns the task with its options. If an option is repeated the last one
+// counts.
 func (g *taskGrammar) task() *CreateTask {
 	t := &CreateTask{
 		Task: tackid.Task(g.Task), Team: tackid.Team(g.Team), Pool: tackid.Pool(g.Pool),
@@ -83,7 +84,7 @@
 func (g *optionGrammar) apply(t *CreateTask) {
 	switch {
 	case g.Class != "":
-		// The grammar lets no other class through.
+		// The grammar allows only valid classes.
 		t.Class, _ = tackid.ParseClass(strings.ToLower(g.Class))
 	case g.Minutes != nil:
 		t.Minutes = int(*g.Minutes)
--- a/core/tackcommand/text.go
+++ b/core/tackcommand/text.go
@@ -8,13 +8,13 @@
 	"auburntack/core/tacksyntax"
 )
 
-// writer puts the words of a command together.
+// writer collects the words of a command.
 type writer struct {
 	words []string
 }
 
-// Text returns the command as an operator would give it. Parse reads it back
-// to the same command; the empty command has an empty text.
+// Text returns the canonical text of the command, which Parse parses to an
+// equal command. The text of an empty command is empty.
 func (c Command) Text() string {
 	var w writer
 	switch {
@@ -39,13 +39,13 @@
 	case c.RemoveVM != nil:
 		w.add("remove", "vm").name(string(c.RemoveVM.VM))
 	default:
-		w.other(c)
+		w.otherCommand(c)
 	}
 	return strings.Join(w.words, " ")
 }
 
-// other writes the commands that are not about pools and VMs.
-func (w *writer) other(c Command) {
+// otherCommand writes the commands that Text does not handle itself.
+func (w *writer) otherCommand(c Command) {
 	switch {
 	case c.CreateWave != nil:
 		w.wave(c.CreateWave)
@@ -93,7 +93,7 @@
 	}
 }
 
-// add writes words as they are.
+// add writes words without quoting them.
 func (w *writer) add(words ...string) *writer {
 	w.words = append(w.words, words...)
 	return w
@@ -104,7 +104,7 @@
 	return w.add(keyword, strconv.Itoa(n))
 }
 
-// option writes a keyword and its number, unless that is 0.
+// option writes a keyword and its number, unless the number is 0.
 func (w *writer) option(keyword string, n int) *writer {
 	if n == 0 {
 		return w
@@ -112,7 +112,7 @@
 	return w.number(keyword, n)
 }
 
-// name writes a name, in quotes where it needs them.
+// name writes a name, quoted if necessary.
 func (w *writer) name(id string) *writer {
 	return w.add(tacksyntax.Quote(id))
 }
