--- a/core/tackquery/grammar.go
+++ b/core/tackquery/grammar.go
@@ -49,7 +49,7 @@
 	}
 )
 
-// query returns the query that was read. The error is a *SyntaxError.
+// query returns the parsed query. The error is a *SyntaxError.
 func (g *grammar) query() (Query, error) {
 	switch {
 	case g.Show != nil:
--- a/core/tackquery/query.go
+++ b/core/tackquery/query.go
@@ -1,5 +1,5 @@
-// Package tackquery reads the queries that operators ask and answers them
-// with tables. It changes nothing; the commands are in tackcommand.
+// Package tackquery parses the queries of operators and answers them with
+// tables. Queries never change the state; see tackcommand for commands.
 package tackquery
 
 import (
@@ -12,7 +12,7 @@
 )
 
 type (
-	// Query is exactly one of its fields.
+	// Query has exactly one field set.
 	Query struct {
 		Show    *Show
 		Cost    *Cost
@@ -26,14 +26,14 @@
 		Where []Condition
 	}
 
-	// Condition keeps the rows whose field has the value.
+	// Condition selects the rows whose field has the value.
 	Condition struct {
 		Field string
 		Value string
 	}
 
 	// Cost is "cost wave W", or "cost wave over pool P action A
-	// [max_parallel N]" for a wave that was not created yet.
+	// [max_parallel N]" for a wave that has not been created.
 	Cost struct {
 		Wave        tackid.Wave
 		Pool        tackid.Pool
@@ -52,10 +52,11 @@
 		Key string
 	}
 
-	// What names a kind of things to show.
+	// What is the name of a table that can be shown.
 	What string
 
-	// SyntaxError says where a query can't be read and what was expected.
+	// SyntaxError is the position of a syntax error in a query, and what was
+	// expected there.
 	SyntaxError = tacksyntax.Error
 )
 
@@ -72,11 +73,11 @@
 	ShowWorkers What = "workers"
 	// ShowWaves lists the maintenance waves.
 	ShowWaves What = "waves"
-	// ShowBudgets lists how the budgets stand.
+	// ShowBudgets lists the budgets and whether they are met.
 	ShowBudgets What = "budgets"
-	// ShowQuotas lists the quotas and what is used of them.
+	// ShowQuotas lists the quotas and their usage.
 	ShowQuotas What = "quotas"
-	// ShowConfig lists the settings and where they are in force.
+	// ShowConfig lists the settings and the revision in force on each peer.
 	ShowConfig What = "config"
 	// ShowPeers lists the VMs of the system itself.
 	ShowPeers What = "peers"
@@ -84,12 +85,12 @@
 	ShowTasks What = "tasks"
 )
 
-// over is the word that a wave's name must not look like.
+// over is a keyword that must be quoted if it is the name of a wave.
 const over = "over"
 
 var language = tacksyntax.New[grammar]("=")
 
-// Parse reads the text of one query. The error is a *SyntaxError.
+// Parse parses the text of one query. The error is a *SyntaxError.
 func Parse(text string) (Query, error) {
 	g, err := language.Parse(text)
 	if err != nil {
@@ -98,8 +99,8 @@
 	return g.query()
 }
 
-// Text returns the query as an operator would ask it. Parse reads it back to
-// the same query; the empty query has an empty text.
+// Text returns the canonical text of the query, which Parse parses to an equal
+// query. The text of an empty query is empty.
 func (q Query) Text() string {
 	switch {
 	case q.Show != nil:
@@ -117,10 +118,10 @@
 func (s *Show) text() string {
 	var b strings.Builder
 	b.WriteString("show " + string(s.What))
-	joint := " where "
+	separator := " where "
 	for _, c := range s.Where {
-		b.WriteString(joint + c.Field + " = " + tacksyntax.Quote(c.Value))
-		joint = " and "
+		b.WriteString(separator + c.Field + " = " + tacksyntax.Quote(c.Value))
+		separator = " and "
 	}
 	return b.String()
 }
--- a/core/tackquery/query_test.go
+++ b/core/tackquery/query_test.go
@@ -15,7 +15,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// source answers from a small fleet and fixed rows.
+// source is a Source with a small fleet and fixed rows.
 type source struct {
 	fleet tackfleet.State
 }
@@ -115,7 +115,7 @@
 func TestExplain(t *testing.T) {
 	src := newSource(t)
 	table, err := Run(Query{Explain: &Explain{VM: "w-1"}}, src)
-	Convey("The budget that holds the VM back is named", t, func() {
+	Convey("The explanation names the budget that does not allow taking the VM", t, func() {
 		So(err, ShouldBeNil)
 		So(table.Rows, ShouldContain, []any{"held",
 			`may not be taken out now: service "api" needs 1 available VMs of pool "a" and would have 0 (0 of them settling)`})
@@ -156,8 +156,8 @@
 	}
 }
 
-// FuzzParse checks that a query that can be read is read the same from its
-// own text, and that one that can't says where.
+// FuzzParse checks that a parsed query is parsed again from its text to an
+// equal query, and that a syntax error has a position and expected words.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{
 		"show vms where pool = a and state = \"in service\"", "cost wave over pool p action reboot max_parallel 3",
@@ -170,18 +170,18 @@
 		var e *SyntaxError
 		if errors.As(err, &e) {
 			if e.Line < 1 || e.Column < 1 || len(e.Expected) == 0 {
-				t.Fatalf("%q: error without a place or an expectation: %+v", text, e)
+				t.Fatalf("%q: error without a position or expected words: %+v", text, e)
 			}
 			return
 		}
 		again, err := Parse(q.Text())
 		if err != nil || !reflect.DeepEqual(again, q) {
-			t.Fatalf("%q: text %q reads back as %+v, %v", text, q.Text(), again, err)
+			t.Fatalf("%q: text %q is parsed as %+v, %v", text, q.Text(), again, err)
 		}
 	})
 }
 
-// TestPage reads every example of the operators' page.
+// TestPage parses every example in docs/LANGUAGE.md.
 func TestPage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/LANGUAGE.md")
 	if err != nil {
@@ -195,7 +195,7 @@
 		example, _, _ := strings.Cut(block, "\n```")
 		for line := range strings.SplitSeq(example, "\n") {
 			if q, err := Parse(line); err != nil || q.Text() != line {
-				t.Errorf("%s: reads as %q, %v", line, q.Text(), err)
+				t.Errorf("%s: parsed as %q, %v", line, q.Text(), err)
 			}
 		}
 	}
--- a/core/tackquery/run.go
+++ b/core/tackquery/run.go
@@ -16,23 +16,23 @@
 		Rows    [][]any
 	}
 
-	// Source is what queries are answered from. Fleet is not changed while a
-	// query runs.
+	// Source provides the data for queries. The state returned by Fleet must
+	// not change while a query runs.
 	Source interface {
 		Fleet() *tackfleet.State
 		Now() tackclock.Time
 		BackendServers() []BackendServerRow
 		Workers() []WorkerRow
 		Peers() []PeerRow
-		// Cost plans a wave over a pool without running it; a maxParallel of
-		// 0 sets no bound.
+		// Cost returns the estimated cost of a wave over a pool. A maxParallel
+		// of 0 means no limit.
 		Cost(pool tackid.Pool, action tackfleet.Action, maxParallel int) Table
-		// Hints tells what the planner and the placer know of a VM, one
-		// sentence each.
+		// Hints returns sentences about what the planner and the placer know
+		// of a VM.
 		Hints(vm tackid.VM) []string
 	}
 
-	// BackendServerRow is a backend server as it announced itself.
+	// BackendServerRow is the last announcement of a backend server.
 	BackendServerRow struct {
 		BackendServer tackid.BackendServer
 		Service       tackid.Service
@@ -48,7 +48,7 @@
 		LastHeardMS   int64
 	}
 
-	// WorkerRow is a worker as it announced itself.
+	// WorkerRow is the last announcement of a worker.
 	WorkerRow struct {
 		Worker      tackid.VM
 		DataCentre  tackid.DataCentre
@@ -60,8 +60,8 @@
 		LastHeardMS int64
 	}
 
-	// PeerRow is a VM of the system itself. InForce is the revision by which
-	// it serves.
+	// PeerRow is a VM of the system itself. InForce is the revision of the
+	// state by which it serves requests.
 	PeerRow struct {
 		Peer        tackid.Peer
 		DataCentre  tackid.DataCentre
@@ -112,7 +112,7 @@
 	return table, nil
 }
 
-// addPeers adds a column for each peer with the revision in force there.
+// addPeers adds a column for each peer with the revision in force on it.
 func addPeers(t *Table, peers []PeerRow) {
 	for _, p := range peers {
 		t.Columns = append(t.Columns, string(p.Peer))
--- a/core/tackquery/view.go
+++ b/core/tackquery/view.go
@@ -14,7 +14,7 @@
 		table(src Source, where []Condition) Table
 	}
 
-	// viewOf lists things of one type.
+	// viewOf is a view with rows of the type R.
 	viewOf[R any] struct {
 		columns []column[R]
 		rows    func(src Source) []R
@@ -26,7 +26,7 @@
 		value func(r *R) any
 	}
 
-	// test keeps the rows whose column has the value.
+	// test selects the rows whose column has the wanted value.
 	test[R any] struct {
 		column column[R]
 		want   string
@@ -63,7 +63,7 @@
 	return values
 }
 
-// tests finds the columns of the conditions, whose fields Parse has checked.
+// tests returns the tests for the conditions, whose fields Parse has checked.
 func (v viewOf[R]) tests(where []Condition) []test[R] {
 	var tests []test[R]
 	for _, w := range where {
@@ -85,8 +85,8 @@
 	return true
 }
 
-// matches reports whether a value is the one that an operator wrote; yes and
-// no stand for true and false.
+// matches reports whether a value is equal to the text that an operator wrote.
+// For booleans, yes and no mean true and false.
 func matches(value any, want string) bool {
 	truth, ok := value.(bool)
 	if !ok {
--- a/core/tackquery/views.go
+++ b/core/tackquery/views.go
@@ -30,7 +30,7 @@
 	}
 )
 
-// views lists the tables by name.
+// views holds the tables by name.
 var views = map[What]view{
 	ShowVMs:            vmView,
 	ShowPools:          poolView,
@@ -155,7 +155,7 @@
 	return s.Budget.String()
 }
 
-// required returns how many VMs the budget asks for now.
+// required returns the number of VMs that the budget requires now.
 func (s *serviceRow) required() int {
 	return tackbudget.Required(s.Budget, s.count.Total)
 }
