--- a/core/tacksyntax/error.go
+++ b/core/tacksyntax/error.go
@@ -5,9 +5,10 @@
 	"strings"
 )
 
-// Error says where a text can't be read. Line and Column start at 1 and count
-// characters. Expected lists what could have stood there, and Got is the word
-// that did; it is empty at the end of the text.
+// Error is a syntax error. Line and Column are its position; they start at 1,
+// and Column counts characters. Expected lists what is allowed at the
+// position, and Got is the word found there, which is empty at the end of the
+// text.
 type Error struct {
 	Line     int
 	Column   int
--- a/core/tacksyntax/language.go
+++ b/core/tacksyntax/language.go
@@ -1,6 +1,6 @@
-// Package tacksyntax is what the command and the query language have in
-// common: words and quoted text, numbers, and errors that say where a text
-// went wrong and what could have stood there.
+// Package tacksyntax is the common base of the command and the query language:
+// words, quoted text, numbers, and syntax errors with a position and a list of
+// what is allowed there.
 package tacksyntax
 
 import (
@@ -15,29 +15,31 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// MaxText is how long a text may be, in bytes. An error tries every keyword
-// in its place, so an endless text would keep a peer busy.
+// MaxText is the maximum length of a text in bytes. To explain an error, the
+// text is parsed once for every keyword, so a very long text would keep a peer
+// busy.
 const MaxText = 16 << 10
 
 const (
-	// endOfText is what an error expects where nothing further may follow.
+	// endOfText is expected where nothing more may follow.
 	endOfText = "the end of the text"
-	// closingQuote is what an error expects after an opening quote.
+	// closingQuote is expected after an unmatched opening quote.
 	closingQuote = "a closing quote"
-	// space is what separates words; it is \s of the lexer's patterns.
+	// space holds the characters that separate words, as \s in the lexer's
+	// patterns.
 	space = " \t\n\f\r"
-	// anyWord is a word that no grammar has as a keyword.
+	// anyWord is a word that is not a keyword of any grammar.
 	anyWord = "any-word"
 )
 
 type (
-	// Language reads texts by the grammar G, a struct with participle's tags.
+	// Language is a parser for the grammar G, a struct with participle's tags.
 	Language[G any] struct {
 		parser   *participle.Parser[G]
 		keywords []string
 	}
 
-	// probe is a token that is tried where a text went wrong.
+	// probe is a token that is tried at the position of an error.
 	probe struct {
 		text string
 		name string
@@ -47,7 +49,7 @@
 var (
 	keywordPattern = regexp.MustCompile(`"([a-z_=]+)"`)
 
-	// valueProbes stand for what is not a keyword, the widest first.
+	// valueProbes are the probes for values, the most general first.
 	valueProbes = []probe{
 		{text: `"x"`, name: "a name"},
 		{text: `1`, name: "a number"},
@@ -55,9 +57,9 @@
 	}
 )
 
-// New returns the language of the grammar G. Words are split at white space
-// and at the separators, each of which is a word of its own. It panics if the
-// grammar is not a valid one.
+// New returns the language of the grammar G. Words are separated by white
+// space and by the separators, each of which is a word of its own. It panics
+// if the grammar is not valid.
 func New[G any](separators string) *Language[G] {
 	class := regexp.QuoteMeta(separators)
 	rules := []lexer.SimpleRule{
@@ -87,7 +89,7 @@
 	return slices.Compact(keywords)
 }
 
-// Parse reads a text. The error is an *Error.
+// Parse parses a text. The error is an *Error.
 func (l *Language[G]) Parse(text string) (*G, error) {
 	if len(text) > MaxText {
 		return nil, &Error{Line: 1, Column: 1, Expected: []string{fmt.Sprintf("at most %d bytes", MaxText)}, Got: "more"}
@@ -99,8 +101,8 @@
 	return nil, l.explain(text, err)
 }
 
-// explain turns an error of the parser into one that lists what could have
-// stood where the text went wrong.
+// explain turns an error of the parser into one that lists what is allowed at
+// its position.
 func (l *Language[G]) explain(text string, err error) *Error {
 	var positioned participle.Error
 	if !errors.As(err, &positioned) {
@@ -121,9 +123,9 @@
 	return e
 }
 
-// explainEarlier explains a text in which nothing may follow the prefix,
-// since a value in the prefix itself is wrong: the parser looks at the values
-// only after it has read all the words.
+// explainEarlier explains an error for which nothing may follow the prefix.
+// The prefix itself may have an invalid value, since the parser captures
+// values only after it has matched all words; then that error is explained.
 func (l *Language[G]) explainEarlier(prefix string, e *Error) *Error {
 	_, err := l.parser.ParseString("", prefix+" "+valueProbes[0].text)
 	var positioned participle.Error
@@ -134,9 +136,9 @@
 	return e
 }
 
-// expected returns what may follow a text that is right as far as it goes. It
-// tries every keyword: one that may follow lets the parser get beyond it.
-// Where any word may follow, the keywords are only some of them.
+// expected returns what may follow a valid prefix of a text. It tries every
+// keyword, unless any word may follow. A keyword may follow if the parser gets
+// past it.
 func (l *Language[G]) expected(prefix string) []string {
 	var expected []string
 	if !l.follows(prefix, anyWord) {
@@ -178,7 +180,7 @@
 	return positioned.Position().Offset > len(prefix)+1
 }
 
-// skipSpace moves a position beyond the white space that it is at.
+// skipSpace advances a position past white space.
 func skipSpace(text string, pos lexer.Position) lexer.Position {
 	pos.Offset = min(pos.Offset, len(text))
 	for _, r := range text[pos.Offset:] {
--- a/core/tacksyntax/value.go
+++ b/core/tacksyntax/value.go
@@ -12,10 +12,10 @@
 	// escapes of Go. In a grammar it is captured from (Word | Quoted).
 	Value string
 
-	// Number is a whole number from 0. In a grammar it is captured from Word.
+	// Number is a non-negative integer. In a grammar it is captured from Word.
 	Number int
 
-	// Amount is a whole number from 0, or a percentage such as 50%. In a
+	// Amount is a non-negative integer, or a percentage such as 50%. In a
 	// grammar it is captured from Word.
 	Amount struct {
 		N       int
@@ -26,7 +26,7 @@
 	Name string
 )
 
-// barePattern matches the values that are written without quotes.
+// barePattern matches the values that Quote does not quote.
 var barePattern = regexp.MustCompile(`^[A-Za-z0-9_.:/@%+-]+$`)
 
 // Capture implements participle.Capture.
@@ -70,7 +70,7 @@
 	return strconv.Itoa(a.N)
 }
 
-// unquote returns the text that a token stands for.
+// unquote returns the text of a token, which may be quoted.
 func unquote(token string) (string, error) {
 	if !strings.HasPrefix(token, `"`) {
 		return token, nil
@@ -82,9 +82,9 @@
 	return text, nil
 }
 
-// Quote returns the text as a value is written: bare where that reads the
-// same, in quotes otherwise. Words that are listed are always quoted, for
-// places where they would be read as keywords.
+// Quote returns the text as a bare word if it can be parsed as one, and in
+// quotes otherwise. The given keywords are always quoted, for positions where
+// they would be parsed as keywords.
 func Quote(text string, keywords ...string) string {
 	if !barePattern.MatchString(text) {
 		return strconv.Quote(text)
