--- a/core/tacktable/recent.go
+++ b/core/tacktable/recent.go
@@ -7,15 +7,14 @@
 )
 
 type (
-	// Recent keeps rows in the order in which they came, until they are too
-	// old or too many. Its zero value is empty and keeps nothing back: the
-	// bounds are given to Trim.
+	// Recent is a table of rows in the order in which they were put. Trim
+	// removes rows by age and number. The zero value is an empty table.
 	Recent[K comparable, V any] struct {
 		rows  map[K]V
 		queue []Stamp[K]
 	}
 
-	// Stamp is a key and the time at which it came.
+	// Stamp is a key and the time at which it was put.
 	Stamp[K comparable] struct {
 		Key  K              `cbor:"1,keyasint"`
 		Time tackclock.Time `cbor:"2,keyasint"`
@@ -28,8 +27,9 @@
 	return v, ok
 }
 
-// Put adds a row at now, which must not fall from call to call. A key that is
-// there already becomes the newest; that costs a walk through the keys.
+// Put adds a row at now, which must not be earlier than in the last call. If
+// the key exists it becomes the newest one, which takes time linear in the
+// number of keys.
 func (r *Recent[K, V]) Put(now tackclock.Time, k K, v V) {
 	if r.rows == nil {
 		r.rows = make(map[K]V)
@@ -41,8 +41,9 @@
 	r.rows[k] = v
 }
 
-// Trim drops the rows that came longer than age before now, and the oldest
-// ones beyond limit. It returns what it dropped, until the next Put.
+// Trim removes the rows that were put more than age before now, and the oldest
+// rows beyond limit. It returns the removed keys; the result is valid until
+// the next Put.
 func (r *Recent[K, V]) Trim(now tackclock.Time, age tackclock.Duration, limit int) []Stamp[K] {
 	n := 0
 	for n < len(r.queue) && (now.Sub(r.queue[n].Time) > age || len(r.queue)-n > limit) {
--- a/core/tacktable/table.go
+++ b/core/tacktable/table.go
@@ -1,6 +1,6 @@
-// Package tacktable holds the tables that a replicated state machine is made
-// of: one sorted by key, so that it is listed and encoded in the same order
-// on every peer, and one whose rows end by age and by number.
+// Package tacktable provides the tables of a replicated state machine: Table,
+// which is sorted by key and so has the same order on every peer, and Recent,
+// whose rows are removed by age and number.
 package tacktable
 
 import (
@@ -9,13 +9,13 @@
 	"slices"
 )
 
-// Table keeps one row for each key and lists them in the order of the keys.
-// Its zero value is an empty table. A key that is met for the first time
-// costs a shift of the keys that follow it; everything else is a look-up.
+// Table has one row for each key and lists its rows in the order of the keys.
+// The zero value is an empty table. Adding or deleting a key shifts the keys
+// after it; other operations on a key only look it up.
 type Table[K cmp.Ordered, V any] struct {
 	rows map[K]*V
 	keys []K
-	list []*V // in the order of keys, so that ranging takes no look-ups
+	list []*V // in the order of keys, so that All needs no lookups
 }
 
 // Get returns the row of k, or nil. The row may be changed in place.
@@ -54,8 +54,8 @@
 	return len(t.keys)
 }
 
-// All ranges over the rows in the order of their keys. No row may be put or
-// deleted meanwhile.
+// All returns an iterator over the rows in the order of their keys. No row may
+// be put or deleted during the iteration.
 func (t *Table[K, V]) All() iter.Seq2[K, *V] {
 	return func(yield func(K, *V) bool) {
 		for i, k := range t.keys {
--- a/core/tacktable/table_test.go
+++ b/core/tacktable/table_test.go
@@ -10,9 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: two peers with the same fleet write different snapshots.
-// Sequence: rows are put and deleted in any order.
-// Cause: rows were listed in the order of a map or of their arrival.
+// Guards against two peers with the same fleet writing different snapshots
+// because rows are listed in the order of a map or of their arrival.
 func TestTableIsSorted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table[string, int]
@@ -42,9 +41,8 @@
 	})
 }
 
-// Symptom: what should be forgotten is kept, or the other way round.
-// Sequence: rows come at rising times, some again, and are trimmed.
-// Cause: a row that came again kept its old place.
+// Guards against a row that keeps its old position after it is put again, so
+// that Trim removes it too early or keeps others for too long.
 func TestRecentKeepsTheNewest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const age, limit = 10, 4
