--- a/core/tackbudget/budget.go
+++ b/core/tackbudget/budget.go
@@ -13,8 +13,8 @@
 		Percent      bool `cbor:"2,keyasint,omitempty"`
 	}
 
-	// Standing is the state of one VM with regard to the budgets of its pool.
-	Standing struct {
+	// VMStatus is the state of one VM with regard to the budgets of its pool.
+	VMStatus struct {
 		// Available reports whether the VM may get work and is known to
 		// serve requests.
 		Available bool
@@ -46,7 +46,7 @@
 }
 
 // Add adds a VM of the pool to the count.
-func (c *Count) Add(s Standing) {
+func (c *Count) Add(s VMStatus) {
 	c.Total++
 	if !s.Available || s.Taken {
 		return
@@ -67,9 +67,9 @@
 	return (b.MinAvailable*total + 99) / 100
 }
 
-// Short returns how many proven VMs are missing to meet the budget without the
+// Shortfall returns how many proven VMs are missing to meet the budget without the
 // taken VMs; 0 means that those may be taken out.
-func Short(b Budget, c Count) int {
+func Shortfall(b Budget, c Count) int {
 	return max(0, Required(b, c.Total)-c.Proven)
 }
 
--- a/core/tackburn/report.go
+++ b/core/tackburn/report.go
@@ -42,18 +42,18 @@
 	// sorted by name.
 	Report struct {
 		Time     tackclock.Time `json:"time_ms"`
-		Services []Line         `json:"services"`
-		Teams    []Line         `json:"teams"`
-		Labels   []Line         `json:"labels"`
+		Services []Summary      `json:"services"`
+		Teams    []Summary      `json:"teams"`
+		Labels   []Summary      `json:"labels"`
 	}
 
-	// Line is the report on one service, team or label. BudgetLeft is the
+	// Summary is the report on one service, team or label. BudgetLeft is the
 	// remaining part of the error budget for Period, negative if it is
 	// overspent. TimeLeft is how long it will last at the burn rate of the
 	// last hour; Lasting is true if that is longer than a period. Days holds
 	// the counts by day over the period, Quarters those by quarter of a day
 	// over three days.
-	Line struct {
+	Summary struct {
 		Name       string             `json:"name"`
 		Objective  float64            `json:"objective_percent"`
 		Period     Counts             `json:"period"`
@@ -106,8 +106,8 @@
 	return min(o, MaxObjective)
 }
 
-func (t table[N]) lines(now tackclock.Time, objective func(N) float64) []Line {
-	list := make([]Line, 0, len(t))
+func (t table[N]) lines(now tackclock.Time, objective func(N) float64) []Summary {
+	list := make([]Summary, 0, len(t))
 	for name, s := range t {
 		l := s.line(now, objective(name))
 		l.Name = string(name)
@@ -115,13 +115,13 @@
 			list = append(list, l)
 		}
 	}
-	slices.SortFunc(list, func(a, b Line) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(list, func(a, b Summary) int { return cmp.Compare(a.Name, b.Name) })
 	return list
 }
 
 // line returns the report on one series.
-func (s *series) line(now tackclock.Time, objective float64) Line {
-	l := Line{
+func (s *series) line(now tackclock.Time, objective float64) Summary {
+	l := Summary{
 		Objective: objective,
 		Period:    s.sum(ringDay, now),
 		Days:      s.points(ringDay, now),
--- a/core/tackburn/settings.go
+++ b/core/tackburn/settings.go
@@ -35,7 +35,7 @@
 	Settings struct {
 		Default       float64
 		Services      map[tackid.Service]float64
-		Late          tackclock.Duration
+		LateAfter     tackclock.Duration
 		LateByService map[tackid.Service]tackclock.Duration
 		Labels        []LabelWindow
 	}
@@ -84,7 +84,7 @@
 func (s *Settings) IsLate(service tackid.Service, d tackclock.Duration) bool {
 	limit, ok := s.LateByService[service]
 	if !ok {
-		limit = s.Late
+		limit = s.LateAfter
 	}
 	return limit > 0 && d > limit
 }
@@ -127,7 +127,7 @@
 		return &SettingError{Key: key, Value: value, Want: "a number of milliseconds, 0 for none"}
 	}
 	if service == "" {
-		s.Late = tackclock.Duration(ms)
+		s.LateAfter = tackclock.Duration(ms)
 		return nil
 	}
 	if s.LateByService == nil {
--- a/core/tackburn/state_test.go
+++ b/core/tackburn/state_test.go
@@ -20,7 +20,7 @@
 	return Sample{Services: []ServiceCounts{{Service: "dawn-svc", Counts: c}}}
 }
 
-func assertWindows(t *testing.T, l Line, want ...uint64) {
+func assertWindows(t *testing.T, l Summary, want ...uint64) {
 	t.Helper()
 	convey.Convey("bad requests by window", t, func() {
 		for i, w := range l.Windows {
--- a/core/tackcatalog/catalog.go
+++ b/core/tackcatalog/catalog.go
@@ -25,10 +25,10 @@
 		Services     []Service `cbor:"3,keyasint,omitempty"`
 		MaxBodyBytes int       `cbor:"4,keyasint,omitempty"`
 		Source       []byte    `cbor:"5,keyasint,omitempty"`
-		// Keyed says that callers must present a key of a workspace on queues that are
+		// RequiresKeys says that callers must present a key of a workspace on queues that are
 		// not public. Otherwise all queues are open to everyone.
-		Keyed      bool                      `cbor:"6,keyasint,omitempty"`
-		Workspaces []tackworkspace.Workspace `cbor:"7,keyasint,omitempty"`
+		RequiresKeys bool                      `cbor:"6,keyasint,omitempty"`
+		Workspaces   []tackworkspace.Workspace `cbor:"7,keyasint,omitempty"`
 	}
 
 	// QueueKey identifies a queue by the host and path prefix that callers address. The
@@ -64,8 +64,8 @@
 	// Service is a pool of workers.
 	Service struct {
 		Name tackid.Service `cbor:"1,keyasint"`
-		// Guards says that the workers refuse work that exceeds their capacity.
-		Guards bool `cbor:"2,keyasint,omitempty"`
+		// EnforcesCapacity says that the workers refuse work that exceeds their capacity.
+		EnforcesCapacity bool `cbor:"2,keyasint,omitempty"`
 		// Standby marks the pool whose VMs are switched off and cost nothing.
 		Standby bool `cbor:"3,keyasint,omitempty"`
 	}
@@ -116,7 +116,7 @@
 		}
 		seen[q.QueueKey] = true
 	}
-	problems = append(problems, tackworkspace.Check(c.Workspaces)...)
+	problems = append(problems, tackworkspace.Validate(c.Workspaces)...)
 	if len(problems) > 0 {
 		return &InvalidError{Problems: problems}
 	}
--- a/core/tackcatalog/catalog_test.go
+++ b/core/tackcatalog/catalog_test.go
@@ -16,10 +16,10 @@
 			{QueueKey: QueueKey{"a.example", "/q/"}, Service: "names-api", Timeout: 1},
 			{QueueKey: QueueKey{"a.example", "/q/deep/"}, Service: "communes", Timeout: 1},
 		},
-		Keyed: true,
+		RequiresKeys: true,
 		Workspaces: []tackworkspace.Workspace{
-			{Name: "mairies", Keys: []tackworkspace.Fingerprint{tackworkspace.Print("a"), tackworkspace.Print("b")}, Weight: 3},
-			{Name: "postes", Keys: []tackworkspace.Fingerprint{tackworkspace.Print("c")}, Weight: 1},
+			{Name: "mairies", Keys: []tackworkspace.Fingerprint{tackworkspace.FingerprintOf("a"), tackworkspace.FingerprintOf("b")}, Weight: 3},
+			{Name: "postes", Keys: []tackworkspace.Fingerprint{tackworkspace.FingerprintOf("c")}, Weight: 1},
 		},
 	}
 }
--- a/core/tackcrash/record.go
+++ b/core/tackcrash/record.go
@@ -55,8 +55,8 @@
 		Run uint64 `cbor:"1,keyasint"`
 		// VM is the VM of the worker.
 		VM tackid.VM `cbor:"2,keyasint,omitempty"`
-		// Early says that the worker had not reported the run yet.
-		Early bool `cbor:"3,keyasint,omitempty"`
+		// BeforeReport says that the worker had not reported the run yet.
+		BeforeReport bool `cbor:"3,keyasint,omitempty"`
 		// Alone says that the worker ran nothing else, or beside a member of a gang
 		// nothing but other members, and that the run had not survived its start or its
 		// trial.
@@ -71,8 +71,8 @@
 	// leader would start the item as if nothing had happened.
 	Doubt struct {
 		Crash `cbor:"1,keyasint"`
-		// Life identifies the worker process.
-		Life string `cbor:"2,keyasint"`
+		// WorkerID identifies the worker process.
+		WorkerID string `cbor:"2,keyasint"`
 	}
 
 	// Record holds the crashes under an item so far. Its zero value is that of an item
@@ -88,9 +88,9 @@
 	return len(r.Crashes)+len(r.Doubts) == 0
 }
 
-// With returns the record with a crash added, which replaces a doubt about the same run.
+// WithCrash returns the record with a crash added, which replaces a doubt about the same run.
 // A run counts once.
-func (r Record) With(c Crash) Record {
+func (r Record) WithCrash(c Crash) Record {
 	r = r.WithoutDoubt(c.Run)
 	if r.has(c.Run) {
 		return r
@@ -118,18 +118,18 @@
 	return slices.ContainsFunc(r.Crashes, func(c Crash) bool { return c.Run == run })
 }
 
-// Waits reports whether so many workers are silent under the item that it must not be
+// OnHold reports whether so many workers are silent under the item that it must not be
 // started again before one of them is heard from.
-func (r Record) Waits() bool {
+func (r Record) OnHold() bool {
 	return len(r.Doubts) >= maxDoubts
 }
 
-// Guilty reports whether the item is to be given up.
-func (r Record) Guilty() bool {
+// AtFault reports whether the item is to be given up.
+func (r Record) AtFault() bool {
 	early := 0
 	alone := make(map[tackid.VM]bool)
 	for _, c := range r.Crashes {
-		if c.Early {
+		if c.BeforeReport {
 			early++
 		}
 		if c.Alone {
@@ -147,12 +147,12 @@
 func (r Record) Trial() tackclock.Duration {
 	early := 0
 	for _, c := range r.Crashes {
-		if c.Early {
+		if c.BeforeReport {
 			early++
 		}
 	}
 	for _, d := range r.Doubts {
-		if d.Early {
+		if d.BeforeReport {
 			early++
 		}
 	}
@@ -165,8 +165,8 @@
 	return 0
 }
 
-// On reports whether a worker on the VM crashed under the item. A crash on a different VM
+// CrashedOn reports whether a worker on the VM crashed under the item. A crash on a different VM
 // tells more about the item than another one on the same VM.
-func (r Record) On(vm tackid.VM) bool {
+func (r Record) CrashedOn(vm tackid.VM) bool {
 	return slices.ContainsFunc(r.Crashes, func(c Crash) bool { return c.VM == vm })
 }
--- a/core/tackcrash/record_test.go
+++ b/core/tackcrash/record_test.go
@@ -12,19 +12,19 @@
 	var r Record
 	for i, c := range crashes {
 		c.Run = uint64(i + 1)
-		r = r.With(c)
+		r = r.WithCrash(c)
 	}
 	return r
 }
 
 func on(n int, early, alone bool) Crash {
-	return Crash{VM: tackid.VM(fmt.Sprintf("m-%d", n)), Early: early, Alone: alone}
+	return Crash{VM: tackid.VM(fmt.Sprintf("m-%d", n)), BeforeReport: early, Alone: alone}
 }
 
 func assertJudged(t *testing.T, r Record, guilty bool, trial tackclock.Duration) {
 	t.Helper()
-	if r.Guilty() != guilty {
-		t.Errorf("Guilty() = %v after %+v, want %v", r.Guilty(), r.Crashes, guilty)
+	if r.AtFault() != guilty {
+		t.Errorf("Guilty() = %v after %+v, want %v", r.AtFault(), r.Crashes, guilty)
 	}
 	if got := r.Trial(); !guilty && got != trial {
 		t.Errorf("trial of %d ms after %+v, want %d", got, r.Crashes, trial)
@@ -60,14 +60,16 @@
 	})
 	t.Run("a run counts once", func(t *testing.T) {
 		r := recordOf(on(1, true, true))
-		if same := r.With(Crash{Run: 1, VM: "m-2", Alone: true}); len(same.Crashes) != 1 {
+		if same := r.WithCrash(Crash{Run: 1, VM: "m-2", Alone: true}); len(same.Crashes) != 1 {
 			t.Errorf("record %+v after the same run, want one crash", same)
 		}
 	})
 }
 
 func TestDoubts(t *testing.T) {
-	doubt := func(run uint64) Doubt { return Doubt{Crash: Crash{Run: run, VM: "m-1", Early: true}, Life: "i-1"} }
+	doubt := func(run uint64) Doubt {
+		return Doubt{Crash: Crash{Run: run, VM: "m-1", BeforeReport: true}, WorkerID: "i-1"}
+	}
 	one := Record{}.WithDoubt(doubt(1))
 	two := one.WithDoubt(doubt(2))
 	t.Run("require a trial and never give up the item", func(t *testing.T) {
@@ -75,13 +77,13 @@
 		assertJudged(t, two.WithDoubt(doubt(3)).WithDoubt(doubt(4)), false, shortTrial)
 	})
 	t.Run("about two workers at once hold the item back", func(t *testing.T) {
-		if one.Waits() || !two.Waits() {
-			t.Errorf("Waits() = %v after one doubt and %v after two, want false and true", one.Waits(), two.Waits())
+		if one.OnHold() || !two.OnHold() {
+			t.Errorf("Waits() = %v after one doubt and %v after two, want false and true", one.OnHold(), two.OnHold())
 		}
 	})
 	t.Run("are replaced by the crash of the run", func(t *testing.T) {
-		r := two.With(doubt(1).Crash)
-		if len(r.Doubts) != 1 || len(r.Crashes) != 1 || r.Waits() {
+		r := two.WithCrash(doubt(1).Crash)
+		if len(r.Doubts) != 1 || len(r.Crashes) != 1 || r.OnHold() {
 			t.Errorf("record %+v, want one crash and the other doubt", r)
 		}
 		if again := r.WithDoubt(doubt(1)); len(again.Doubts) != 1 {
--- a/core/tackdispatch/admit.go
+++ b/core/tackdispatch/admit.go
@@ -22,10 +22,10 @@
 	// Admission says whether a job is accepted.
 	Admission struct {
 		Accepted bool
-		// ComeBack is the delay after which a refused caller should retry, and Reason
+		// RetryAfter is the delay after which a refused caller should retry, and Reason
 		// says why the job was refused.
-		ComeBack tackclock.Duration
-		Reason   string
+		RetryAfter tackclock.Duration
+		Reason     string
 	}
 )
 
@@ -40,15 +40,15 @@
 	account := d.quota.Account(workspace)
 	for i := range spec.Steps {
 		// All members start together or not at all, so the gang would wait forever.
-		if s := &spec.Steps[i]; s.Gang && !account.Holds(s.Room.Times(s.Count)) {
-			return Admission{ComeBack: capRetryAfter, Reason: "a gang wider than the cap of its workspace"}
+		if s := &spec.Steps[i]; s.Gang && !account.CapAllows(s.Resources.Times(s.Count)) {
+			return Admission{RetryAfter: capRetryAfter, Reason: "a gang wider than the cap of its workspace"}
 		}
 	}
 	if spec.LongRunning() || spec.Repeats > 0 {
 		return Admission{Accepted: true}
 	}
 	p := d.pool(q.Service)
-	chain := spec.Chain()
+	chain := spec.CriticalPath()
 	allowed := tackclock.Duration(q.Stretch*float64(chain)) + q.Objective
 	who := owner{service: q.Service, workspace: workspace}
 	work := d.outstanding.ahead(who).plus(d.proposed.ahead(who))
@@ -62,11 +62,11 @@
 		p.recordArrival(now, spec, true)
 		earliest := now.Add(max(takes-allowed, minRetryAfter))
 		at := p.retryTimes.assign(now, spec, earliest, cores+p.coming)
-		return Admission{ComeBack: at.Sub(now), Reason: "would end too late"}
+		return Admission{RetryAfter: at.Sub(now), Reason: "would end too late"}
 	}
 	// A pool may gain VMs from other pools; a cap does not grow.
 	if takes := timeFor(work.workspace, account.Cap().MilliCores) + chain; takes > allowed {
-		return Admission{ComeBack: max(takes-allowed, minRetryAfter), Reason: "would end too late by the cap of its workspace"}
+		return Admission{RetryAfter: max(takes-allowed, minRetryAfter), Reason: "would end too late by the cap of its workspace"}
 	}
 	p.recordArrival(now, spec, false)
 	p.retryTimes.drop(spec.ID)
--- a/core/tackdispatch/admit_test.go
+++ b/core/tackdispatch/admit_test.go
@@ -26,7 +26,7 @@
 // time.
 func assertRefusal(t *testing.T, a Admission, reason string, least, most tackclock.Duration) {
 	t.Helper()
-	if a.Accepted || a.Reason != reason || a.ComeBack < least || a.ComeBack > most {
+	if a.Accepted || a.Reason != reason || a.RetryAfter < least || a.RetryAfter > most {
 		t.Errorf("%+v, want refused as %q, to come back after %d to %d ms", a, reason, least, most)
 	}
 }
--- a/core/tackdispatch/advice.go
+++ b/core/tackdispatch/advice.go
@@ -43,9 +43,9 @@
 	}
 )
 
-// AdviceWanted returns the next call to make, for the first step by rank that has no
+// NextAdviceRequest returns the next call to make, for the first step by rank that has no
 // valid ticket, or false if there is none.
-func (d *Dispatcher) AdviceWanted(now tackclock.Time) (AdviceRequest, bool) {
+func (d *Dispatcher) NextAdviceRequest(now tackclock.Time) (AdviceRequest, bool) {
 	for _, p := range d.pools {
 		for s := range p.steps.All() {
 			if !s.job.Advised || len(s.waiting) == 0 || s.advice.pending || now < s.advice.retryAt || s.advice.valid(now) {
@@ -67,7 +67,7 @@
 func (d *Dispatcher) adviceCandidates(now tackclock.Time, p *pool, s *openStep) []WorkerID {
 	var fit []*worker
 	for _, w := range p.workers {
-		if w.acceptsItems(now) && !w.silent(now) && w.hasLabel(s.Requires) && w.capacity.Fits(s.Takes()) {
+		if w.acceptsItems(now) && !w.silent(now) && w.hasLabel(s.Requires) && w.capacity.Fits(s.Reserved()) {
 			fit = append(fit, w)
 		}
 	}
@@ -81,9 +81,9 @@
 	return ids
 }
 
-// Advised records the answer to a call; ok is false if the call failed. Tickets for
+// AdviceReceived records the answer to a call; ok is false if the call failed. Tickets for
 // workers that were not asked about are ignored.
-func (d *Dispatcher) Advised(now tackclock.Time, r AdviceRequest, tickets []Ticket, valid tackclock.Duration, ok bool) {
+func (d *Dispatcher) AdviceReceived(now tackclock.Time, r AdviceRequest, tickets []Ticket, valid tackclock.Duration, ok bool) {
 	s := d.stepOf(stepKey{job: r.Job, occurrence: r.Occurrence, step: r.Step})
 	if s == nil {
 		return
--- a/core/tackdispatch/backlog.go
+++ b/core/tackdispatch/backlog.go
@@ -50,7 +50,7 @@
 			continue
 		}
 		work := max(0, o.workLeft()-done[o])
-		if now.Add(o.ChainLeft(0)) > o.deadline {
+		if now.Add(o.RemainingCriticalPath(0)) > o.deadline {
 			b.late += work
 			continue
 		}
--- a/core/tackdispatch/copy_test.go
+++ b/core/tackdispatch/copy_test.go
@@ -113,7 +113,7 @@
 		known := w.d.workers[m.id]
 		known.ends.highest = 2
 		known.ends.pending = map[uint64]tackjob.End{1: first, 2: second}
-		w.d.EndsNoted(m.id, []tackjob.End{first})
+		w.d.EndsLogged(m.id, []tackjob.End{first})
 		if n := known.ends.loggedUpTo(); n != 1 {
 			t.Errorf("ends up to %d are logged, want 1", n)
 		}
--- a/core/tackdispatch/cost_test.go
+++ b/core/tackdispatch/cost_test.go
@@ -25,7 +25,7 @@
 	for n := range workers {
 		c.reports = append(c.reports, &Report{
 			Worker: WorkerID(fmt.Sprintf("i-%d", n)), VM: tackid.VM(fmt.Sprintf("m-%d", n)), Service: "names-api",
-			Labels: []string{"a", fmt.Sprintf("r-%d", n/12)}, Capacity: tackroom.Room{MilliCores: 16_000, MemoryMB: 32_768},
+			Labels: []string{"a", fmt.Sprintf("r-%d", n/12)}, Capacity: tackroom.Resources{MilliCores: 16_000, MemoryMB: 32_768},
 		})
 	}
 	return c
@@ -42,7 +42,7 @@
 // started.
 func (c *crowd) round() (looked float64, started int) {
 	const tick = 25
-	before := c.d.Looked()
+	before := c.d.Examined()
 	for i, r := range c.reports {
 		if i%max(1, len(c.reports)*tick/int(defaultRetryBusy)) == 0 {
 			c.now = c.now.Add(tick)
@@ -55,7 +55,7 @@
 			r.Running = append(r.Running, Running{Item: s.Item, Run: s.Run, Percent: 1})
 		}
 	}
-	return float64(c.d.Looked()-before) / float64(len(c.reports)), started
+	return float64(c.d.Examined()-before) / float64(len(c.reports)), started
 }
 
 // assertFlat fails the test if the value at the large size is over twice that at the
@@ -131,10 +131,10 @@
 			c.submit(n, batch(8, 2, tackclock.Second))
 		}
 		spec := &tackjob.Spec{ID: job(jobs), Queue: testQueue.QueueKey, Steps: []tackjob.Step{batch(8, 2, tackclock.Second)}}
-		before := c.d.Looked()
+		before := c.d.Examined()
 		c.d.Admit(c.now, &testQueue, spec, "")
-		c.d.Pending(testQueue.QueueKey)
-		return float64(c.d.Looked() - before)
+		c.d.UnstartedJobs(testQueue.QueueKey)
+		return float64(c.d.Examined() - before)
 	}
 	assertFlat(t, "examined for a request", looked(100), looked(10_000))
 }
--- a/core/tackdispatch/crash.go
+++ b/core/tackdispatch/crash.go
@@ -26,10 +26,10 @@
 	return f
 }
 
-// ExcuseBy sets the function that tells, until the next Reset, whether an earlier leader
+// SetOrderedBefore sets the function that tells, until the next Reset, whether an earlier leader
 // may have ordered a move or an upkeep of a VM recently. If so, a new life of a worker on
 // it does not mean that the previous one crashed.
-func (d *Dispatcher) ExcuseBy(ordered func(tackclock.Time, tackid.VM) bool) {
+func (d *Dispatcher) SetOrderedBefore(ordered func(tackclock.Time, tackid.VM) bool) {
 	d.orderedBefore = ordered
 }
 
@@ -66,7 +66,7 @@
 		}
 		d.silences.Doubt(now, r.doubt(), w.heardAt)
 	}
-	d.silences.Fell(w.vm, w.heardAt, reason)
+	d.silences.FellSilent(w.vm, w.heardAt, reason)
 }
 
 // mayCauseCrash reports whether a crash of the worker may be the run's fault: the run was
@@ -80,7 +80,7 @@
 	r.doubted = true
 	r.step.addCrashes(r.item.Index, 1)
 	d.findings.Doubts = append(d.findings.Doubts, r.doubt())
-	d.noteRun(now, EventItemDoubted, r, reason)
+	d.noteRun(now, EventItemInDoubt, r, reason)
 }
 
 // addCrashes adjusts the number of workers that crashed under the item, or may have.
@@ -105,8 +105,8 @@
 // left on the worker counts against the run only until it is listed, or passes its trial.
 func (r *run) doubt() tackjob.Doubt {
 	w := r.worker
-	return tackjob.Doubt{Item: r.item, Doubt: tackcrash.Doubt{Life: string(w.id), Crash: tackcrash.Crash{
-		Run: uint64(r.number), VM: w.vm, Early: !r.listed, Alone: (!r.listed || r.mayCauseCrash()) && w.alone(r),
+	return tackjob.Doubt{Item: r.item, Doubt: tackcrash.Doubt{WorkerID: string(w.id), Crash: tackcrash.Crash{
+		Run: uint64(r.number), VM: w.vm, BeforeReport: !r.listed, Alone: (!r.listed || r.mayCauseCrash()) && w.alone(r),
 	}}}
 }
 
@@ -118,7 +118,7 @@
 			return false
 		}
 	}
-	return w.orphanRoom == (tackroom.Room{})
+	return w.orphanRoom == (tackroom.Resources{})
 }
 
 // settled reports whether the run was listed for so long that a crash of the worker says
@@ -132,7 +132,7 @@
 // silent one has crashed.
 func (d *Dispatcher) resolveDoubts(now tackclock.Time, vm tackid.VM, life WorkerID) {
 	excused := func(life string) bool { return d.endedByOrder(now, vm, WorkerID(life)) }
-	dismissed, crashed := d.silences.Heard(vm, string(life), excused)
+	dismissed, crashed := d.silences.Resolve(vm, string(life), excused)
 	for i := range dismissed {
 		d.dismissDoubt(&dismissed[i])
 	}
@@ -146,7 +146,7 @@
 	if s := d.openStepOf(x.Item); s != nil {
 		s.addCrashes(x.Item.Index, -1)
 	}
-	if w := d.workers[WorkerID(x.Life)]; w != nil {
+	if w := d.workers[WorkerID(x.WorkerID)]; w != nil {
 		if r := w.runs[x.Item]; r != nil && uint64(r.number) == x.Run {
 			r.doubted = false
 		}
@@ -170,15 +170,15 @@
 	if c.Alone {
 		reason = "crashed while the item ran alone"
 	}
-	if c.Early {
+	if c.BeforeReport {
 		reason += ", before the item was listed"
 	}
 	d.note(Event{Kind: EventItemSuspected, At: now, VM: c.VM, Item: c.Item, Run: RunNumber(c.Run), Reason: reason})
 }
 
-// Found handles findings that the log now holds. Items under which workers crashed wait
+// FindingsLogged handles findings that the log now holds. Items under which workers crashed wait
 // for their trial, or their jobs are given up.
-func (d *Dispatcher) Found(now tackclock.Time, f *tackjob.Findings) {
+func (d *Dispatcher) FindingsLogged(now tackclock.Time, f *tackjob.Findings) {
 	for _, c := range f.Crashes {
 		o := d.jobs[c.Item.Job]
 		if o == nil {
@@ -207,7 +207,7 @@
 
 // markTrialLogged lets a trial start, now that the log holds it.
 func (d *Dispatcher) markTrialLogged(x *tackjob.Doubt) {
-	w := d.workers[WorkerID(x.Life)]
+	w := d.workers[WorkerID(x.WorkerID)]
 	if w == nil {
 		return
 	}
@@ -238,7 +238,7 @@
 	for _, r := range w.runs {
 		if r.suspected && r.settled() {
 			r.suspected = false
-			d.findings.Forgiven = append(d.findings.Forgiven, r.item)
+			d.findings.Cleared = append(d.findings.Cleared, r.item)
 			d.noteRun(now, EventItemForgiven, r, "")
 		}
 	}
--- a/core/tackdispatch/crash_test.go
+++ b/core/tackdispatch/crash_test.go
@@ -160,7 +160,7 @@
 			w.d.NextUpkeep(w.now, wave)
 		},
 		"ordered by an earlier leader": func(w *world, m *modelWorker) {
-			w.d.ExcuseBy(func(_ tackclock.Time, vm tackid.VM) bool { return vm == m.vm })
+			w.d.SetOrderedBefore(func(_ tackclock.Time, vm tackid.VM) bool { return vm == m.vm })
 		},
 		"said goodbye": func(w *world, m *modelWorker) { w.d.Leave(w.now, m.id) },
 	} {
@@ -247,7 +247,7 @@
 	}
 	w.submit(job(2), batch(1, 2, 800))
 	suspicious := tackjob.Crash{Item: tackjob.Item{Job: job(2)}}
-	suspicious.Crash = tackcrash.Crash{Run: 1, VM: "m-elsewhere", Early: true}
+	suspicious.Crash = tackcrash.Crash{Run: 1, VM: "m-elsewhere", BeforeReport: true}
 	w.apply(tackwork.Change{Findings: &tackjob.Findings{Crashes: []tackjob.Crash{suspicious}}})
 	w.run(8 * tackclock.Second)
 	assertPhase(t, w, job(2), tackjob.Complete)
--- a/core/tackdispatch/demand.go
+++ b/core/tackdispatch/demand.go
@@ -88,7 +88,7 @@
 			list = append(list, tackpool.Demand{Label: s.Requires})
 		}
 		special := &list[i]
-		special.Item = special.Item.Max(s.Takes())
+		special.Item = special.Item.Max(s.Reserved())
 		special.Unplaced += unplaced
 		special.Backlog += s.Work(len(s.waiting))
 		special.Soon = special.Backlog
@@ -155,7 +155,7 @@
 	size, room := 0, 0
 	for _, w := range p.workers {
 		size = max(size, w.capacity.MilliCores)
-		if w.acceptsItems(now) && !w.silent(now) && w.hasLabel(s.Requires) && w.batchRoom().Fits(s.Takes()) {
+		if w.acceptsItems(now) && !w.silent(now) && w.hasLabel(s.Requires) && w.batchRoom().Fits(s.Reserved()) {
 			room += max(0, s.MaxPerWorker-w.steps[s.key()])
 		}
 	}
@@ -171,7 +171,7 @@
 		return d.fitsGang(now, p, s)
 	}
 	for _, w := range p.workers {
-		if !w.draining && !w.leaving && !d.cordon[w.vm] && !w.silent(now) && w.hasLabel(s.Requires) && w.batchRoom().Fits(s.Takes()) {
+		if !w.draining && !w.leaving && !d.cordon[w.vm] && !w.silent(now) && w.hasLabel(s.Requires) && w.batchRoom().Fits(s.Reserved()) {
 			return true
 		}
 	}
--- a/core/tackdispatch/demand_test.go
+++ b/core/tackdispatch/demand_test.go
@@ -68,7 +68,7 @@
 		w := newWorld(t, 2)
 		w.submit(job(1), batch(2, 20, 500))
 		w.run(tackclock.Second)
-		big := tackroom.Room{MilliCores: 20000, MemoryMB: 1000}
+		big := tackroom.Resources{MilliCores: 20000, MemoryMB: 1000}
 		assertDemands(t, demands(w),
 			tackpool.Demand{Backlog: 2 * 20000 * 500, Pressing: 2 * 20000 * 500 / 1700},
 			tackpool.Demand{Item: big, Backlog: 2 * 20000 * 500, Soon: 2 * 20000 * 500, Unplaced: 2 * 20000})
@@ -81,7 +81,7 @@
 		w.run(tackclock.Second)
 		assertDemands(t, demands(w),
 			tackpool.Demand{},
-			tackpool.Demand{Label: "large", Item: tackroom.Room{MilliCores: 1000, MemoryMB: 1000}, Backlog: 2 * 1000 * 500, Soon: 2 * 1000 * 500, Unplaced: 2000})
+			tackpool.Demand{Label: "large", Item: tackroom.Resources{MilliCores: 1000, MemoryMB: 1000}, Backlog: 2 * 1000 * 500, Soon: 2 * 1000 * 500, Unplaced: 2000})
 	})
 	t.Run("room that items which last take counts for nothing", func(t *testing.T) {
 		w := newWorld(t, 1)
@@ -199,7 +199,7 @@
 func TestEmptiedWorkerGetsNothing(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(100)
-	w.d.Empty(w.now, []tackid.VM{"m-0"})
+	w.d.WithholdWork(w.now, []tackid.VM{"m-0"})
 	w.submit(job(1), batch(1, 1, 2000))
 	w.run(emptyFor - 50)
 	assertRuns(t, w, job(1), 0)
@@ -218,7 +218,7 @@
 	w.run(100)
 	idle := tackpool.Pool{Service: "communes"}
 	for _, name := range []tackid.VM{"s-1", "s-2", "s-3", "s-4"} {
-		idle.VMs = append(idle.VMs, tackpool.VM{Name: name, Room: tackroom.Room{MilliCores: 16000}, Idle: tackclock.Second})
+		idle.VMs = append(idle.VMs, tackpool.VM{Name: name, Resources: tackroom.Resources{MilliCores: 16000}, Idle: tackclock.Second})
 	}
 	for n := range 4 {
 		spec := &tackjob.Spec{ID: job(n), Queue: testQueue.QueueKey, Steps: []tackjob.Step{batch(16, 2, 500)}}
@@ -226,7 +226,7 @@
 	}
 	own := tackpool.Pool{Service: "names-api", Demands: w.d.demands(w.now, w.d.pool("names-api"))}
 	for _, m := range w.workers {
-		own.VMs = append(own.VMs, tackpool.VM{Name: m.vm, Room: m.capacity, Fixed: true})
+		own.VMs = append(own.VMs, tackpool.VM{Name: m.vm, Resources: m.capacity, Fixed: true})
 	}
 	if moves := (tackpool.Planner{}).Plan([]tackpool.Pool{idle, own}, 12).Moves; len(moves) != 2 {
 		t.Errorf("moves %v, want two: 64 cores are asked for, 32 are there", moves)
--- a/core/tackdispatch/dispatch_test.go
+++ b/core/tackdispatch/dispatch_test.go
@@ -254,7 +254,7 @@
 		w.run(300)
 		for _, m := range w.workers {
 			for item := range m.runs {
-				w.end(m, item, EndBroken)
+				w.end(m, item, EndGangBroken)
 			}
 		}
 		w.run(4 * tackclock.Second)
@@ -270,11 +270,11 @@
 	w.state.Jobs.Get(job(1)).Advised = true
 	w.run(500)
 	assertRuns(t, w, job(1), 0)
-	request, wanted := w.d.AdviceWanted(w.now)
+	request, wanted := w.d.NextAdviceRequest(w.now)
 	if !wanted || len(request.Workers) != 2 {
 		t.Fatalf("advice wanted %v of %v", wanted, request.Workers)
 	}
-	w.d.Advised(w.now, request, []Ticket{{Worker: "i-2", Text: "leave"}}, 3000, true)
+	w.d.AdviceReceived(w.now, request, []Ticket{{Worker: "i-2", Text: "leave"}}, 3000, true)
 	w.run(250)
 	if n := len(w.workers[0].runs); n != 0 {
 		t.Errorf("%d items run where they may not", n)
@@ -372,7 +372,7 @@
 	w := newWorld(t, 2)
 	w.submit(job(1), batch(1, 1, 500))
 	r := AdviceRequest{Job: job(1), Workers: []WorkerID{"i-1"}}
-	w.d.Advised(w.now, r, []Ticket{{Worker: "i-1", Text: "t"}, {Worker: "i-2", Text: "u"}}, tackclock.Second, true)
+	w.d.AdviceReceived(w.now, r, []Ticket{{Worker: "i-1", Text: "t"}, {Worker: "i-2", Text: "u"}}, tackclock.Second, true)
 	s := w.d.stepOf(stepKey{job: job(1)})
 	if len(s.advice.tickets) != 1 || s.advice.tickets["i-1"] != "t" {
 		t.Errorf("tickets %v, want that of the worker that was asked about", s.advice.tickets)
--- a/core/tackdispatch/dispatcher.go
+++ b/core/tackdispatch/dispatcher.go
@@ -136,7 +136,7 @@
 		// another pool. listed is the room of the standby VMs by the pool in which the
 		// platform lists them.
 		standby map[tackid.VM]Machine
-		listed  map[tackid.Service]tackroom.Room
+		listed  map[tackid.Service]tackroom.Resources
 		// unlisted says that the platform's list has not been read since Reset.
 		unlisted bool
 		moves    map[tackid.VM]*moving
@@ -173,7 +173,7 @@
 		number RunNumber
 		worker *worker
 		step   *openStep
-		takes  tackroom.Room
+		takes  tackroom.Resources
 		// byEarlierLeader says that another leader started the run.
 		byEarlierLeader bool
 		started         tackclock.Time
@@ -238,7 +238,7 @@
 		d.quota.Begin(d.earlierLeasesEnd, log.Workspaces, log.Grants)
 	} else {
 		d.freshTerm = 0
-		d.quota.BeginAgain(d.earlierLeasesEnd, log.Workspaces, log.Grants)
+		d.quota.Restart(d.earlierLeasesEnd, log.Workspaces, log.Grants)
 	}
 	d.table = log.Jobs
 	d.workers = make(map[WorkerID]*worker)
@@ -255,7 +255,7 @@
 	d.scheduled = make(map[tackjob.ID]*openJob)
 	d.cordon = make(map[tackid.VM]bool)
 	d.upkeeps = make(map[tackid.VM]*upkeepState)
-	d.standby, d.listed = make(map[tackid.VM]Machine), make(map[tackid.Service]tackroom.Room)
+	d.standby, d.listed = make(map[tackid.VM]Machine), make(map[tackid.Service]tackroom.Resources)
 	d.unlisted = d.cfg.Listed
 	d.moves = make(map[tackid.VM]*moving)
 	d.findings, d.orderedBefore = tackjob.Findings{}, nil
@@ -282,27 +282,27 @@
 // Grants returns the grants of running capacity to workspaces that are to be written to
 // the log, since the last call.
 func (d *Dispatcher) Grants(now tackclock.Time) []tackquota.Grant {
-	return d.quota.Wanted(now)
+	return d.quota.TakeRequested(now)
 }
 
-// Granted records that the log holds grants.
-func (d *Dispatcher) Granted(list []tackquota.Grant) {
-	d.quota.Granted(list)
+// GrantsLogged records that the log holds grants.
+func (d *Dispatcher) GrantsLogged(list []tackquota.Grant) {
+	d.quota.Committed(list)
 }
 
-// Looked returns the number of steps, workers and jobs that decisions have iterated over
+// Examined returns the number of steps, workers and jobs that decisions have iterated over
 // since the start. It measures the cost of a heartbeat or a request independently of the
 // machine.
-func (d *Dispatcher) Looked() uint64 {
+func (d *Dispatcher) Examined() uint64 {
 	looked := d.examined
 	for _, p := range d.pools {
-		looked += p.steps.Looked
+		looked += p.steps.Examined
 	}
 	return looked
 }
 
-// Owes reports whether the service has an open job.
-func (d *Dispatcher) Owes(service tackid.Service) bool {
+// HasOpenJobs reports whether the service has an open job.
+func (d *Dispatcher) HasOpenJobs(service tackid.Service) bool {
 	for _, o := range d.jobs {
 		if o.Service == service {
 			return true
@@ -311,9 +311,9 @@
 	return false
 }
 
-// Sure reports whether all leases of earlier leaders have ended, so that nothing can run
+// EarlierLeasesEnded reports whether all leases of earlier leaders have ended, so that nothing can run
 // that no worker has listed.
-func (d *Dispatcher) Sure(now tackclock.Time) bool {
+func (d *Dispatcher) EarlierLeasesEnded(now tackclock.Time) bool {
 	return now >= d.earlierLeasesEnd
 }
 
@@ -354,17 +354,17 @@
 		return
 	}
 	d.measureAt = now.Add(measureEvery)
-	var all tackroom.Room
+	var all tackroom.Resources
 	for _, p := range d.pools {
 		all = all.Plus(p.totals.capacity)
 	}
-	d.quota.SetRoom(all)
+	d.quota.SetCapacity(all)
 }
 
 // removeRun removes a run from its worker.
 func (d *Dispatcher) removeRun(now tackclock.Time, r *run) {
 	w := r.worker
-	r.step.job.account.End(r.step.Room, r.byEarlierLeader)
+	r.step.job.account.End(r.step.Resources, r.byEarlierLeader)
 	delete(w.runs, r.item)
 	w.idleSince = now
 	w.used = w.used.Minus(r.takes)
--- a/core/tackdispatch/event.go
+++ b/core/tackdispatch/event.go
@@ -21,9 +21,9 @@
 	EventEnded
 	// EventAdopted is the takeover of a run that an earlier leader started.
 	EventAdopted
-	// EventStrange is the order to stop a run whose item is no longer needed, or runs
+	// EventOrphaned is the order to stop a run whose item is no longer needed, or runs
 	// elsewhere.
-	EventStrange
+	EventOrphaned
 	// EventNotStarted is an order to start that did not arrive.
 	EventNotStarted
 	// EventUpkeep is the decision to take a VM down.
@@ -39,17 +39,17 @@
 	EventCopied
 	// EventRunLost is a run that ended with its worker.
 	EventRunLost
-	// EventItemDoubted says that a worker fell silent, and may have crashed under an
+	// EventItemInDoubt says that a worker fell silent, and may have crashed under an
 	// item.
-	EventItemDoubted
+	EventItemInDoubt
 	// EventItemSuspected says that a worker crashed under an item.
 	EventItemSuspected
 	// EventItemGivenUp says that an item is not started any more and its job has failed.
 	EventItemGivenUp
 	// EventItemForgiven says that a suspected item has run for long enough to be cleared.
 	EventItemForgiven
-	// EventHeld says that items wait because their workspace has reached its cap.
-	EventHeld
+	// EventItemsHeld says that items wait because their workspace has reached its cap.
+	EventItemsHeld
 )
 
 const (
@@ -123,7 +123,7 @@
 	}
 	s.heldNoteAt = now.Add(heldEvery)
 	d.note(Event{
-		Kind: EventHeld, At: now, Item: s.item(s.waiting[len(s.waiting)-1].index), Age: now.Sub(s.waiting[len(s.waiting)-1].since),
+		Kind: EventItemsHeld, At: now, Item: s.item(s.waiting[len(s.waiting)-1].index), Age: now.Sub(s.waiting[len(s.waiting)-1].since),
 		Reason: s.job.account.String(),
 	})
 }
--- a/core/tackdispatch/foreign.go
+++ b/core/tackdispatch/foreign.go
@@ -44,7 +44,7 @@
 // checkStartTime returns a *ForeignError if the id lacks the start time of the life while
 // the known worker of that name always sends one.
 func (d *Dispatcher) checkStartTime(id WorkerID) error {
-	if w := d.workersByName[id.Name()]; w != nil && id.Born() == 0 && w.id.Born() != 0 {
+	if w := d.workersByName[id.Name()]; w != nil && id.StartedAt() == 0 && w.id.StartedAt() != 0 {
 		return &ForeignError{Worker: id, Problem: "id lacks the start time of the process"}
 	}
 	return nil
--- a/core/tackdispatch/free.go
+++ b/core/tackdispatch/free.go
@@ -10,7 +10,7 @@
 	// freeIndex indexes workers by their free cores, so that those without room need not
 	// be examined. Its zero value is empty.
 	freeIndex struct {
-		bySize [tackqueue.Sizes][]*worker
+		bySize [tackqueue.SizeClasses][]*worker
 	}
 
 	// freePosition is the position of a worker in the index.
@@ -23,7 +23,7 @@
 
 // update moves the worker to the list for its present free cores.
 func (x *freeIndex) update(w *worker) {
-	size := tackqueue.Size(max(w.room().MilliCores, 0))
+	size := tackqueue.SizeClass(max(w.room().MilliCores, 0))
 	if w.freePosition.indexed && w.freePosition.size == size {
 		return
 	}
@@ -49,7 +49,7 @@
 // room first.
 func (x *freeIndex) atLeast(milliCores int) iter.Seq[*worker] {
 	return func(yield func(*worker) bool) {
-		for _, list := range x.bySize[tackqueue.Size(milliCores):] {
+		for _, list := range x.bySize[tackqueue.SizeClass(milliCores):] {
 			for _, w := range list {
 				if !yield(w) {
 					return
--- a/core/tackdispatch/gang.go
+++ b/core/tackdispatch/gang.go
@@ -107,7 +107,7 @@
 }
 
 func (d *Dispatcher) gangWaits(now tackclock.Time, s *openStep) bool {
-	if len(s.waiting) == 0 || s.running > 0 || s.ending > 0 || !s.job.fresh && !d.Sure(now) {
+	if len(s.waiting) == 0 || s.running > 0 || s.ending > 0 || !s.job.fresh && !d.EarlierLeasesEnded(now) {
 		return false
 	}
 	return !slices.ContainsFunc(s.waiting, func(i waitingItem) bool { return !s.startable(now, i.index) })
@@ -130,7 +130,7 @@
 	if d.needsIdleWorkers(now, s) {
 		room = (*worker).roomIfIdle
 	}
-	if hosts := d.hostsFor(now, p, s, p.free.atLeast(s.Takes().MilliCores), room); hosts != nil {
+	if hosts := d.hostsFor(now, p, s, p.free.atLeast(s.Reserved().MilliCores), room); hosts != nil {
 		d.planGang(now, s, hosts)
 		return
 	}
@@ -140,7 +140,7 @@
 // hostsFor returns one of the given workers for each waiting item of the gang, or nil if
 // their room by the given measure is not enough. It prefers workers of one rack.
 func (d *Dispatcher) hostsFor(
-	now tackclock.Time, p *pool, s *openStep, workers iter.Seq[*worker], room func(*worker) tackroom.Room,
+	now tackclock.Time, p *pool, s *openStep, workers iter.Seq[*worker], room func(*worker) tackroom.Resources,
 ) []*worker {
 	racks := make(map[string][]*worker)
 	var all []*worker
@@ -171,9 +171,9 @@
 }
 
 // roomIfIdle returns the worker's room if it runs nothing, and negative room otherwise.
-func (w *worker) roomIfIdle() tackroom.Room {
+func (w *worker) roomIfIdle() tackroom.Resources {
 	if !w.idle() {
-		return tackroom.Room{MilliCores: -1, MemoryMB: -1, GPUs: -1}
+		return tackroom.Resources{MilliCores: -1, MemoryMB: -1, GPUs: -1}
 	}
 	return w.room()
 }
@@ -197,9 +197,9 @@
 
 // fillHosts assigns the waiting items to workers, filling one after the other, and
 // returns nil if not all of them fit.
-func fillHosts(s *openStep, workers []*worker, roomOf func(*worker) tackroom.Room) []*worker {
+func fillHosts(s *openStep, workers []*worker, roomOf func(*worker) tackroom.Resources) []*worker {
 	var hosts []*worker
-	takes := s.Takes()
+	takes := s.Reserved()
 	for _, w := range workers {
 		room := roomOf(w)
 		here := w.steps[s.key()]
@@ -222,7 +222,7 @@
 	checkpoint := s.waiting[0].checkpoint
 	for i, item := range s.waiting {
 		r := &run{
-			item: s.item(item.index), number: number, worker: hosts[i], step: s, takes: s.Takes(),
+			item: s.item(item.index), number: number, worker: hosts[i], step: s, takes: s.Reserved(),
 			started: now, progressAt: now, sentIn: notSent, checkpoint: checkpoint, pace: fullPace,
 		}
 		d.addRun(now, r)
@@ -246,7 +246,7 @@
 		// A worker's room may have shrunk since the start was planned, and a worker that
 		// does not enforce its limits would run what does not fit. A workspace's cap may
 		// have shrunk as well.
-		if now > p.until || r.stopping || !w.room().Fits(tackroom.Room{}) || !r.step.job.account.Keeps(now, r.step.Room) {
+		if now > p.until || r.stopping || !w.room().Fits(tackroom.Resources{}) || !r.step.job.account.WithinCap(now, r.step.Resources) {
 			d.removeRun(now, r)
 			d.requeue(now, r)
 			d.withdrawDoubt(r)
--- a/core/tackdispatch/heartbeat.go
+++ b/core/tackdispatch/heartbeat.go
@@ -143,11 +143,11 @@
 
 // processEnd removes the run and returns its end with true if the log must hold it.
 func (d *Dispatcher) processEnd(now tackclock.Time, w *worker, e *Ended) (tackjob.End, bool) {
-	d.note(Event{Kind: EventEnded, At: now, Worker: w.id, VM: w.vm, Item: e.Item, Run: e.Run, Reason: e.How.String()})
+	d.note(Event{Kind: EventEnded, At: now, Worker: w.id, VM: w.vm, Item: e.Item, Run: e.Run, Reason: e.Kind.String()})
 	d.recordOutcome(now, w, e)
 	r := w.runs[e.Item]
 	if r != nil && r.number == e.Run {
-		if e.How == EndDone {
+		if e.Kind == EndDone {
 			r.step.recordSample(now, r)
 		}
 		d.withdrawDoubt(r)
@@ -160,7 +160,7 @@
 	if o == nil || !o.Has(e.Item) || o.Done(e.Item) {
 		return tackjob.End{}, false
 	}
-	counts := e.How == EndDone || e.How == EndFailed
+	counts := e.Kind == EndDone || e.Kind == EndFailed
 	if !counts || o.Steps[e.Item.Step].LongRunning {
 		if r != nil {
 			d.requeue(now, r)
@@ -169,7 +169,7 @@
 	}
 	// A failure of a run that was given up earlier does not count once another run of the
 	// item is under way, unless the step allows copies.
-	if e.How == EndFailed && r == nil && d.running[e.Item] != nil && !o.Steps[e.Item.Step].Speculative {
+	if e.Kind == EndFailed && r == nil && d.running[e.Item] != nil && !o.Steps[e.Item.Step].Speculative {
 		return tackjob.End{}, false
 	}
 	s := o.steps[stepKey{job: o.ID, occurrence: e.Item.Occurrence, step: e.Item.Step}]
@@ -179,12 +179,12 @@
 	s.dropWaiting(e.Item.Index)
 	s.ending++
 	d.markStarted(o)
-	return tackjob.End{Item: e.Item, Failed: e.How == EndFailed, Gang: s.Gang, Run: uint64(e.Run)}, true
+	return tackjob.End{Item: e.Item, Failed: e.Kind == EndFailed, Gang: s.Gang, Run: uint64(e.Run)}, true
 }
 
-// EndsNoted records that the log holds these ends of a worker. Two ends of one item may
+// EndsLogged records that the log holds these ends of a worker. Two ends of one item may
 // be pending, of a copy that failed and of a later run; the log may hold only the first.
-func (d *Dispatcher) EndsNoted(id WorkerID, noted []tackjob.End) {
+func (d *Dispatcher) EndsLogged(id WorkerID, noted []tackjob.End) {
 	w := d.workers[id]
 	if w == nil {
 		return
@@ -256,13 +256,13 @@
 	}
 	if s == nil || !o.Has(row.Item) || o.Done(row.Item) || d.running[row.Item] != nil || w.runs[row.Item] != nil {
 		w.stops = append(w.stops, Stop{Item: row.Item, Run: row.Run})
-		d.note(Event{Kind: EventStrange, At: now, Worker: w.id, VM: w.vm, Item: row.Item, Run: row.Run})
+		d.note(Event{Kind: EventOrphaned, At: now, Worker: w.id, VM: w.vm, Item: row.Item, Run: row.Run})
 		d.addOrphan(w, row)
 		return nil
 	}
 	s.dropWaiting(row.Item.Index)
 	r := &run{
-		item: row.Item, number: row.Run, worker: w, step: s, takes: s.Takes(), started: now, pace: fullPace,
+		item: row.Item, number: row.Run, worker: w, step: s, takes: s.Reserved(), started: now, pace: fullPace,
 		byEarlierLeader: d.fromEarlierLeader(row.Run),
 	}
 	r.listed, r.listedAt, r.startPercent, r.percent = true, now, row.Percent, row.Percent
@@ -288,7 +288,7 @@
 	if j == nil || !j.Has(row.Item) || j.Workspace == "" {
 		return
 	}
-	x := orphanRun{account: d.quota.Account(j.Workspace), room: j.Steps[row.Item.Step].Room, byEarlierLeader: d.fromEarlierLeader(row.Run)}
+	x := orphanRun{account: d.quota.Account(j.Workspace), room: j.Steps[row.Item.Step].Resources, byEarlierLeader: d.fromEarlierLeader(row.Run)}
 	x.account.Start(x.room, x.byEarlierLeader)
 	w.orphans = append(w.orphans, x)
 }
@@ -298,16 +298,16 @@
 	for _, x := range w.orphans {
 		x.account.End(x.room, x.byEarlierLeader)
 	}
-	w.orphanRoom, w.orphans = tackroom.Room{}, nil
+	w.orphanRoom, w.orphans = tackroom.Resources{}, nil
 }
 
 // roomTakenBy returns the room that a run takes whose item is no longer needed. Closed
 // jobs are known for some minutes. For an unknown one the worker counts as full: with
 // less, it would be overcommitted.
-func (d *Dispatcher) roomTakenBy(w *worker, item tackjob.Item) tackroom.Room {
+func (d *Dispatcher) roomTakenBy(w *worker, item tackjob.Item) tackroom.Resources {
 	if d.table != nil {
 		if j := d.table.Get(item.Job); j != nil && j.Has(item) {
-			return j.Steps[item.Step].Takes()
+			return j.Steps[item.Step].Reserved()
 		}
 	}
 	return w.capacity
@@ -316,7 +316,7 @@
 // addRun adds a run to its worker.
 func (d *Dispatcher) addRun(now tackclock.Time, r *run) {
 	w := r.worker
-	r.step.job.account.Start(r.step.Room, r.byEarlierLeader)
+	r.step.job.account.Start(r.step.Resources, r.byEarlierLeader)
 	w.runs[r.item] = r
 	w.used = w.used.Plus(r.takes)
 	if r.step.LongRunning {
--- a/core/tackdispatch/life.go
+++ b/core/tackdispatch/life.go
@@ -51,9 +51,9 @@
 	return name
 }
 
-// Born returns when the life began by the worker's own clock, or zero if the worker does
+// StartedAt returns when the life began by the worker's own clock, or zero if the worker does
 // not report it.
-func (id WorkerID) Born() tackclock.Time {
+func (id WorkerID) StartedAt() tackclock.Time {
 	_, text, _ := strings.Cut(string(id), startSeparator)
 	born, _ := strconv.ParseInt(text, 10, 64) // empty if the worker does not report it
 	return tackclock.Time(born)
@@ -90,9 +90,9 @@
 		return !d.laterLifeLapsed(r.Worker) || d.keepsReporting(now, r, nil)
 	}
 	switch name := other.id.Name(); {
-	case name == r.Worker.Name() && r.Worker.Born() < other.id.Born():
+	case name == r.Worker.Name() && r.Worker.StartedAt() < other.id.StartedAt():
 		return d.keepsReporting(now, r, other)
-	case name == r.Worker.Name() && other.id.Born() == 0:
+	case name == r.Worker.Name() && other.id.StartedAt() == 0:
 		return true // the other worker did not report when it began
 	}
 	return r.Sequence <= maxFirstSequence || other.silent(now)
@@ -102,7 +102,7 @@
 // recently.
 func (d *Dispatcher) laterLifeLapsed(id WorkerID) bool {
 	for l := range d.lapsed {
-		if l.Name() == id.Name() && id.Born() < l.Born() {
+		if l.Name() == id.Name() && id.StartedAt() < l.StartedAt() {
 			return true
 		}
 	}
--- a/core/tackdispatch/life_test.go
+++ b/core/tackdispatch/life_test.go
@@ -40,8 +40,8 @@
 		{"", 5, "@5"},
 	} {
 		id, ok := NewWorkerID(test.name, test.born)
-		if !ok || id != test.want || id.Name() != test.name || id.Born() != test.born {
-			t.Errorf("%q born %d is %q, of %q born %d", test.name, test.born, id, id.Name(), id.Born())
+		if !ok || id != test.want || id.Name() != test.name || id.StartedAt() != test.born {
+			t.Errorf("%q born %d is %q, of %q born %d", test.name, test.born, id, id.Name(), id.StartedAt())
 		}
 	}
 	if id, ok := NewWorkerID("i-1@7", 0); ok {
--- a/core/tackdispatch/limit_test.go
+++ b/core/tackdispatch/limit_test.go
@@ -21,19 +21,19 @@
 	w.submit(job(1), gang)
 	w.heartbeat(w.workers[0], false) // plans both members, and sends none
 	for _, m := range w.workers {
-		m.resize(tackroom.Room{MilliCores: 8000, MemoryMB: 32768})
+		m.resize(tackroom.Resources{MilliCores: 8000, MemoryMB: 32768})
 	}
 	w.run(2 * tackclock.Second) // the world fails the test where a start does not fit
 	assertRuns(t, w, job(1), 0)
 	for _, m := range w.workers {
-		m.resize(tackroom.Room{MilliCores: 16000, MemoryMB: 32768})
+		m.resize(tackroom.Resources{MilliCores: 16000, MemoryMB: 32768})
 	}
 	w.run(3 * tackclock.Second)
 	assertPhase(t, w, job(1), tackjob.Complete)
 }
 
 func TestRoomThatShrinks(t *testing.T) {
-	small := tackroom.Room{MilliCores: 4000, MemoryMB: 32768}
+	small := tackroom.Resources{MilliCores: 4000, MemoryMB: 32768}
 	t.Run("nothing starts beyond it, and what runs goes on", func(t *testing.T) {
 		w := newWorld(t, 1)
 		w.submit(job(1), batch(8, 2, 2*tackclock.Second))
@@ -58,11 +58,11 @@
 	t.Run("to nothing, and back", func(t *testing.T) {
 		w := newWorld(t, 1)
 		w.run(100)
-		w.workers[0].resize(tackroom.Room{})
+		w.workers[0].resize(tackroom.Resources{})
 		w.submit(job(1), batch(4, 2, 500))
 		w.run(2 * tackclock.Second)
 		assertRuns(t, w, job(1), 0)
-		w.workers[0].resize(tackroom.Room{MilliCores: 16000, MemoryMB: 32768})
+		w.workers[0].resize(tackroom.Resources{MilliCores: 16000, MemoryMB: 32768})
 		w.run(2 * tackclock.Second)
 		assertPhase(t, w, job(1), tackjob.Complete)
 	})
--- a/core/tackdispatch/loss.go
+++ b/core/tackdispatch/loss.go
@@ -64,7 +64,7 @@
 // when the life began may be a delayed one of a former life; it is accepted for a life
 // that drains and ignored otherwise.
 func (d *Dispatcher) Leave(now tackclock.Time, id WorkerID) {
-	if w := d.workersByName[id.Name()]; w != nil && id.Born() == 0 && w.id != id {
+	if w := d.workersByName[id.Name()]; w != nil && id.StartedAt() == 0 && w.id != id {
 		if !w.draining {
 			return
 		}
--- a/core/tackdispatch/message.go
+++ b/core/tackdispatch/message.go
@@ -9,17 +9,17 @@
 
 const (
 	// EndDone is the end of an item that completed.
-	EndDone How = iota
+	EndDone EndKind = iota
 	// EndFailed is a failure, which counts as an attempt.
 	EndFailed
 	// EndStopped is the end of a run that was ordered to stop.
 	EndStopped
 	// EndLapsed means that the worker's lease ran out.
 	EndLapsed
-	// EndBroken means that another item of the gang ended.
-	EndBroken
-	// EndAlone means that the other members of the gang did not start in time.
-	EndAlone
+	// EndGangBroken means that another item of the gang ended.
+	EndGangBroken
+	// EndGangTimeout means that the other members of the gang did not start in time.
+	EndGangTimeout
 	// EndRefused means that the worker did not start the item.
 	EndRefused
 )
@@ -29,8 +29,8 @@
 	// bits are the leader's term.
 	RunNumber uint64
 
-	// How says how a run ended.
-	How uint8
+	// EndKind says how a run ended.
+	EndKind uint8
 
 	// Report is a worker's heartbeat. Control VMs forward it to each other in CBOR.
 	Report struct {
@@ -39,11 +39,11 @@
 		// Fixed says that the platform gives the worker's VM no name, so it can be
 		// neither moved nor taken down. VM is the worker's address then: another life
 		// that reports from there shows that the previous one is over.
-		Fixed    bool              `cbor:"3,keyasint,omitempty"`
-		Service  tackid.Service    `cbor:"4,keyasint,omitempty"`
-		Zone     tackid.DataCentre `cbor:"5,keyasint,omitempty"`
-		Labels   []string          `cbor:"6,keyasint,omitempty"`
-		Capacity tackroom.Room     `cbor:"7,keyasint,omitempty"`
+		Fixed    bool               `cbor:"3,keyasint,omitempty"`
+		Service  tackid.Service     `cbor:"4,keyasint,omitempty"`
+		Zone     tackid.DataCentre  `cbor:"5,keyasint,omitempty"`
+		Labels   []string           `cbor:"6,keyasint,omitempty"`
+		Capacity tackroom.Resources `cbor:"7,keyasint,omitempty"`
 		// Sequence increases with every heartbeat of one life.
 		Sequence uint64 `cbor:"8,keyasint,omitempty"`
 		Draining bool   `cbor:"9,keyasint,omitempty"`
@@ -71,7 +71,7 @@
 		Number     uint64       `cbor:"1,keyasint,omitempty"`
 		Item       tackjob.Item `cbor:"2,keyasint,omitempty"`
 		Run        RunNumber    `cbor:"3,keyasint,omitempty"`
-		How        How          `cbor:"4,keyasint,omitempty"`
+		Kind       EndKind      `cbor:"4,keyasint,omitempty"`
 		Checkpoint string       `cbor:"5,keyasint,omitempty"`
 	}
 
@@ -116,18 +116,18 @@
 var endKindNames = [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone", "refused"}
 
 // String returns the name of the kind of end.
-func (h How) String() string {
+func (h EndKind) String() string {
 	if int(h) < len(endKindNames) {
 		return endKindNames[h]
 	}
 	return "unknown"
 }
 
-// ParseHow returns the kind of end with that name, or false if there is none.
-func ParseHow(text string) (How, bool) {
+// ParseEndKind returns the kind of end with that name, or false if there is none.
+func ParseEndKind(text string) (EndKind, bool) {
 	for h, name := range endKindNames {
 		if name == text {
-			return How(h), true
+			return EndKind(h), true
 		}
 	}
 	return 0, false
--- a/core/tackdispatch/open.go
+++ b/core/tackdispatch/open.go
@@ -73,7 +73,7 @@
 
 // QueueKey implements tackqueue.Entry.
 func (s *openStep) QueueKey() tackqueue.Key {
-	return tackqueue.Key{Rank: s.rank, MilliCores: s.Takes().MilliCores, Shelf: s.partition}
+	return tackqueue.Key{Rank: s.rank, MilliCores: s.Reserved().MilliCores, Partition: s.partition}
 }
 
 func (s *openStep) key() stepKey {
@@ -111,7 +111,7 @@
 		return
 	}
 	o := &openJob{Job: j, account: d.quota.Account(j.Workspace), fresh: fresh, steps: make(map[stepKey]*openStep)}
-	chain := j.Chain()
+	chain := j.CriticalPath()
 	o.deadline = j.Accepted.Add(tackclock.Duration(j.Stretch*float64(chain)) + j.Objective)
 	o.started = len(j.Progress) > 0
 	if !o.started {
@@ -150,7 +150,7 @@
 			}
 		}
 		o.steps[key] = s
-		o.account.Expect(now, s.Room.Times(len(s.waiting)))
+		o.account.RequestAhead(now, s.Resources.Times(len(s.waiting)))
 		d.enqueue(now, d.pool(o.Service), s)
 	}
 }
@@ -158,10 +158,10 @@
 func (s *openStep) newRank() tackqueue.Rank {
 	r := tackqueue.Rank{Class: tackqueue.Batch, Priority: s.job.Priority, Deadline: s.job.deadline, Job: s.job.ID}
 	switch {
-	case s.Fills:
-		r.Class = tackqueue.Fills
+	case s.BestEffort:
+		r.Class = tackqueue.BestEffort
 	case s.LongRunning:
-		r.Class = tackqueue.Serves
+		r.Class = tackqueue.LongRunning
 	}
 	return r
 }
@@ -200,9 +200,9 @@
 	}
 }
 
-// Taken handles an end that the log now holds. Steps that waited for it are opened, and
+// EndLogged handles an end that the log now holds. Steps that waited for it are opened, and
 // an item that failed waits for its next attempt.
-func (d *Dispatcher) Taken(now tackclock.Time, e tackjob.End) {
+func (d *Dispatcher) EndLogged(now tackclock.Time, e tackjob.End) {
 	o := d.jobs[e.Item.Job]
 	if o == nil {
 		return
@@ -247,7 +247,7 @@
 	return o != nil && o.started
 }
 
-// Pending returns the number of open jobs of a queue of which nothing has started.
-func (d *Dispatcher) Pending(queue tackcatalog.QueueKey) int {
+// UnstartedJobs returns the number of open jobs of a queue of which nothing has started.
+func (d *Dispatcher) UnstartedJobs(queue tackcatalog.QueueKey) int {
 	return d.unstarted[queue]
 }
--- a/core/tackdispatch/overlap_test.go
+++ b/core/tackdispatch/overlap_test.go
@@ -87,7 +87,7 @@
 	if x.tries > 1 {
 		o.refusedAgain++
 	}
-	x.at = o.w.now.Add(a.ComeBack)
+	x.at = o.w.now.Add(a.RetryAfter)
 	o.refused = append(o.refused, x)
 }
 
@@ -117,10 +117,10 @@
 
 // busy returns the part of the pool's cores that are in use, in percent.
 func (o *overlap) busy() int {
-	var used tackroom.Room
+	var used tackroom.Resources
 	for _, m := range o.w.workers {
 		for _, r := range m.runs {
-			used = used.Plus(r.step.Room)
+			used = used.Plus(r.step.Resources)
 		}
 	}
 	return used.MilliCores * 100 / (o.pool * 16_000)
@@ -188,7 +188,7 @@
 	t.Helper()
 	late := 0
 	for _, x := range o.jobs {
-		switch allowed := testQueue.Stretch*float64(x.spec.Chain()) + float64(testQueue.Objective); {
+		switch allowed := testQueue.Stretch*float64(x.spec.CriticalPath()) + float64(testQueue.Objective); {
 		case x.acceptedAt == 0:
 			t.Errorf("%s is refused %d times, the last time after the load", x.spec.ID, x.tries)
 		case x.doneAt == 0:
--- a/core/tackdispatch/pace.go
+++ b/core/tackdispatch/pace.go
@@ -27,7 +27,7 @@
 	}
 	var out []Pace
 	for _, r := range w.runs {
-		if !r.step.Fills || !r.listed {
+		if !r.step.BestEffort || !r.listed {
 			continue
 		}
 		pace := nextPace(r.pace, worst)
--- a/core/tackdispatch/pool.go
+++ b/core/tackdispatch/pool.go
@@ -44,8 +44,8 @@
 		steps    tackqueue.Queue[*openStep]
 		reviewAt tackclock.Time
 		summary  waitingSummary
-		// clear holds workers reserved for items that must start on an idle worker.
-		clear trialReservation
+		// trialReserved holds workers reserved for items that must start on an idle worker.
+		trialReserved trialReservation
 		// arrivals are the recently submitted jobs.
 		arrivals []arrival
 		// retryTimes are the times at which refused callers were told to retry.
@@ -68,18 +68,18 @@
 		// simple says that any worker could start any of the steps; room is what they
 		// take together, and since is when the first of them began to wait.
 		simple bool
-		room   tackroom.Room
+		room   tackroom.Resources
 		since  tackclock.Time
 	}
 
 	// totals are totals over workers.
 	totals struct {
 		// capacity is that of the workers that do not drain.
-		capacity tackroom.Room
+		capacity tackroom.Resources
 		// roomyWorkers is the number of workers with room for more than a small item.
 		roomyWorkers int
 		// busyRoom is the room on workers that are already running something.
-		busyRoom tackroom.Room
+		busyRoom tackroom.Resources
 	}
 )
 
@@ -179,7 +179,7 @@
 	if s.late(now) {
 		shelf |= partitionLate
 	}
-	if !s.job.fresh && !d.Sure(now) {
+	if !s.job.fresh && !d.EarlierLeasesEnded(now) {
 		shelf |= partitionInherited
 		if s.Speculative {
 			shelf |= partitionCopied
@@ -219,12 +219,12 @@
 // add includes a step.
 func (x *waitingSummary) add(now tackclock.Time, s *openStep) {
 	x.trials = x.trials || len(s.restraints) > 0
-	x.maxOver = max(x.maxOver, s.job.account.Over())
+	x.maxOver = max(x.maxOver, s.job.account.SharesOver())
 	if s.LongRunning || s.MaxPerWorker > 0 || s.Requires != "" || s.Gang || s.job.Advised || s.Affinity != "" {
 		x.simple = false
 		return
 	}
-	x.room = x.room.Plus(s.Room.Times(len(s.waiting)))
+	x.room = x.room.Plus(s.Resources.Times(len(s.waiting)))
 	x.since = min(x.since, s.waiting[0].since)
 }
 
--- a/core/tackdispatch/pools.go
+++ b/core/tackdispatch/pools.go
@@ -29,7 +29,7 @@
 	Machine struct {
 		VM       tackid.VM
 		Service  tackid.Service
-		Capacity tackroom.Room
+		Capacity tackroom.Resources
 		// Labels are its kind and its rack.
 		Labels []string
 		// Up says that the VM is neither moving nor down.
@@ -39,7 +39,7 @@
 	// moving is a VM on its way to another pool.
 	moving struct {
 		to     tackid.Service
-		room   tackroom.Room
+		room   tackroom.Resources
 		labels []string
 		since  tackclock.Time
 		life   WorkerID // the life that the move ends
@@ -52,7 +52,7 @@
 // heartbeats, so they are known only from this list.
 func (d *Dispatcher) Inventory(machines []Machine) {
 	d.unlisted = false
-	d.standby, d.listed = make(map[tackid.VM]Machine), make(map[tackid.Service]tackroom.Room)
+	d.standby, d.listed = make(map[tackid.VM]Machine), make(map[tackid.Service]tackroom.Resources)
 	for _, m := range machines {
 		if d.workersByVM[m.VM] == nil && m.Up {
 			d.addStandby(m)
@@ -81,11 +81,11 @@
 // to the next one within the first moments, all jobs submitted then would seem to end too
 // late.
 func (d *Dispatcher) poolCores(now tackclock.Time, service tackid.Service) int {
-	if d.unlisted && !d.Sure(now) {
+	if d.unlisted && !d.EarlierLeasesEnded(now) {
 		return 0
 	}
 	cores := d.pool(service).totals.capacity.MilliCores
-	if !d.Sure(now) {
+	if !d.EarlierLeasesEnded(now) {
 		cores += d.listed[service].MilliCores
 	}
 	return cores
@@ -106,7 +106,7 @@
 		coming := 0
 		for vm, m := range d.moves {
 			if m.to == s.Name {
-				p.Coming = append(p.Coming, tackpool.VM{Name: vm, Room: m.room, Labels: m.labels})
+				p.Incoming = append(p.Incoming, tackpool.VM{Name: vm, Resources: m.room, Labels: m.labels})
 				coming += m.room.MilliCores
 			}
 		}
@@ -147,7 +147,7 @@
 	vms := make([]tackpool.VM, 0, len(d.standby))
 	for vm, m := range d.standby {
 		if m.Service == service && d.moves[vm] == nil && d.workersByVM[vm] == nil {
-			vms = append(vms, tackpool.VM{Name: vm, Room: m.Capacity, Labels: m.Labels, Fixed: d.inUpkeep(vm) || !free(vm)})
+			vms = append(vms, tackpool.VM{Name: vm, Resources: m.Capacity, Labels: m.Labels, Fixed: d.inUpkeep(vm) || !free(vm)})
 		}
 	}
 	return vms
@@ -163,8 +163,8 @@
 		if w.draining || w.silent(now) {
 			continue
 		}
-		vm := tackpool.VM{Name: w.vm, Room: w.batchRoom(), Labels: w.labels}
-		if len(w.runs) == 0 && w.orphanRoom == (tackroom.Room{}) {
+		vm := tackpool.VM{Name: w.vm, Resources: w.batchRoom(), Labels: w.labels}
+		if len(w.runs) == 0 && w.orphanRoom == (tackroom.Resources{}) {
 			vm.Idle = max(1, now.Sub(w.idleSince))
 		}
 		vm.Busy, vm.Emptying = w.busyFor(now), now < w.emptiedUntil
@@ -179,7 +179,7 @@
 func (w *worker) busyFor(now tackclock.Time) tackclock.Duration {
 	var longest tackclock.Duration
 	for _, r := range w.runs {
-		if r.step.LongRunning || r.step.Gang || r.step.Fills {
+		if r.step.LongRunning || r.step.Gang || r.step.BestEffort {
 			return 0
 		}
 		longest = max(longest, r.remaining(now))
@@ -199,8 +199,8 @@
 	return max(1, ran*tackclock.Duration(100-r.percent)/tackclock.Duration(done)-now.Sub(r.progressAt))
 }
 
-// Empty withholds new work from VMs for a while, so that they can soon be moved.
-func (d *Dispatcher) Empty(now tackclock.Time, vms []tackid.VM) {
+// WithholdWork withholds new work from VMs for a while, so that they can soon be moved.
+func (d *Dispatcher) WithholdWork(now tackclock.Time, vms []tackid.VM) {
 	for _, vm := range vms {
 		w := d.workersByVM[vm]
 		if w == nil {
--- a/core/tackdispatch/pools_test.go
+++ b/core/tackdispatch/pools_test.go
@@ -9,14 +9,14 @@
 )
 
 var withStandby = tackcatalog.Catalog{
-	Version: 1, Services: []tackcatalog.Service{{Name: "names-api", Guards: true}, {Name: "backoffice", Standby: true}},
+	Version: 1, Services: []tackcatalog.Service{{Name: "names-api", EnforcesCapacity: true}, {Name: "backoffice", Standby: true}},
 }
 
 // vmsIn counts a pool's VMs and those on their way there.
 func (w *world) vmsIn(name tackid.Service) (vms, coming int) {
 	for _, p := range w.d.Pools(w.now, &withStandby, func(tackid.VM) bool { return true }) {
 		if p.Service == name {
-			return len(p.VMs), len(p.Coming)
+			return len(p.VMs), len(p.Incoming)
 		}
 	}
 	return 0, 0
--- a/core/tackdispatch/quota_test.go
+++ b/core/tackdispatch/quota_test.go
@@ -10,8 +10,8 @@
 	"auburntack/core/tackwork"
 )
 
-func caps(cores int) map[tackid.Workspace]tackroom.Room {
-	return map[tackid.Workspace]tackroom.Room{"mairies": {MilliCores: 1000 * cores}}
+func caps(cores int) map[tackid.Workspace]tackroom.Resources {
+	return map[tackid.Workspace]tackroom.Resources{"mairies": {MilliCores: 1000 * cores}}
 }
 
 func assertRunning(t *testing.T, w *world, cores int) {
@@ -71,7 +71,7 @@
 func TestPlannedStartKeepsALoweredCap(t *testing.T) {
 	w := newCapped(t, 3, 10)
 	w.submitFor("mairies", job(1), tackjob.Step{
-		Count: 2, Gang: true, MaxPerWorker: 1, Room: tackroom.Room{MilliCores: 4000}, Estimate: 2000,
+		Count: 2, Gang: true, MaxPerWorker: 1, Resources: tackroom.Resources{MilliCores: 4000}, Estimate: 2000,
 	})
 	for range 40 {
 		w.now = w.now.Add(25)
--- a/core/tackdispatch/schedule_test.go
+++ b/core/tackdispatch/schedule_test.go
@@ -76,7 +76,7 @@
 	case "foreign":
 		w.foreign(t, m)
 	case "resize":
-		m.resize(tackroom.Room{MilliCores: 1000 * rapid.IntRange(0, 16).Draw(t, "cores"), MemoryMB: 32768})
+		m.resize(tackroom.Resources{MilliCores: 1000 * rapid.IntRange(0, 16).Draw(t, "cores"), MemoryMB: 32768})
 	case "caps":
 		w.putRandomCaps(t)
 	case "crasher":
@@ -172,9 +172,9 @@
 
 // putRandomCaps sets random caps, from nothing to unlimited.
 func (w *world) putRandomCaps(t *rapid.T) {
-	caps := make(map[tackid.Workspace]tackroom.Room)
+	caps := make(map[tackid.Workspace]tackroom.Resources)
 	for _, name := range []tackid.Workspace{"mairies", "postes"} {
-		caps[name] = tackroom.Room{
+		caps[name] = tackroom.Resources{
 			MilliCores: 500 * rapid.IntRange(0, 40).Draw(t, "cap cores"), MemoryMB: 1000 * rapid.IntRange(0, 20).Draw(t, "cap memory"),
 		}
 	}
@@ -202,7 +202,7 @@
 		for n := range 5 {
 			w.addWorker(tackid.VM(fmt.Sprintf("m-%d", n)), n/4)
 		}
-		w.putCaps(map[tackid.Workspace]tackroom.Room{"mairies": {MilliCores: 12_000}, "postes": {MilliCores: 9_000, MemoryMB: 5_000}})
+		w.putCaps(map[tackid.Workspace]tackroom.Resources{"mairies": {MilliCores: 12_000}, "postes": {MilliCores: 9_000, MemoryMB: 5_000}})
 		jobs := 0
 		for range rapid.IntRange(1, 25).Draw(t, "acts") {
 			w.act(t, &jobs)
@@ -211,9 +211,9 @@
 		w.release()
 		for _, m := range w.workers {
 			m.cut, m.stalled, m.failing = false, false, false
-			m.resize(tackroom.Room{MilliCores: 16000, MemoryMB: 32768})
+			m.resize(tackroom.Resources{MilliCores: 16000, MemoryMB: 32768})
 		}
-		w.putCaps(map[tackid.Workspace]tackroom.Room{"mairies": {}, "postes": {}})
+		w.putCaps(map[tackid.Workspace]tackroom.Resources{"mairies": {}, "postes": {}})
 		for n := range 4 {
 			w.addWorker(tackid.VM("fresh-"+string(rune('a'+n))), 7)
 		}
--- a/core/tackdispatch/share_test.go
+++ b/core/tackdispatch/share_test.go
@@ -16,7 +16,7 @@
 	for n := range 20 {
 		name := fmt.Sprintf("w-%02d", n)
 		list = append(list, tackworkspace.Workspace{
-			Name: tackid.Workspace(name), Weight: 10, Keys: []tackworkspace.Fingerprint{tackworkspace.Print(name)},
+			Name: tackid.Workspace(name), Weight: 10, Keys: []tackworkspace.Fingerprint{tackworkspace.FingerprintOf(name)},
 		})
 	}
 	return list
@@ -47,7 +47,7 @@
 	n := 0
 	for _, id := range s.sent {
 		j := w.state.Jobs.Get(id)
-		chain := float64(j.Chain())
+		chain := float64(j.CriticalPath())
 		if j.Phase == tackjob.Complete && j.Closed.Sub(j.Accepted) <= tackclock.Duration(j.Stretch*chain)+j.Objective {
 			n++
 		}
--- a/core/tackdispatch/start.go
+++ b/core/tackdispatch/start.go
@@ -68,7 +68,7 @@
 		if len(o.Start) >= maxStartsInAnswer {
 			return
 		}
-		if n := s.job.account.Over(); n > 0 && p.summary.maxOver > 0 {
+		if n := s.job.account.SharesOver(); n > 0 && p.summary.maxOver > 0 {
 			for len(over) <= n {
 				over = append(over, nil)
 			}
@@ -88,7 +88,7 @@
 
 // startStep starts items of one step if the worker may run them.
 func (d *Dispatcher) startStep(now tackclock.Time, p *pool, w *worker, s *openStep, sequence uint64, o *Orders) {
-	if len(s.waiting) == 0 || !w.room().Fits(s.Takes()) || !d.mayStart(now, w, s) {
+	if len(s.waiting) == 0 || !w.room().Fits(s.Reserved()) || !d.mayStart(now, w, s) {
 		return
 	}
 	if d.cordon[w.vm] && !d.stranded(now, p, s) || p.reserved.holds(now, w) && !s.LongRunning {
@@ -137,7 +137,7 @@
 }
 
 func (d *Dispatcher) startItems(now tackclock.Time, w *worker, s *openStep, sequence uint64, o *Orders) {
-	takes := s.Takes()
+	takes := s.Reserved()
 	for len(s.waiting) > 0 && len(o.Start) < maxStartsInAnswer && w.room().Fits(takes) {
 		if w.steps[s.key()] >= d.maxOnWorker(now, w, s) || !d.withinCap(now, s, 1) {
 			return
@@ -153,7 +153,7 @@
 // withinCap reports whether the given number of the step's items may start in addition to
 // what the workspace has running.
 func (d *Dispatcher) withinCap(now tackclock.Time, s *openStep, items int) bool {
-	if s.job.account.Allows(now, s.Room.Times(items)) {
+	if s.job.account.Allows(now, s.Resources.Times(items)) {
 		return true
 	}
 	d.noteHeld(now, s)
@@ -172,7 +172,7 @@
 
 func (d *Dispatcher) newRun(now tackclock.Time, w *worker, s *openStep, item waitingItem) *run {
 	r := &run{
-		item: s.item(item.index), number: d.nextRun(), worker: w, step: s, takes: s.Takes(),
+		item: s.item(item.index), number: d.nextRun(), worker: w, step: s, takes: s.Reserved(),
 		started: now, progressAt: now, checkpoint: item.checkpoint, pace: fullPace,
 	}
 	r.loadCrashRecord()
--- a/core/tackdispatch/suspect.go
+++ b/core/tackdispatch/suspect.go
@@ -59,7 +59,7 @@
 // recordOutcome counts the end of a run for or against its worker.
 func (d *Dispatcher) recordOutcome(now tackclock.Time, w *worker, e *Ended) {
 	s := &w.suspicion
-	switch e.How {
+	switch e.Kind {
 	case EndDone:
 		s.failed = nil
 		if now >= s.until {
@@ -84,7 +84,7 @@
 	var slow []*run
 	guessed := make(map[*openStep]bool)
 	for _, r := range w.runs {
-		if r.stopping || !r.listed || r.step.LongRunning || r.step.Fills || r.step.Gang || r.pace < fullPace {
+		if r.stopping || !r.listed || r.step.LongRunning || r.step.BestEffort || r.step.Gang || r.pace < fullPace {
 			continue
 		}
 		if r.stalled(now) {
--- a/core/tackdispatch/trial.go
+++ b/core/tackdispatch/trial.go
@@ -44,7 +44,7 @@
 func (s *openStep) restraintOf(now tackclock.Time, index int32) restraint {
 	record := s.job.CrashesUnder(s.item(index))
 	x := restraint{alone: record.Trial() > 0}
-	if record.Waits() {
+	if record.OnHold() {
 		x.heldUntil = now.Add(maxDoubtHold)
 	}
 	return x
@@ -139,7 +139,7 @@
 
 // idle reports whether nothing runs on the worker and no start is planned there.
 func (w *worker) idle() bool {
-	return len(w.runs) == 0 && w.orphanRoom == (tackroom.Room{})
+	return len(w.runs) == 0 && w.orphanRoom == (tackroom.Resources{})
 }
 
 // startTrials starts an item that needs a trial, and reports whether the worker must get
@@ -153,7 +153,7 @@
 		return false
 	}
 	for s := range p.steps.Fitting(w.room().MilliCores, d.startsNow(now)) {
-		if len(s.restraints) == 0 || s.Gang || !d.mayStart(now, w, s) || d.cordon[w.vm] && !d.stranded(now, p, s) || !w.room().Fits(s.Takes()) {
+		if len(s.restraints) == 0 || s.Gang || !d.mayStart(now, w, s) || d.cordon[w.vm] && !d.stranded(now, p, s) || !w.room().Fits(s.Reserved()) {
 			continue
 		}
 		at := slices.IndexFunc(s.waiting, func(i waitingItem) bool { return d.mayStartTrial(now, p, w, s, &i) })
@@ -165,7 +165,7 @@
 		d.planTrial(now, w, s, item)
 		return true
 	}
-	return p.clear.holds(now, w)
+	return p.trialReserved.holds(now, w)
 }
 
 // planTrial reserves the worker for an item that starts with its next heartbeat, once the
@@ -192,9 +192,9 @@
 	case waited > 2*trialPatience:
 		return true
 	case waited > trialPatience:
-		return w.longRunningRoom == (tackroom.Room{}) || !d.anyWithoutLongRunning(now, p)
+		return w.longRunningRoom == (tackroom.Resources{}) || !d.anyWithoutLongRunning(now, p)
 	}
-	return w.idle() && !s.job.CrashesUnder(s.item(i.index)).On(w.vm)
+	return w.idle() && !s.job.CrashesUnder(s.item(i.index)).CrashedOn(w.vm)
 }
 
 // anyWithoutLongRunning reports whether some worker of the pool that accepts items runs
@@ -202,7 +202,7 @@
 // crash.
 func (d *Dispatcher) anyWithoutLongRunning(now tackclock.Time, p *pool) bool {
 	return slices.ContainsFunc(p.workers, func(w *worker) bool {
-		return w.longRunningRoom == (tackroom.Room{}) && w.acceptsItems(now) && !w.silent(now) && !d.cordon[w.vm]
+		return w.longRunningRoom == (tackroom.Resources{}) && w.acceptsItems(now) && !w.silent(now) && !d.cordon[w.vm]
 	})
 }
 
@@ -223,12 +223,12 @@
 // reserveForTrials reserves as many of the pool's workers as items wait for a trial, up
 // to a limit, and releases those that are not needed.
 func (d *Dispatcher) reserveForTrials(now tackclock.Time, p *pool) {
-	if now < p.clear.at || !p.summary.trials && len(p.clear.workers) == 0 {
+	if now < p.trialReserved.at || !p.summary.trials && len(p.trialReserved.workers) == 0 {
 		return
 	}
-	p.clear.at = now.Add(trialReserveEvery)
+	p.trialReserved.at = now.Add(trialReserveEvery)
 	wanted := min(p.trialsDue(now), (len(p.workers)+trialReserveParts-1)/trialReserveParts)
-	kept := slices.DeleteFunc(p.clear.workers, func(w *worker) bool { return d.workers[w.id] != w })
+	kept := slices.DeleteFunc(p.trialReserved.workers, func(w *worker) bool { return d.workers[w.id] != w })
 	kept = kept[:min(len(kept), wanted)]
 	for _, w := range p.workers {
 		if len(kept) == wanted {
@@ -238,7 +238,7 @@
 			kept = append(kept, w)
 		}
 	}
-	p.clear.workers = kept
+	p.trialReserved.workers = kept
 }
 
 // trialsDue counts the items of the pool that have waited for a trial for a while.
--- a/core/tackdispatch/upkeep.go
+++ b/core/tackdispatch/upkeep.go
@@ -57,7 +57,7 @@
 // NextUpkeep returns the VMs of a wave that can be taken down now, and withholds new work
 // from those that come next.
 func (d *Dispatcher) NextUpkeep(now tackclock.Time, w *tackupkeep.Wave) []tackid.VM {
-	room := max(w.AtOnce, 1) - d.down(now, w)
+	room := max(w.MaxDown, 1) - d.down(now, w)
 	next := d.retryCalls(now, w)
 	if room <= 0 {
 		return next
@@ -85,7 +85,7 @@
 // upkeep as done if it already is, so repeating the call is safe.
 func (d *Dispatcher) retryCalls(now tackclock.Time, w *tackupkeep.Wave) []tackid.VM {
 	var again []tackid.VM
-	for _, vm := range w.Left() {
+	for _, vm := range w.Remaining() {
 		if st := d.upkeeps[vm]; st != nil && st.calledAt != 0 && now >= st.callFrom {
 			again = append(again, vm)
 		}
@@ -141,7 +141,7 @@
 	var chosen []tackid.VM
 	for len(chosen) < n {
 		best, bestScore := tackid.VM(""), 0
-		for _, vm := range w.Left() {
+		for _, vm := range w.Remaining() {
 			if contains(chosen, vm) || d.upkeepOf(vm).calledAt != 0 {
 				continue
 			}
@@ -184,7 +184,7 @@
 	if life == nil {
 		// Nothing is known to run there. Something may until the leader has heard from
 		// all workers.
-		return d.Sure(now)
+		return d.EarlierLeasesEnded(now)
 	}
 	hurry := now.Sub(st.drainedFrom) > drainLimit || now > w.Due().Add(-waveReserve)
 	if !life.draining && !d.evacuate(now, life) {
@@ -205,15 +205,15 @@
 	possible := true
 	for key, here := range w.steps {
 		s := d.stepOf(key)
-		if s == nil || !s.LongRunning || s.MayMiss == 0 {
+		if s == nil || !s.LongRunning || s.MaxUnavailable == 0 {
 			continue
 		}
 		away, elsewhere := d.unavailable(now, s, w)
-		if elsewhere+here <= s.MayMiss {
+		if elsewhere+here <= s.MaxUnavailable {
 			continue
 		}
 		possible = false
-		if away < s.MayMiss {
+		if away < s.MaxUnavailable {
 			d.stopOne(now, w, s)
 		}
 	}
--- a/core/tackdispatch/upkeep_test.go
+++ b/core/tackdispatch/upkeep_test.go
@@ -12,7 +12,7 @@
 
 func newWave(w *world, atOnce int, vms ...tackid.VM) *tackupkeep.Wave {
 	return &tackupkeep.Wave{
-		Number: 1, VMs: vms, AtOnce: atOnce, Within: 30 * tackclock.Second, Accepted: w.now, Term: w.term,
+		Number: 1, VMs: vms, MaxDown: atOnce, Within: 30 * tackclock.Second, Accepted: w.now, Term: w.term,
 	}
 }
 
--- a/core/tackdispatch/worker.go
+++ b/core/tackdispatch/worker.go
@@ -20,9 +20,9 @@
 	service         tackid.Service
 	zone            tackid.DataCentre
 	labels          []string
-	capacity        tackroom.Room
-	used            tackroom.Room
-	longRunningRoom tackroom.Room // the part of used that long-running items take
+	capacity        tackroom.Resources
+	used            tackroom.Resources
+	longRunningRoom tackroom.Resources // the part of used that long-running items take
 	sequence        uint64
 	reports         int // accepted by this dispatcher
 	// jitterPhase makes the jitter of workers differ that joined at the same time.
@@ -42,7 +42,7 @@
 	ends         ends
 	// orphanRoom is taken by runs that must stop and are not in runs; orphans are those
 	// of them that count against a workspace.
-	orphanRoom tackroom.Room
+	orphanRoom tackroom.Resources
 	orphans    []orphanRun
 	stops      []Stop
 	// planned are starts of gangs and trials that wait for its next heartbeat.
@@ -67,7 +67,7 @@
 // its workspace until the worker no longer lists it.
 type orphanRun struct {
 	account         *tackquota.Account
-	room            tackroom.Room
+	room            tackroom.Resources
 	byEarlierLeader bool
 }
 
@@ -109,12 +109,12 @@
 }
 
 // room returns what is free on the worker.
-func (w *worker) room() tackroom.Room {
+func (w *worker) room() tackroom.Resources {
 	return w.capacity.Minus(w.used).Minus(w.orphanRoom)
 }
 
 // batchRoom returns the worker's room for batch items when all present ones have ended.
 // Long-running items never make room for them.
-func (w *worker) batchRoom() tackroom.Room {
+func (w *worker) batchRoom() tackroom.Resources {
 	return w.capacity.Minus(w.longRunningRoom)
 }
--- a/core/tackdispatch/world_check_test.go
+++ b/core/tackdispatch/world_check_test.go
@@ -24,9 +24,9 @@
 // that runs or is being stopped there.
 func (w *world) checkRoom(m *modelWorker, item tackjob.Item, step *tackjob.Step) {
 	w.t.Helper()
-	used := step.Takes()
+	used := step.Reserved()
 	for _, r := range m.runs {
-		used = used.Plus(r.step.Takes())
+		used = used.Plus(r.step.Reserved())
 	}
 	if !m.capacity.Fits(used) {
 		w.t.Fatalf("with %v %s takes %+v of %+v", item, m.id, used, m.capacity)
@@ -35,11 +35,11 @@
 
 // putCaps applies a catalog in which workspaces, whose only keys are their names, have
 // these caps.
-func (w *world) putCaps(caps map[tackid.Workspace]tackroom.Room) {
+func (w *world) putCaps(caps map[tackid.Workspace]tackroom.Resources) {
 	var list []tackworkspace.Workspace
 	for name, room := range caps {
 		list = append(list, tackworkspace.Workspace{
-			Name: name, Cap: room, Keys: []tackworkspace.Fingerprint{tackworkspace.Print(string(name))},
+			Name: name, Cap: room, Keys: []tackworkspace.Fingerprint{tackworkspace.FingerprintOf(string(name))},
 		})
 	}
 	slices.SortFunc(list, func(a, b tackworkspace.Workspace) int { return cmp.Compare(a.Name, b.Name) })
@@ -49,13 +49,13 @@
 // putWorkspaces applies a catalog with these workspaces.
 func (w *world) putWorkspaces(list []tackworkspace.Workspace) {
 	w.version++
-	w.caps = make(map[tackid.Workspace]tackroom.Room)
+	w.caps = make(map[tackid.Workspace]tackroom.Resources)
 	for i := range list {
 		w.caps[list[i].Name] = list[i].Cap
 	}
 	w.apply(tackwork.Change{Catalog: &tackcatalog.Catalog{
 		Version: w.version, Queues: []tackcatalog.Queue{testQueue}, Workspaces: list,
-		Services: []tackcatalog.Service{{Name: "names-api", Guards: true}},
+		Services: []tackcatalog.Service{{Name: "names-api", EnforcesCapacity: true}},
 	}})
 }
 
@@ -69,19 +69,19 @@
 		return
 	}
 	used := w.runningOf(j.Workspace)
-	total := used.Plus(j.Steps[item.Step].Room)
-	if !limit.Bounds(total) && used != (tackroom.Room{}) {
+	total := used.Plus(j.Steps[item.Step].Resources)
+	if !limit.Allows(total) && used != (tackroom.Resources{}) {
 		w.t.Fatalf("with %v %s has %v running of %v", item, j.Workspace, total, limit)
 	}
 }
 
 // runningOf returns what a workspace has running on all workers that are up.
-func (w *world) runningOf(name tackid.Workspace) tackroom.Room {
-	var used tackroom.Room
+func (w *world) runningOf(name tackid.Workspace) tackroom.Resources {
+	var used tackroom.Resources
 	for _, m := range w.workers {
 		for item, r := range m.runs {
 			if !m.dead && w.state.Jobs.Get(item.Job).Workspace == name {
-				used = used.Plus(r.step.Room)
+				used = used.Plus(r.step.Resources)
 			}
 		}
 	}
@@ -167,13 +167,13 @@
 		if m.dead {
 			continue
 		}
-		var used tackroom.Room
+		var used tackroom.Resources
 		for item, r := range m.runs {
 			if other, twice := on[item]; twice && !r.step.Speculative {
 				w.t.Fatalf("%v runs on %s and %s", item, other, m.id)
 			}
 			on[item] = m.id
-			used = used.Plus(r.step.Takes())
+			used = used.Plus(r.step.Reserved())
 		}
 		if !m.shrunk && !m.capacity.Fits(used) {
 			w.t.Fatalf("%s takes %+v of %+v", m.id, used, m.capacity)
--- a/core/tackdispatch/world_fault_test.go
+++ b/core/tackdispatch/world_fault_test.go
@@ -25,7 +25,7 @@
 	for _, m := range w.workers {
 		for _, item := range sorted(m.runs) {
 			if r := m.runs[item]; !m.dead && r.step.Gang && r.number == number {
-				w.end(m, item, EndBroken)
+				w.end(m, item, EndGangBroken)
 			}
 		}
 	}
@@ -85,7 +85,7 @@
 }
 
 // resize changes the worker's room while it runs.
-func (m *modelWorker) resize(to tackroom.Room) {
+func (m *modelWorker) resize(to tackroom.Resources) {
 	m.shrunk = m.shrunk || !to.Fits(m.capacity)
 	m.capacity = to
 }
--- a/core/tackdispatch/world_test.go
+++ b/core/tackdispatch/world_test.go
@@ -63,7 +63,7 @@
 		reboots        []reboot
 		// caps are what each workspace may have running. Lowering one does not stop
 		// anything.
-		caps    map[tackid.Workspace]tackroom.Room
+		caps    map[tackid.Workspace]tackroom.Resources
 		version tackcatalog.Version
 		grants  []tackquota.Grant // yet to be logged
 		// unseen counts crashes under such an item that no leader saw.
@@ -97,7 +97,7 @@
 		vm        tackid.VM
 		service   tackid.Service
 		rack      string
-		capacity  tackroom.Room
+		capacity  tackroom.Resources
 		sequence  uint64
 		runs      map[tackjob.Item]*modelRun
 		ended     []Ended
@@ -153,7 +153,7 @@
 	w.lifeCount++
 	m := &modelWorker{
 		name: fmt.Sprintf("i-%d", w.lifeCount), vm: vm, service: "names-api", rack: fmt.Sprintf("r-%d", rack),
-		capacity: tackroom.Room{MilliCores: 16000, MemoryMB: 32768},
+		capacity: tackroom.Resources{MilliCores: 16000, MemoryMB: 32768},
 		runs:     make(map[tackjob.Item]*modelRun), highest: make(map[tackjob.Item]RunNumber), heartbeatAt: w.now,
 		lapsed: make(map[uint64]bool),
 	}
@@ -184,12 +184,12 @@
 		w.d.Rebind(w.now, w.state.Catalog.Workspaces)
 	}
 	for _, e := range c.Ends {
-		w.d.Taken(w.now, e)
+		w.d.EndLogged(w.now, e)
 	}
 	if c.Findings != nil {
-		w.d.Found(w.now, c.Findings)
+		w.d.FindingsLogged(w.now, c.Findings)
 	}
-	w.d.Granted(c.Grants)
+	w.d.GrantsLogged(c.Grants)
 	return out
 }
 
@@ -216,7 +216,7 @@
 	if err := spec.Validate(); err != nil {
 		w.t.Fatalf("job: %v", err)
 	}
-	w.apply(tackwork.Change{Submit: spec, Key: tackworkspace.Print(string(name))})
+	w.apply(tackwork.Change{Submit: spec, Key: tackworkspace.FingerprintOf(string(name))})
 }
 
 func (w *world) phase(id tackjob.ID) tackjob.Phase {
@@ -228,7 +228,7 @@
 	w.held = false
 	for _, h := range w.waiting {
 		w.apply(tackwork.Change{Ends: h.ends})
-		w.d.EndsNoted(h.worker, h.ends)
+		w.d.EndsLogged(h.worker, h.ends)
 	}
 	w.waiting = nil
 	found, grants := w.found, w.grants
@@ -313,7 +313,7 @@
 	return items
 }
 
-func (w *world) end(m *modelWorker, item tackjob.Item, how How) {
+func (w *world) end(m *modelWorker, item tackjob.Item, how EndKind) {
 	r := m.runs[item]
 	delete(m.runs, item)
 	m.number++
@@ -321,7 +321,7 @@
 	if how == EndStopped {
 		w.save(item, r)
 	}
-	m.ended = append(m.ended, Ended{Number: m.number, Item: item, Run: r.number, How: how, Checkpoint: r.saved})
+	m.ended = append(m.ended, Ended{Number: m.number, Item: item, Run: r.number, Kind: how, Checkpoint: r.saved})
 	m.heartbeatAt = min(m.heartbeatAt, w.now.Add(heartbeatAfterEnd))
 }
 
@@ -412,7 +412,7 @@
 		if e.Number > o.Noted || m.lapsed[e.Number] {
 			continue
 		}
-		switch e.How {
+		switch e.Kind {
 		case EndDone:
 			w.acknowledged[e.Item] = true
 		case EndFailed:
@@ -486,12 +486,12 @@
 
 func batch(count int, cores float64, estimate tackclock.Duration, after ...int) tackjob.Step {
 	return tackjob.Step{
-		Count: count, Room: tackroom.Room{MilliCores: int(1000 * cores), MemoryMB: 1000}, Estimate: estimate, After: after,
+		Count: count, Resources: tackroom.Resources{MilliCores: int(1000 * cores), MemoryMB: 1000}, Estimate: estimate, After: after,
 	}
 }
 
 func lasting(count, mayMiss int) tackjob.Step {
 	s := batch(count, 1.5, 500)
-	s.LongRunning, s.MayMiss = true, mayMiss
+	s.LongRunning, s.MaxUnavailable = true, mayMiss
 	return s
 }
--- a/core/tackfleet/benchmark_test.go
+++ b/core/tackfleet/benchmark_test.go
@@ -251,7 +251,7 @@
 		switch {
 		case v.State != VMInService:
 			queue = append(queue, Change{Command: &tackcommand.Command{UndrainVM: &tackcommand.UndrainVM{VM: id}}})
-		case f.CanTake([]tackid.VM{id}) == nil:
+		case f.CheckTake([]tackid.VM{id}) == nil:
 			queue = append(queue, Change{Command: &tackcommand.Command{DrainVM: &tackcommand.DrainVM{VM: id}}})
 		}
 		if len(queue) <= underWay {
--- a/core/tackfleet/change.go
+++ b/core/tackfleet/change.go
@@ -11,7 +11,7 @@
 	// which an operator gave, and the fields after it, which the leader
 	// proposes. A WaveStep takes all of its VMs or none. The items of a list
 	// are independent: an item that is no longer valid, because of a command
-	// applied earlier, is passed over and counted by Result.PassedOver. The
+	// applied earlier, is passed over and counted by Result.Ignored. The
 	// change is refused only if no item took effect.
 	Change struct {
 		ID      tackid.CommandID     `cbor:"1,keyasint,omitempty"`
@@ -31,10 +31,10 @@
 	// the change, or of the first one for a repeated command. Refused is nil
 	// if the change was accepted.
 	Result struct {
-		Revision   tackid.Revision
-		Repeated   bool
-		Refused    *RefusedError
-		PassedOver int
+		Revision tackid.Revision
+		Repeated bool
+		Refused  *RefusedError
+		Ignored  int
 	}
 
 	// Setting is one configured value and the revision that set it.
--- a/core/tackfleet/commanded.go
+++ b/core/tackfleet/commanded.go
@@ -96,14 +96,14 @@
 }
 
 func (s *State) createWave(c *tackcommand.CreateWave) *RefusedError {
-	if refused := s.roster.NeedPool(c.Pool); refused != nil {
+	if refused := s.roster.CheckPool(c.Pool); refused != nil {
 		return refused
 	}
 	return s.rollouts.Create(s.at, c)
 }
 
 func (s *State) createTask(c *tackcommand.CreateTask) *RefusedError {
-	if refused := s.roster.NeedPool(c.Pool); refused != nil {
+	if refused := s.roster.CheckPool(c.Pool); refused != nil {
 		return refused
 	}
 	return s.tasks.Create(s.at, c)
--- a/core/tackfleet/query.go
+++ b/core/tackfleet/query.go
@@ -124,10 +124,10 @@
 	return s.tasks.CoresOf(team)
 }
 
-// CanTake returns nil if the VMs may all be taken out of service together now,
+// CheckTake returns nil if the VMs may all be taken out of service together now,
 // and the reason for refusal otherwise. Apply makes the same check.
-func (s *State) CanTake(vms []tackid.VM) *RefusedError {
-	return s.roster.CanTake(vms)
+func (s *State) CheckTake(vms []tackid.VM) *RefusedError {
+	return s.roster.CheckTake(vms)
 }
 
 // Count returns the current counts of a pool's VMs, against which its budgets
--- a/core/tackfleet/state.go
+++ b/core/tackfleet/state.go
@@ -100,15 +100,15 @@
 	case c.WaveEnd != nil:
 		result.Refused = s.waveEnd(c.WaveEnd)
 	case len(c.Observe) > 0:
-		result.PassedOver, result.Refused = applyEach(c.Observe, s.observe)
+		result.Ignored, result.Refused = applyEach(c.Observe, s.observe)
 	case len(c.WavePhases) > 0:
-		result.PassedOver, result.Refused = applyEach(c.WavePhases, s.wavePhase)
+		result.Ignored, result.Refused = applyEach(c.WavePhases, s.wavePhase)
 	case len(c.Drained) > 0:
-		result.PassedOver, result.Refused = applyEach(c.Drained, s.drained)
+		result.Ignored, result.Refused = applyEach(c.Drained, s.drained)
 	case len(c.Joined) > 0:
-		result.PassedOver, result.Refused = applyEach(c.Joined, s.joined)
+		result.Ignored, result.Refused = applyEach(c.Joined, s.joined)
 	case len(c.Tasks) > 0:
-		result.PassedOver, result.Refused = applyEach(c.Tasks, s.taskChange)
+		result.Ignored, result.Refused = applyEach(c.Tasks, s.taskChange)
 	}
 	return result
 }
--- a/core/tackfleet/vms_test.go
+++ b/core/tackfleet/vms_test.go
@@ -17,7 +17,7 @@
 			f := newFleet(t)
 			f.pool("a", "w", 3)
 			f.must("create pool b", "create service api on pool a", "set budget api min_available 2")
-			if refused := f.CanTake([]tackid.VM{"w-2"}); refused != nil {
+			if refused := f.CheckTake([]tackid.VM{"w-2"}); refused != nil {
 				t.Fatal(refused)
 			}
 			assertAccepted(t, f.do("drain vm w-1"))
--- a/core/tackjob/chain.go
+++ b/core/tackjob/chain.go
@@ -2,15 +2,15 @@
 
 import "auburntack/core/tackclock"
 
-// Chain returns the estimated duration of the longest chain of dependent steps, the
+// CriticalPath returns the estimated duration of the longest chain of dependent steps, the
 // critical path of one occurrence.
-func (s *Spec) Chain() tackclock.Duration {
+func (s *Spec) CriticalPath() tackclock.Duration {
 	return s.longestChain(func(int) bool { return false })
 }
 
-// ChainLeft returns the estimated duration of the longest chain of dependent steps of the
+// RemainingCriticalPath returns the estimated duration of the longest chain of dependent steps of the
 // occurrence that are not done yet.
-func (j *Job) ChainLeft(occurrence int32) tackclock.Duration {
+func (j *Job) RemainingCriticalPath(occurrence int32) tackclock.Duration {
 	return j.longestChain(func(step int) bool { return j.StepDone(occurrence, int32(step)) })
 }
 
--- a/core/tackjob/crash.go
+++ b/core/tackjob/crash.go
@@ -31,14 +31,14 @@
 		Crashes   []Crash     `cbor:"1,keyasint,omitempty"`
 		Doubts    []Doubt     `cbor:"2,keyasint,omitempty"`
 		Dismissed []Dismissal `cbor:"3,keyasint,omitempty"`
-		// Forgiven are items whose earlier crashes no longer count.
-		Forgiven []Item `cbor:"4,keyasint,omitempty"`
+		// Cleared are items whose earlier crashes no longer count.
+		Cleared []Item `cbor:"4,keyasint,omitempty"`
 	}
 )
 
 // Empty reports whether there are no findings.
 func (f *Findings) Empty() bool {
-	return len(f.Crashes)+len(f.Doubts)+len(f.Dismissed)+len(f.Forgiven) == 0
+	return len(f.Crashes)+len(f.Doubts)+len(f.Dismissed)+len(f.Cleared) == 0
 }
 
 // Add appends the findings in o.
@@ -46,23 +46,23 @@
 	f.Crashes = append(f.Crashes, o.Crashes...)
 	f.Doubts = append(f.Doubts, o.Doubts...)
 	f.Dismissed = append(f.Dismissed, o.Dismissed...)
-	f.Forgiven = append(f.Forgiven, o.Forgiven...)
+	f.Cleared = append(f.Cleared, o.Cleared...)
 }
 
-// Find applies findings at log time now and fails the jobs that have an item at fault.
+// ApplyFindings applies findings at log time now and fails the jobs that have an item at fault.
 // This includes long-running items: they are restarted without limit, so a faulty one
 // would keep crashing workers.
-func (t *Table) Find(f *Findings, now tackclock.Time) {
+func (t *Table) ApplyFindings(f *Findings, now tackclock.Time) {
 	for _, d := range f.Doubts {
 		t.updateCrashes(d.Item, now, func(r tackcrash.Record) tackcrash.Record { return r.WithDoubt(d.Doubt) })
 	}
 	for _, c := range f.Crashes {
-		t.updateCrashes(c.Item, now, func(r tackcrash.Record) tackcrash.Record { return r.With(c.Crash) })
+		t.updateCrashes(c.Item, now, func(r tackcrash.Record) tackcrash.Record { return r.WithCrash(c.Crash) })
 	}
 	for _, d := range f.Dismissed {
 		t.updateCrashes(d.Item, now, func(r tackcrash.Record) tackcrash.Record { return r.WithoutDoubt(d.Run) })
 	}
-	for _, i := range f.Forgiven {
+	for _, i := range f.Cleared {
 		t.updateCrashes(i, now, func(tackcrash.Record) tackcrash.Record { return tackcrash.Record{} })
 	}
 }
@@ -85,7 +85,7 @@
 		s.Crashes = make(map[int32]tackcrash.Record)
 	}
 	s.Crashes[i.Index] = record
-	if record.Guilty() {
+	if record.AtFault() {
 		j.close(Failed, now)
 	}
 }
--- a/core/tackjob/job.go
+++ b/core/tackjob/job.go
@@ -49,7 +49,7 @@
 		// Room is encoded under a key of its own: if it were inlined, its keys would
 		// collide with those of the step's first fields, and the codec drops colliding
 		// fields silently.
-		tackroom.Room `cbor:"2,keyasint"`
+		tackroom.Resources `cbor:"2,keyasint"`
 		// Estimate is the caller's estimate of an item's run time.
 		Estimate tackclock.Duration `cbor:"4,keyasint,omitempty"`
 		// After lists the steps that must be done before this one starts.
@@ -73,12 +73,12 @@
 		Image string `cbor:"14,keyasint,omitempty"`
 		// LatencyTarget limits the tail latency of items that serve requests.
 		LatencyTarget tackclock.Duration `cbor:"15,keyasint,omitempty"`
-		// Fills marks items that use only the processor time left over by others; their
+		// BestEffort marks items that use only the processor time left over by others; their
 		// MilliCores do not count against the capacity of a worker.
-		Fills bool `cbor:"16,keyasint,omitempty"`
-		// MayMiss is the number of items that the system may take down at a time, for
+		BestEffort bool `cbor:"16,keyasint,omitempty"`
+		// MaxUnavailable is the number of items that the system may take down at a time, for
 		// example for maintenance.
-		MayMiss int `cbor:"17,keyasint,omitempty"`
+		MaxUnavailable int `cbor:"17,keyasint,omitempty"`
 	}
 
 	// Spec is a job as it was submitted.
@@ -236,7 +236,7 @@
 	if s.Count <= 0 || s.Count > maxItems {
 		return &InvalidError{Field: field + ".count", Problem: fmt.Sprintf("must be 1 to %d", maxItems)}
 	}
-	if s.MilliCores < 0 || s.MemoryMB < 0 || s.GPUs < 0 || s.Estimate < 0 || s.MaxPerWorker < 0 || s.MayMiss < 0 {
+	if s.MilliCores < 0 || s.MemoryMB < 0 || s.GPUs < 0 || s.Estimate < 0 || s.MaxPerWorker < 0 || s.MaxUnavailable < 0 {
 		return &InvalidError{Field: field, Problem: "negative amount"}
 	}
 	for _, a := range s.After {
@@ -247,10 +247,10 @@
 	return nil
 }
 
-// Takes returns the resources that one item reserves on a worker.
-func (s *Step) Takes() tackroom.Room {
-	r := s.Room
-	if s.Fills {
+// Reserved returns the resources that one item reserves on a worker.
+func (s *Step) Reserved() tackroom.Resources {
+	r := s.Resources
+	if s.BestEffort {
 		r.MilliCores = 0
 	}
 	return r
--- a/core/tackjob/job_test.go
+++ b/core/tackjob/job_test.go
@@ -44,11 +44,11 @@
 func TestChainIsLongestPath(t *testing.T) {
 	s := validSpec()
 	s.Steps = append(s.Steps, Step{Count: 1, Estimate: 400})
-	if got := s.Chain(); got != 400 {
+	if got := s.CriticalPath(); got != 400 {
 		t.Errorf("chain %v, want 400", got)
 	}
 	s.Steps[2].After = []int{1}
-	if got := s.Chain(); got != 550 {
+	if got := s.CriticalPath(); got != 550 {
 		t.Errorf("chain %v, want 550", got)
 	}
 }
@@ -56,7 +56,7 @@
 func TestGangEndsAsUnit(t *testing.T) {
 	j := &Job{Spec: *validSpec(), Attempts: 2}
 	j.Steps[0].Gang = true
-	if !j.Take(End{Item: Item{Job: j.ID, Index: 1}, Gang: true, Run: 1}, 5) || !j.StepDone(0, 0) {
+	if !j.RecordEnd(End{Item: Item{Job: j.ID, Index: 1}, Gang: true, Run: 1}, 5) || !j.StepDone(0, 0) {
 		t.Error("the end of the gang did not complete the step")
 	}
 	if !j.Ready(0, 1) {
@@ -86,10 +86,10 @@
 	if got := j.Failures(item); got != 1 {
 		t.Errorf("%d failures, want 1", got)
 	}
-	if j.Take(End{Item: item, Failed: true, Run: 7}, 5) {
+	if j.RecordEnd(End{Item: item, Failed: true, Run: 7}, 5) {
 		t.Error("a run that was counted before is counted again")
 	}
-	if !j.Take(End{Item: item, Failed: true, Run: 9}, 5) || j.Phase != Failed {
+	if !j.RecordEnd(End{Item: item, Failed: true, Run: 9}, 5) || j.Phase != Failed {
 		t.Errorf("the job is %v after its second failure, want failed", j.Phase)
 	}
 }
--- a/core/tackjob/progress.go
+++ b/core/tackjob/progress.go
@@ -89,9 +89,9 @@
 	return true
 }
 
-// Take records the end of a run at log time now. It reports whether the job changed; an
+// RecordEnd records the end of a run at log time now. It reports whether the job changed; an
 // end that was recorded before changes nothing.
-func (j *Job) Take(e End, now tackclock.Time) bool {
+func (j *Job) RecordEnd(e End, now tackclock.Time) bool {
 	if j.Phase != Open || !j.Has(e.Item) {
 		return false
 	}
--- a/core/tackledger/record.go
+++ b/core/tackledger/record.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	// Mine means that the claimer holds the key and may dispatch the request
+	// Claimed means that the claimer holds the key and may dispatch the request
 	// once.
-	Mine ClaimKind = iota + 1
+	Claimed ClaimKind = iota + 1
 	// Running means that another request holds the key and has not finished.
 	Running
 	// Recorded means that the request with the key ran and Claim.Answer has
@@ -53,9 +53,9 @@
 	// query, and body.
 	Fingerprint [sha256.Size]byte
 
-	// Life identifies one process of a peer. Each process chooses a new random
+	// InstanceID identifies one process of a peer. Each process chooses a new random
 	// value when it starts.
-	Life uint64
+	InstanceID uint64
 
 	// Outcome is the outcome of a dispatch.
 	Outcome uint8
@@ -86,8 +86,8 @@
 		Fingerprint Fingerprint        `cbor:"2,keyasint"`
 		Request     tackid.RequestID   `cbor:"3,keyasint"`
 		Peer        tackid.Peer        `cbor:"4,keyasint"`
-		Life        Life               `cbor:"5,keyasint"`
-		Within      tackclock.Duration `cbor:"6,keyasint"`
+		Instance    InstanceID         `cbor:"5,keyasint"`
+		Timeout     tackclock.Duration `cbor:"6,keyasint"`
 	}
 
 	// Finish records the outcome of the dispatch for which Request claimed the
@@ -120,7 +120,7 @@
 		OutcomeUnknown:   "unknown",
 	}
 	claimNames = [...]string{
-		Mine:     "mine",
+		Claimed:  "mine",
 		Running:  "running",
 		Recorded: "recorded",
 		Unknown:  "unknown",
@@ -146,9 +146,9 @@
 	return fmt.Sprintf("claim_%d", uint8(k))
 }
 
-// Print returns the fingerprint of a request. Target is the path with the query,
+// NewFingerprint returns the fingerprint of a request. Target is the path with the query,
 // as sent by the caller.
-func Print(method, target string, body []byte) Fingerprint {
+func NewFingerprint(method, target string, body []byte) Fingerprint {
 	h := sha256.New()
 	// The lengths make the encoding unambiguous. Without them, different pairs
 	// of method and target could have the same concatenation.
--- a/core/tackledger/snapshot.go
+++ b/core/tackledger/snapshot.go
@@ -22,11 +22,11 @@
 	}
 
 	snapshot struct {
-		Version  int                  `cbor:"1,keyasint"`
-		Revision tackid.Revision      `cbor:"2,keyasint"`
-		Now      tackclock.Time       `cbor:"3,keyasint"`
-		Lives    map[tackid.Peer]Life `cbor:"4,keyasint"`
-		Records  []savedRecord        `cbor:"5,keyasint"`
+		Version  int                        `cbor:"1,keyasint"`
+		Revision tackid.Revision            `cbor:"2,keyasint"`
+		Now      tackclock.Time             `cbor:"3,keyasint"`
+		Lives    map[tackid.Peer]InstanceID `cbor:"4,keyasint"`
+		Records  []savedRecord              `cbor:"5,keyasint"`
 	}
 
 	// savedRecord is a record with the digest of its ID.
@@ -36,7 +36,7 @@
 		Fingerprint digest          `cbor:"3,keyasint"`
 		Request     digest          `cbor:"4,keyasint"`
 		Peer        tackid.Peer     `cbor:"5,keyasint,omitempty"`
-		Life        Life            `cbor:"6,keyasint,omitempty"`
+		Life        InstanceID      `cbor:"6,keyasint,omitempty"`
 		Begun       tackclock.Time  `cbor:"7,keyasint"`
 		Until       tackclock.Time  `cbor:"8,keyasint,omitempty"`
 		Ended       tackclock.Time  `cbor:"9,keyasint,omitempty"`
@@ -71,7 +71,7 @@
 		Records:  make([]savedRecord, 0, len(s.records)),
 	}
 	if out.Lives == nil {
-		out.Lives = make(map[tackid.Peer]Life)
+		out.Lives = make(map[tackid.Peer]InstanceID)
 	}
 	for d, r := range s.records {
 		out.Records = append(out.Records, r.save(d))
--- a/core/tackledger/state.go
+++ b/core/tackledger/state.go
@@ -46,7 +46,7 @@
 		now      tackclock.Time
 		records  map[digest]*record
 		teams    map[tackid.Team]int
-		lives    map[tackid.Peer]Life
+		lives    map[tackid.Peer]InstanceID
 		bytes    int
 		begun    queue // all records, in the order of Begin
 		released queue // released records, in the order of release
@@ -65,7 +65,7 @@
 		peer        unique.Handle[tackid.Peer]
 		fingerprint digest
 		request     digest
-		life        Life
+		life        InstanceID
 		begun       tackclock.Time
 		until       tackclock.Time
 		ended       tackclock.Time  // time of the outcome
@@ -122,7 +122,7 @@
 func (s *State) Lookup(now tackclock.Time, id ID, print Fingerprint) Claim {
 	r := s.records[id.digest()]
 	if r == nil || r.outcome == OutcomeDidNotRun || s.expired(r, now) {
-		return Claim{Kind: Mine}
+		return Claim{Kind: Claimed}
 	}
 	return s.verdict(r, print, max(now, s.now))
 }
@@ -151,7 +151,7 @@
 	if s.records == nil {
 		s.records = make(map[digest]*record)
 		s.teams = make(map[tackid.Team]int)
-		s.lives = make(map[tackid.Peer]Life)
+		s.lives = make(map[tackid.Peer]InstanceID)
 	}
 	limits := s.Limits.withDefaults()
 	s.drop(&s.begun, limits.Age)
@@ -194,7 +194,7 @@
 	// A restarted peer will never finish what its earlier process began. The
 	// new life makes those records unknown at once. Otherwise repeats of a key
 	// would get Running long after the process died.
-	s.lives[b.Peer] = b.Life
+	s.lives[b.Peer] = b.Instance
 	d := b.ID.digest()
 	r := s.records[d]
 	if r == nil {
@@ -217,7 +217,7 @@
 	case r.outcome == OutcomeDidNotRun:
 		return Released
 	case s.running(r, s.now):
-		return Mine
+		return Claimed
 	}
 	return Unknown
 }
@@ -236,13 +236,13 @@
 		peer:        unique.Make(b.Peer),
 		fingerprint: digest(b.Fingerprint[:]),
 		request:     digestOf(string(b.Request)),
-		life:        b.Life,
+		life:        b.Instance,
 		begun:       s.now,
-		until:       s.now.Add(min(b.Within, limits.Age)),
+		until:       s.now.Add(min(b.Timeout, limits.Age)),
 	}
 	s.insert(d, r)
 	s.begun.push(entry{d, r.revision, s.now})
-	return Claim{Kind: Mine}
+	return Claim{Kind: Claimed}
 }
 
 func (s *State) insert(d digest, r *record) {
--- a/core/tackledger/state_test.go
+++ b/core/tackledger/state_test.go
@@ -20,7 +20,7 @@
 }
 
 func begin(name, request string) Change {
-	return Change{Begin: &Begin{ID: key(name), Request: tackid.RequestID(request), Peer: "a", Life: 1, Within: tackclock.Minute}}
+	return Change{Begin: &Begin{ID: key(name), Request: tackid.RequestID(request), Peer: "a", Instance: 1, Timeout: tackclock.Minute}}
 }
 
 func finish(name, request string, o Outcome, body string) Change {
@@ -45,14 +45,14 @@
 		changes []Change
 		want    ClaimKind
 	}{
-		"free":                 {nil, Mine},
+		"free":                 {nil, Claimed},
 		"running":              {[]Change{begin("k", "r1")}, Running},
-		"proposed twice":       {[]Change{begin("k", "r2")}, Mine},
+		"proposed twice":       {[]Change{begin("k", "r2")}, Claimed},
 		"proposed twice, late": {[]Change{begin("k", "r2"), finish("k", "r2", OutcomeUnknown, "")}, Unknown},
 		"answered":             {[]Change{begin("k", "r1"), finish("k", "r1", OutcomeAnswered, "x")}, Recorded},
 		"unknown":              {[]Change{begin("k", "r1"), finish("k", "r1", OutcomeUnknown, "")}, Unknown},
 		"unknown, then known":  {[]Change{begin("k", "r1"), finish("k", "r1", OutcomeUnknown, ""), finish("k", "r1", OutcomeAnswered, "x")}, Recorded},
-		"did not run":          {[]Change{begin("k", "r1"), finish("k", "r1", OutcomeDidNotRun, "")}, Mine},
+		"did not run":          {[]Change{begin("k", "r1"), finish("k", "r1", OutcomeDidNotRun, "")}, Claimed},
 		"another's finish":     {[]Change{begin("k", "r1"), finish("k", "r9", OutcomeDidNotRun, "")}, Running},
 		"answered, then freed": {[]Change{begin("k", "r1"), finish("k", "r1", OutcomeAnswered, "x"), finish("k", "r1", OutcomeDidNotRun, "")}, Recorded},
 	} {
@@ -82,7 +82,7 @@
 		var l testLog
 		l.apply(finish("k", "r1", OutcomeDidNotRun, ""))
 		convey.So(l.apply(begin("k", "r1")).Kind, convey.ShouldEqual, Released)
-		convey.So(l.apply(begin("k", "r2")).Kind, convey.ShouldEqual, Mine)
+		convey.So(l.apply(begin("k", "r2")).Kind, convey.ShouldEqual, Claimed)
 		convey.So(l.apply(begin("k", "r1")).Kind, convey.ShouldEqual, Running)
 		convey.Convey("the release itself expires early", func() {
 			l.apply(finish("other", "r3", OutcomeDidNotRun, ""))
@@ -106,7 +106,7 @@
 		})
 		convey.Convey("it is unknown once the peer is known to have restarted", func() {
 			other := begin("other", "r2")
-			other.Begin.Life = 2
+			other.Begin.Instance = 2
 			l.apply(other)
 			repeat := begin("k", "r3")
 			repeat.Begin.Peer = "b"
@@ -121,7 +121,7 @@
 	convey.Convey("With room for 8 records", t, func() {
 		l := testLog{State: State{Limits: Limits{Records: 8}}}
 		for i := range 4 {
-			convey.So(l.apply(begin(fmt.Sprint(i), fmt.Sprint(i))).Kind, convey.ShouldEqual, Mine)
+			convey.So(l.apply(begin(fmt.Sprint(i), fmt.Sprint(i))).Kind, convey.ShouldEqual, Claimed)
 		}
 		convey.Convey("a team gets half of it, and no new key after that", func() {
 			convey.So(l.apply(begin("4", "4")).Kind, convey.ShouldEqual, Full)
@@ -129,7 +129,7 @@
 		})
 		convey.Convey("records expire by age", func() {
 			l.now = l.now.Add(tackclock.Day)
-			convey.So(l.apply(begin("0", "r")).Kind, convey.ShouldEqual, Mine)
+			convey.So(l.apply(begin("0", "r")).Kind, convey.ShouldEqual, Claimed)
 			convey.So(l.Len(), convey.ShouldEqual, 1)
 		})
 	})
@@ -168,7 +168,7 @@
 	ran     map[string][]string       // key: requests that got Mine and ran
 	since   map[string]tackclock.Time // key: when the first of them ran
 	claimed map[string]string         // request: its key, while it may still finish
-	lives   map[tackid.Peer]Life
+	lives   map[tackid.Peer]InstanceID
 	peers   map[string]tackid.Peer // of the requests
 	next    int
 }
@@ -179,7 +179,7 @@
 func TestOneExecutionPerKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := model{ran: map[string][]string{}, since: map[string]tackclock.Time{}, claimed: map[string]string{},
-			lives: map[tackid.Peer]Life{}, peers: map[string]tackid.Peer{}}
+			lives: map[tackid.Peer]InstanceID{}, peers: map[string]tackid.Peer{}}
 		m.log.Limits = Limits{Age: tackclock.Hour, ReleasedAge: tackclock.Minute, Records: 40, Bytes: 60}
 		var late []Change
 		t.Repeat(map[string]func(*rapid.T){
@@ -225,7 +225,7 @@
 	m.peers[request] = peer
 	m.claimed[request] = k
 	c := begin(k, request)
-	c.Begin.Peer, c.Begin.Life = peer, m.lives[peer]
+	c.Begin.Peer, c.Begin.Instance = peer, m.lives[peer]
 	c.Begin.ID.Team = tackid.Team(k)
 	return c
 }
@@ -241,14 +241,14 @@
 	before := m.log.Lookup(m.log.now, c.Begin.ID, c.Begin.Fingerprint)
 	got := m.log.apply(c)
 	if rapid.Bool().Draw(t, "twice") {
-		if again := m.log.apply(c); got.Kind == Mine && again.Kind != Mine {
+		if again := m.log.apply(c); got.Kind == Claimed && again.Kind != Claimed {
 			t.Fatalf("the second proposal of a claim that got Mine returned %v", again.Kind)
 		}
 	}
 	if before.Kind == Recorded && (got.Kind != Recorded || string(got.Answer.Body) != string(before.Answer.Body)) {
 		t.Fatalf("a recorded answer changed to %v %q", got.Kind, got.Answer.Body)
 	}
-	if got.Kind != Mine {
+	if got.Kind != Claimed {
 		delete(m.claimed, request)
 		return
 	}
--- a/core/tackplace/answer.go
+++ b/core/tackplace/answer.go
@@ -110,10 +110,10 @@
 	}
 	for i := range t.v.Reports {
 		r := &t.v.Reports[i]
-		if r.Asked.Before(t.reported[r.Worker]) {
+		if r.RequestedAt.Before(t.reported[r.Worker]) {
 			continue
 		}
-		t.reported[r.Worker] = r.Asked
+		t.reported[r.Worker] = r.RequestedAt
 		t.processReport(r, on[r.Worker])
 	}
 }
@@ -132,7 +132,7 @@
 	}
 	lost := false
 	for _, l := range on {
-		if !listed[l.task] && t.certainlyEnded(l, r.Asked) {
+		if !listed[l.task] && t.certainlyEnded(l, r.RequestedAt) {
 			lost = lost || l.confirmed
 			t.endUnlisted(l)
 		}
--- a/core/tackplace/lease.go
+++ b/core/tackplace/lease.go
@@ -261,7 +261,7 @@
 	if w != nil && w.vm.Health == tackfleet.HealthServing {
 		return false
 	}
-	return t.now.Sub(max(l.answered, t.reported[l.worker])) >= t.cfg.GiveUp
+	return t.now.Sub(max(l.answered, t.reported[l.worker])) >= t.cfg.SilenceLimit
 }
 
 // expire ends a try whose lease has certainly run out.
--- a/core/tackplace/settings.go
+++ b/core/tackplace/settings.go
@@ -12,9 +12,9 @@
 	OrderLimit tackclock.Duration
 	// UsageLag is the maximum age of the data in a report, 10 s.
 	UsageLag tackclock.Duration
-	// GiveUp is how long a worker that is not known to be serving may not
+	// SilenceLimit is how long a worker that is not known to be serving may not
 	// answer before its leases are left to run out, 15 s.
-	GiveUp tackclock.Duration
+	SilenceLimit tackclock.Duration
 	// FinishWithin is how long after the start of a drain a task may go on
 	// if it is expected to end within that time, 2 min.
 	FinishWithin tackclock.Duration
@@ -26,9 +26,9 @@
 	Headroom int
 	// MaxStarts is the maximum number of tasks placed in one decision, 200.
 	MaxStarts int
-	// FailuresInRow is the number of consecutive failures of tasks after
+	// MaxConsecutiveFailures is the number of consecutive failures of tasks after
 	// which a worker is avoided, 3.
-	FailuresInRow int
+	MaxConsecutiveFailures int
 	// ProbeAfter is how long a worker is avoided before it gets one task as
 	// a probe, 30 s. It doubles with each probe that fails, up to 30 min.
 	ProbeAfter tackclock.Duration
@@ -41,12 +41,12 @@
 	setDefault(&s.Lease, 30*tackclock.Second)
 	setDefault(&s.OrderLimit, 10*tackclock.Second)
 	setDefault(&s.UsageLag, 10*tackclock.Second)
-	setDefault(&s.GiveUp, 15*tackclock.Second)
+	setDefault(&s.SilenceLimit, 15*tackclock.Second)
 	setDefault(&s.FinishWithin, 2*tackclock.Minute)
 	setDefault(&s.CheckpointLimit, 800*tackclock.Millisecond)
 	setDefault(&s.Headroom, 10)
 	setDefault(&s.MaxStarts, 200)
-	setDefault(&s.FailuresInRow, 3)
+	setDefault(&s.MaxConsecutiveFailures, 3)
 	setDefault(&s.ProbeAfter, 30*tackclock.Second)
 	return s
 }
--- a/core/tackplace/view.go
+++ b/core/tackplace/view.go
@@ -71,9 +71,9 @@
 	// Report is the platform's report on the tasks of one worker. It was
 	// requested at Asked, and its data may be older by Settings.UsageLag.
 	Report struct {
-		Worker tackid.VM
-		Asked  tackclock.Time
-		Tasks  []Usage
+		Worker      tackid.VM
+		RequestedAt tackclock.Time
+		Tasks       []Usage
 	}
 
 	// Usage is the resource usage of one task, measured Lag before the report.
--- a/core/tackplace/worker.go
+++ b/core/tackplace/worker.go
@@ -137,7 +137,7 @@
 // was not avoided it would get task after task and use up their tries.
 func (t *tick) avoided(vm tackid.VM) (avoid, wait bool) {
 	s := t.failures[vm]
-	if s == nil || s.failures < t.cfg.FailuresInRow {
+	if s == nil || s.failures < t.cfg.MaxConsecutiveFailures {
 		return false, false
 	}
 	return true, t.now.Before(s.probeAt)
@@ -151,7 +151,7 @@
 		t.failures[vm] = s
 	}
 	s.failures++
-	if s.failures < t.cfg.FailuresInRow || t.now.Before(s.probeAt) {
+	if s.failures < t.cfg.MaxConsecutiveFailures || t.now.Before(s.probeAt) {
 		return // tasks that were started together count once
 	}
 	s.wait = min(max(2*s.wait, t.cfg.ProbeAfter), maxProbeInterval)
--- a/core/tackplace/world_test.go
+++ b/core/tackplace/world_test.go
@@ -290,7 +290,7 @@
 			continue
 		}
 		f.reportedAt = w.now
-		r := Report{Worker: vm.ID, Asked: w.now}
+		r := Report{Worker: vm.ID, RequestedAt: w.now}
 		for _, x := range f.runs {
 			if x.began.After(w.now.Add(-testLag)) && x.state == StateRunning {
 				continue
--- a/core/tackpool/empty.go
+++ b/core/tackpool/empty.go
@@ -23,12 +23,12 @@
 	for i := range needs {
 		for k := 0; k < len(busy) && needs[i].shortfall > 0; k++ {
 			vm := busy[k]
-			if vm.from == needs[i].service || !needs[i].servedBy(&vm.VM) || !needs[i].urgent && spare[vm.from] < vm.Room.MilliCores {
+			if vm.from == needs[i].service || !needs[i].servedBy(&vm.VM) || !needs[i].urgent && spare[vm.from] < vm.Resources.MilliCores {
 				continue
 			}
 			busy = slices.Delete(busy, k, k+1)
 			k--
-			spare[vm.from] -= vm.Room.MilliCores
+			spare[vm.from] -= vm.Resources.MilliCores
 			chosen = append(chosen, vm.Name)
 			deductVM(needs[i:], needs[i].service, &vm.VM)
 		}
--- a/core/tackpool/free.go
+++ b/core/tackpool/free.go
@@ -21,7 +21,7 @@
 		}
 		left := spare[pool.Service]
 		for _, vm := range p.idle(pool) {
-			left -= vm.Room.MilliCores
+			left -= vm.Resources.MilliCores
 			vm.needed = left < 0
 			free = append(free, vm)
 		}
@@ -46,7 +46,7 @@
 		return math.MaxInt
 	}
 	d := &pool.Demands[0]
-	return d.cores(pool.VMs) + d.cores(pool.Coming) - p.wanted(d)
+	return d.cores(pool.VMs) + d.cores(pool.Incoming) - p.wanted(d)
 }
 
 func (p *Planner) spareByPool(pools []Pool) map[tackid.Service]int {
@@ -130,7 +130,7 @@
 			}
 			surplus++
 		}
-		spare[vm.from] -= vm.Room.MilliCores
+		spare[vm.from] -= vm.Resources.MilliCores
 		moves = append(moves, Move{VM: vm.Name, From: vm.from, To: pools[at].Service})
 	}
 	return moves
@@ -139,14 +139,14 @@
 // idleFor returns how long the VM has been idle since work was first wanted, or how long
 // it has been idle at all if there has been no work yet.
 func (p *Planner) idleFor(vm *freeVM) tackclock.Duration {
-	if p.WantedFor == 0 {
+	if p.SinceFirstWork == 0 {
 		return vm.Idle
 	}
-	return min(vm.Idle, p.WantedFor)
+	return min(vm.Idle, p.SinceFirstWork)
 }
 
 // isSurplus reports whether a pool with the given spare thousandths of a core still has
 // its reserve without the VM.
 func (p *Planner) isSurplus(vm *freeVM, spare int) bool {
-	return p.Reserve > 0 && vm.Idle >= surplusAfter && spare-vm.Room.MilliCores >= p.Reserve
+	return p.Reserve > 0 && vm.Idle >= surplusAfter && spare-vm.Resources.MilliCores >= p.Reserve
 }
--- a/core/tackpool/plan.go
+++ b/core/tackpool/plan.go
@@ -70,15 +70,15 @@
 		// beyond what its work requires. VMs beyond it are parked without waiting for
 		// ParkAfter. Zero means that it is not known. See the type Reserve.
 		Reserve int
-		// WantedFor is the time since work was first wanted; zero if there was none yet.
+		// SinceFirstWork is the time since work was first wanted; zero if there was none yet.
 		// Idle time before that does not indicate how soon a VM is needed.
-		WantedFor tackclock.Duration
+		SinceFirstWork tackclock.Duration
 	}
 
 	// VM is the VM of a worker, in a pool or on its way to one.
 	VM struct {
-		Name tackid.VM
-		Room tackroom.Room
+		Name      tackid.VM
+		Resources tackroom.Resources
 		// Labels are the kind and the rack of the VM. They stay with the VM when it
 		// moves.
 		Labels []string
@@ -100,8 +100,8 @@
 		// Standby marks the pool whose VMs are switched off and cost nothing.
 		Standby bool
 		VMs     []VM
-		// Coming are the VMs on their way to the pool.
-		Coming []VM
+		// Incoming are the VMs on their way to the pool.
+		Incoming []VM
 		// Demands are the work of the pool: first all of it, then the parts that only
 		// some VMs can do.
 		Demands []Demand
@@ -113,7 +113,7 @@
 		// empty.
 		Label string
 		// Item is the resources that the largest item requires.
-		Item tackroom.Room
+		Item tackroom.Resources
 		// Backlog is the accepted work that is not done, and the work that was refused
 		// just now, in milliseconds of thousandths of a core.
 		Backlog int64
@@ -196,7 +196,7 @@
 			vm := free[at]
 			free = slices.Delete(free, at, at+1)
 			moves = append(moves, Move{VM: vm.Name, From: vm.from, To: needs[i].service})
-			spare[vm.from] -= vm.Room.MilliCores
+			spare[vm.from] -= vm.Resources.MilliCores
 			deductVM(needs[i:], needs[i].service, &vm.VM)
 		}
 	}
@@ -223,14 +223,14 @@
 func deductVM(needs []need, service tackid.Service, vm *VM) {
 	for i := range needs {
 		if needs[i].service == service && needs[i].servedBy(vm) {
-			needs[i].shortfall -= vm.Room.MilliCores
+			needs[i].shortfall -= vm.Resources.MilliCores
 		}
 	}
 }
 
 // servedBy reports whether the VM can do the work.
 func (d *Demand) servedBy(vm *VM) bool {
-	return vm.Room.Fits(d.Item) && (d.Label == "" || slices.Contains(vm.Labels, d.Label))
+	return vm.Resources.Fits(d.Item) && (d.Label == "" || slices.Contains(vm.Labels, d.Label))
 }
 
 // cores returns the thousandths of a core of the VMs that can do the work.
@@ -238,7 +238,7 @@
 	sum := 0
 	for i := range vms {
 		if d.servedBy(&vms[i]) {
-			sum += vms[i].Room.MilliCores
+			sum += vms[i].Resources.MilliCores
 		}
 	}
 	return sum
@@ -272,7 +272,7 @@
 }
 
 func (p *Planner) need(pool *Pool, d *Demand) need {
-	coming := d.cores(pool.Coming)
+	coming := d.cores(pool.Incoming)
 	n := need{Demand: d, service: pool.Service, urgent: d.Unplaced > coming}
 	if n.urgent {
 		n.shortfall = d.Unplaced - coming
--- a/core/tackpool/plan_test.go
+++ b/core/tackpool/plan_test.go
@@ -10,12 +10,12 @@
 
 const cores16 = 16000
 
-var room16 = tackroom.Room{MilliCores: cores16, MemoryMB: 32768}
+var room16 = tackroom.Resources{MilliCores: cores16, MemoryMB: 32768}
 
 func idle(names ...tackid.VM) []VM {
 	var vms []VM
 	for _, n := range names {
-		vms = append(vms, VM{Name: n, Room: room16, Idle: 1000})
+		vms = append(vms, VM{Name: n, Resources: room16, Idle: 1000})
 	}
 	return vms
 }
@@ -65,7 +65,7 @@
 	t.Run("counts VMs on their way", func(t *testing.T) {
 		assertMoves(t, []Pool{
 			{Service: "communes", VMs: idle("a", "b", "c")},
-			{Service: "names-api", VMs: busy("d", "e"), Coming: idle("x", "y"), Demands: work(48, 3)},
+			{Service: "names-api", VMs: busy("d", "e"), Incoming: idle("x", "y"), Demands: work(48, 3)},
 		})
 	})
 	t.Run("moves no VM that runs something", func(t *testing.T) {
@@ -76,7 +76,7 @@
 	})
 	t.Run("takes VMs from the standby pool", func(t *testing.T) {
 		assertMoves(t, []Pool{
-			{Service: "backoffice", Standby: true, VMs: []VM{{Name: "s", Room: room16}}},
+			{Service: "backoffice", Standby: true, VMs: []VM{{Name: "s", Resources: room16}}},
 			{Service: "names-api", VMs: busy("d"), Demands: work(48, 3)},
 		}, Move{"s", "backoffice", "names-api"})
 	})
@@ -95,7 +95,7 @@
 	// Long-running items are not part of the backlog, so no VM came back.
 	t.Run("sends VMs for long-running items without a worker", func(t *testing.T) {
 		assertMoves(t, []Pool{
-			{Service: "backoffice", Standby: true, VMs: []VM{{Name: "s", Room: room16}}},
+			{Service: "backoffice", Standby: true, VMs: []VM{{Name: "s", Resources: room16}}},
 			{Service: "names-api", VMs: busy("d"), Demands: []Demand{{Unplaced: 1500}}},
 		}, Move{"s", "backoffice", "names-api"})
 	})
@@ -120,10 +120,10 @@
 	})
 	t.Run("sends VMs that are large enough", func(t *testing.T) {
 		from := idle("a", "b")
-		from[0].Room.MemoryMB = 1024
+		from[0].Resources.MemoryMB = 1024
 		assertMoves(t, []Pool{
 			{Service: "communes", VMs: append(from, idle("c")...)},
-			{Service: "names-api", VMs: busy("e"), Demands: []Demand{{}, {Item: tackroom.Room{MemoryMB: 4096}, Unplaced: 1000}}},
+			{Service: "names-api", VMs: busy("e"), Demands: []Demand{{}, {Item: tackroom.Resources{MemoryMB: 4096}, Unplaced: 1000}}},
 		}, Move{"b", "communes", "names-api"})
 	})
 	t.Run("keeps a VM of each kind", func(t *testing.T) {
--- a/core/tackpool/reserve.go
+++ b/core/tackpool/reserve.go
@@ -93,8 +93,8 @@
 	return minimum
 }
 
-// WantedFor returns the time since work was first wanted; zero if there was none yet.
-func (r *Reserve) WantedFor(now tackclock.Time) tackclock.Duration {
+// SinceFirstWork returns the time since work was first wanted; zero if there was none yet.
+func (r *Reserve) SinceFirstWork(now tackclock.Time) tackclock.Duration {
 	if r.firstWork == 0 {
 		return 0
 	}
--- a/core/tackpool/reserve_test.go
+++ b/core/tackpool/reserve_test.go
@@ -27,7 +27,7 @@
 		p := Pool{Service: tackid.Service(fmt.Sprintf("pool-%d", i)), Demands: []Demand{{}}}
 		for k := range n {
 			vm := VM{Name: tackid.VM(fmt.Sprintf("m-%d-%d", i, k)), Idle: tackclock.Second}
-			vm.Room.MilliCores = vmCores
+			vm.Resources.MilliCores = vmCores
 			p.VMs = append(p.VMs, vm)
 		}
 		f.pools = append(f.pools, p)
@@ -49,7 +49,7 @@
 			}
 		}
 		f.reserve.Observe(f.now, Planner{}, f.pools)
-		plan := Planner{Reserve: f.reserve.MilliCores(f.now), WantedFor: f.reserve.WantedFor(f.now)}.Plan(f.pools, 200)
+		plan := Planner{Reserve: f.reserve.MilliCores(f.now), SinceFirstWork: f.reserve.SinceFirstWork(f.now)}.Plan(f.pools, 200)
 		for _, m := range plan.Moves {
 			f.apply(m)
 		}
--- a/core/tackpool/rest.go
+++ b/core/tackpool/rest.go
@@ -21,7 +21,7 @@
 )
 
 type (
-	// Rest determines the idle time after which VMs move to the standby pool, from how
+	// ParkDelay determines the idle time after which VMs move to the standby pool, from how
 	// long VMs were idle before they were needed again. Its zero value has observed
 	// nothing.
 	//
@@ -30,7 +30,7 @@
 	// then needed costs two moves, and what callers lose while it is on its way. With the
 	// break-even time alone, all VMs of a service without load at night are kept idle for
 	// that long; with a short time, each burst begins without the VMs that it needs.
-	Rest struct {
+	ParkDelay struct {
 		idle      map[tackid.VM]idleVM
 		round     uint64               // number of calls of Observe
 		gaps      []tackclock.Duration // ring buffer of the newest idle times
@@ -49,7 +49,7 @@
 
 // Observe records the state of the VMs. The idle time of a VM ends when it runs
 // something, or is sent to a pool other than the standby pool.
-func (r *Rest) Observe(now tackclock.Time, pools []Pool) {
+func (r *ParkDelay) Observe(now tackclock.Time, pools []Pool) {
 	if r.idle == nil {
 		r.idle = make(map[tackid.VM]idleVM)
 	}
@@ -58,8 +58,8 @@
 		for k := range pools[i].VMs {
 			r.observeVM(now, &pools[i].VMs[k], pools[i].Standby)
 		}
-		for k := range pools[i].Coming {
-			if name := pools[i].Coming[k].Name; !pools[i].Standby {
+		for k := range pools[i].Incoming {
+			if name := pools[i].Incoming[k].Name; !pools[i].Standby {
 				r.endIdle(now, name)
 			} else if x, known := r.idle[name]; known {
 				x.round = r.round
@@ -74,7 +74,7 @@
 	}
 }
 
-func (r *Rest) observeVM(now tackclock.Time, vm *VM, standby bool) {
+func (r *ParkDelay) observeVM(now tackclock.Time, vm *VM, standby bool) {
 	if vm.Idle == 0 && !standby {
 		r.endIdle(now, vm.Name)
 		return
@@ -91,7 +91,7 @@
 }
 
 // endIdle ends the idle time of a VM.
-func (r *Rest) endIdle(now tackclock.Time, name tackid.VM) {
+func (r *ParkDelay) endIdle(now tackclock.Time, name tackid.VM) {
 	x, known := r.idle[name]
 	if !known {
 		return
@@ -107,14 +107,14 @@
 }
 
 // Known returns the number of remembered idle times.
-func (r *Rest) Known() int {
+func (r *ParkDelay) Known() int {
 	return len(r.gaps)
 }
 
 // After returns the idle time after which a VM should be parked. breakEven is the idle
 // time that costs as much as parking and recalling a VM; After returns it while too few
 // idle times are known, and never returns more.
-func (r *Rest) After(now tackclock.Time, breakEven tackclock.Duration) tackclock.Duration {
+func (r *ParkDelay) After(now tackclock.Time, breakEven tackclock.Duration) tackclock.Duration {
 	if now < r.nextJudge && r.after > 0 {
 		return min(r.after, breakEven)
 	}
@@ -125,7 +125,7 @@
 
 // known returns the remembered idle times, and the current ones that are longer than
 // breakEven already.
-func (r *Rest) known(now tackclock.Time, breakEven tackclock.Duration) []tackclock.Duration {
+func (r *ParkDelay) known(now tackclock.Time, breakEven tackclock.Duration) []tackclock.Duration {
 	gaps := slices.Clone(r.gaps)
 	for _, x := range r.idle {
 		if now.Sub(x.since) > breakEven {
--- a/core/tackpool/rest_test.go
+++ b/core/tackpool/rest_test.go
@@ -25,7 +25,7 @@
 	)
 	random := rand.New(rand.NewPCG(1, 2))
 	others = make([]tackclock.Duration, len(fixed))
-	var r Rest
+	var r ParkDelay
 	now := tackclock.Time(1_000_000)
 	for range rounds {
 		var pool Pool
@@ -104,12 +104,12 @@
 }
 
 func TestRestStartsAtBreakEven(t *testing.T) {
-	var r Rest
+	var r ParkDelay
 	if got := r.After(1000, breakEven); got != breakEven {
 		t.Errorf("parked after %v, want the break-even time", got)
 	}
 	r.Observe(1000, []Pool{{VMs: idle("a")}, {Standby: true, VMs: idle("b")}})
-	r.Observe(5000, []Pool{{VMs: busy("a")}, {Coming: idle("b")}})
+	r.Observe(5000, []Pool{{VMs: busy("a")}, {Incoming: idle("b")}})
 	if len(r.gaps) != 2 || r.gaps[0] != 5000 {
 		t.Errorf("idle times %v, want two, the first of 5 s", r.gaps)
 	}
--- a/core/tackpool/standing.go
+++ b/core/tackpool/standing.go
@@ -2,9 +2,9 @@
 
 import "auburntack/core/tackid"
 
-// Standing summarizes what a pool has and what its work requires. It is logged to show
+// PoolStatus summarizes what a pool has and what its work requires. It is logged to show
 // why VMs were moved or not. Cores are in thousandths.
-type Standing struct {
+type PoolStatus struct {
 	Service tackid.Service
 	VMs     int
 	// Idle is the number of VMs that could move if the pool did not need them, Fixed the
@@ -20,14 +20,14 @@
 }
 
 // Lacks reports whether the pool is short of VMs.
-func (s *Standing) Lacks() bool {
+func (s *PoolStatus) Lacks() bool {
 	return s.Wanted > s.Cores+s.Coming
 }
 
-// Standings returns the standings of the pools that have demands.
-func (p Planner) Standings(pools []Pool) []Standing {
+// Statuses returns the standings of the pools that have demands.
+func (p Planner) Statuses(pools []Pool) []PoolStatus {
 	p = p.WithDefaults()
-	var list []Standing
+	var list []PoolStatus
 	for i := range pools {
 		if pool := &pools[i]; !pool.Standby && len(pool.Demands) > 0 {
 			list = append(list, p.standing(pool))
@@ -36,10 +36,10 @@
 	return list
 }
 
-func (p *Planner) standing(pool *Pool) Standing {
+func (p *Planner) standing(pool *Pool) PoolStatus {
 	d := &pool.Demands[0]
-	s := Standing{
-		Service: pool.Service, VMs: len(pool.VMs), Cores: d.cores(pool.VMs), Coming: d.cores(pool.Coming),
+	s := PoolStatus{
+		Service: pool.Service, VMs: len(pool.VMs), Cores: d.cores(pool.VMs), Coming: d.cores(pool.Incoming),
 		Wanted: p.wanted(d), Arriving: d.Arriving,
 	}
 	s.BacklogMS, s.LateMS = d.Backlog/int64(max(s.Cores, 1)), d.Late/int64(max(s.Cores, 1))
--- a/core/tackpool/standing_test.go
+++ b/core/tackpool/standing_test.go
@@ -6,13 +6,13 @@
 	pools := []Pool{
 		{Service: "backoffice", Standby: true, VMs: idle("s")},
 		{Service: "communes", VMs: append(busy("a"), idle("b", "c")...), Demands: []Demand{{Backlog: seconds(48, 2), Pressing: 38400, Arriving: 8000}}},
-		{Service: "names-api", VMs: busy("d"), Coming: idle("e"), Demands: []Demand{{Backlog: seconds(16, 8), Pressing: 51200, Late: seconds(16, 5)}}},
+		{Service: "names-api", VMs: busy("d"), Incoming: idle("e"), Demands: []Demand{{Backlog: seconds(16, 8), Pressing: 51200, Late: seconds(16, 5)}}},
 	}
-	want := []Standing{
+	want := []PoolStatus{
 		{Service: "communes", VMs: 3, Idle: 2, Fixed: 1, Cores: 48000, Wanted: 46400, BacklogMS: 2000, Arriving: 8000},
 		{Service: "names-api", VMs: 1, Fixed: 1, Cores: 16000, Coming: 16000, Wanted: 59200, BacklogMS: 8000, LateMS: 5000},
 	}
-	got := (Planner{}).Standings(pools)
+	got := (Planner{}).Statuses(pools)
 	if len(got) != len(want) {
 		t.Fatalf("standings %+v, want %+v", got, want)
 	}
--- a/core/tackquery/explain.go
+++ b/core/tackquery/explain.go
@@ -80,7 +80,7 @@
 	if !v.Routable() {
 		return
 	}
-	if refused := f.CanTake([]tackid.VM{v.ID}); refused != nil {
+	if refused := f.CheckTake([]tackid.VM{v.ID}); refused != nil {
 		t.addRow("held", "may not be taken out now: %s", refused.Reason)
 		return
 	}
--- a/core/tackquery/running.go
+++ b/core/tackquery/running.go
@@ -48,7 +48,7 @@
 		{"steps", func(w *tackfleet.Wave) any { return int64(w.Steps) }},
 		{"vms", func(w *tackfleet.Wave) any { return int64(len(w.VMs)) }},
 		{"waiting", func(w *tackfleet.Wave) any { return inPhase(w, tackfleet.PhaseWaiting) }},
-		{"out", func(w *tackfleet.Wave) any { return int64(w.Out()) }},
+		{"out", func(w *tackfleet.Wave) any { return int64(w.OutCount()) }},
 		{"settling", func(w *tackfleet.Wave) any { return inPhase(w, tackfleet.PhaseSettling) }},
 		{"done", func(w *tackfleet.Wave) any { return inPhase(w, tackfleet.PhaseDone) }},
 		{"failed", func(w *tackfleet.Wave) any { return inPhase(w, tackfleet.PhaseFailed) }},
--- a/core/tackqueue/queue.go
+++ b/core/tackqueue/queue.go
@@ -20,20 +20,20 @@
 const (
 	// classesPerPower is the number of size classes per power of two.
 	classesPerPower = 2
-	// Sizes is the number of size classes: enough for four million cores, and the number
+	// SizeClasses is the number of size classes: enough for four million cores, and the number
 	// of bits in a mask of them.
-	Sizes = 64
-	// Shelves is the number of shelves of a queue.
-	Shelves = 32
+	SizeClasses = 64
+	// Partitions is the number of shelves of a queue.
+	Partitions = 32
 )
 
 const (
-	// Serves is long-running work, which goes first.
-	Serves Class = iota
+	// LongRunning is long-running work, which goes first.
+	LongRunning Class = iota
 	// Batch is work that ends.
 	Batch
-	// Fills is work that uses leftover processor time.
-	Fills
+	// BestEffort is work that uses leftover processor time.
+	BestEffort
 )
 
 type (
@@ -53,9 +53,9 @@
 		Rank Rank
 		// MilliCores is the size of one item, in thousandths of a core.
 		MilliCores int
-		// Shelf is the partition of the entry, below Shelves. Entries that some workers
+		// Partition is the partition of the entry, below Shelves. Entries that some workers
 		// cannot start at some times are kept on other shelves than the rest.
-		Shelf int
+		Partition int
 	}
 
 	// Entry is a waiting entry.
@@ -66,10 +66,10 @@
 
 	// Queue holds entries. Its zero value is empty. It is not safe for concurrent use.
 	Queue[E Entry] struct {
-		shelves [Shelves]shelf[E]
+		shelves [Partitions]shelf[E]
 		n       int
-		// Looked counts the entries that iterations have visited.
-		Looked uint64
+		// Examined counts the entries that iterations have visited.
+		Examined uint64
 	}
 
 	// shelf holds the entries of one shelf by size class. The bits of nonEmpty stand for
@@ -93,15 +93,15 @@
 	)
 }
 
-// Size returns the size class of an amount in thousandths of a core, below Sizes. Larger
+// SizeClass returns the size class of an amount in thousandths of a core, below Sizes. Larger
 // amounts have the same or a higher class.
-func Size(milliCores int) int {
+func SizeClass(milliCores int) int {
 	if milliCores <= 1 {
 		return 0
 	}
 	power := bits.Len(uint(milliCores)) - 1
 	half := milliCores >> (power - 1) & 1
-	return min(power*classesPerPower+half, Sizes-1)
+	return min(power*classesPerPower+half, SizeClasses-1)
 }
 
 // Len returns the number of queued entries.
@@ -111,7 +111,7 @@
 
 // bucket returns the bucket of a key, or nil if it has never had entries.
 func (q *Queue[E]) bucket(k Key) *bucket[E] {
-	return q.shelves[k.Shelf].bySize[Size(k.MilliCores)]
+	return q.shelves[k.Partition].bySize[SizeClass(k.MilliCores)]
 }
 
 // Insert adds an entry.
@@ -120,14 +120,14 @@
 	b := q.bucket(key)
 	if b == nil {
 		b = &bucket[E]{}
-		s := &q.shelves[key.Shelf]
+		s := &q.shelves[key.Partition]
 		if s.bySize == nil {
 			s.bySize = make(map[int]*bucket[E])
 		}
-		s.bySize[Size(key.MilliCores)] = b
+		s.bySize[SizeClass(key.MilliCores)] = b
 	}
 	b.entries = slices.Insert(b.entries, b.insertionIndex(key.Rank), e)
-	q.shelves[key.Shelf].nonEmpty |= 1 << Size(key.MilliCores)
+	q.shelves[key.Partition].nonEmpty |= 1 << SizeClass(key.MilliCores)
 	q.n++
 }
 
@@ -158,7 +158,7 @@
 func (q *Queue[E]) removed(k Key, b *bucket[E], n int) {
 	q.n -= n
 	if len(b.entries) == 0 {
-		q.shelves[k.Shelf].nonEmpty &^= 1 << Size(k.MilliCores)
+		q.shelves[k.Partition].nonEmpty &^= 1 << SizeClass(k.MilliCores)
 	}
 }
 
@@ -168,7 +168,7 @@
 		s := &q.shelves[i]
 		for at, b := range s.bySize {
 			before := len(b.entries)
-			q.Looked += uint64(before)
+			q.Examined += uint64(before)
 			b.entries = slices.DeleteFunc(b.entries, f)
 			q.n -= before - len(b.entries)
 			if len(b.entries) == 0 {
@@ -188,7 +188,7 @@
 // large are left out. The queue must not change during the iteration.
 func (q *Queue[E]) Fitting(milliCores int, has func(shelf int) bool) iter.Seq[E] {
 	return func(yield func(E) bool) {
-		var space [Sizes][]E
+		var space [SizeClasses][]E
 		heads := q.heads(space[:0], milliCores, has)
 		for len(heads) > 0 {
 			first := lowestHead(heads)
@@ -196,7 +196,7 @@
 			if heads[first] = heads[first][1:]; len(heads[first]) == 0 {
 				heads = slices.Delete(heads, first, first+1)
 			}
-			q.Looked++
+			q.Examined++
 			if !yield(e) {
 				return
 			}
@@ -218,7 +218,7 @@
 // fitting returns the mask of the size classes that may fit in the given thousandths of a
 // core.
 func fitting(milliCores int) uint64 {
-	return uint64(1)<<(Size(max(milliCores, 0))+1) - 1
+	return uint64(1)<<(SizeClass(max(milliCores, 0))+1) - 1
 }
 
 // heads appends the entry list of each bucket that may fit.
--- a/core/tackqueue/queue_test.go
+++ b/core/tackqueue/queue_test.go
@@ -31,7 +31,7 @@
 	for i := range n {
 		list = append(list, &entry{key: Key{
 			Rank:       Rank{Class: Class(r.IntN(3)), Priority: r.IntN(2), Deadline: tackclock.Time(i)},
-			MilliCores: r.IntN(20_000), Shelf: r.IntN(Shelves),
+			MilliCores: r.IntN(20_000), Partition: r.IntN(Partitions),
 		}})
 	}
 	slices.SortFunc(list, func(a, b *entry) int { return a.key.Rank.Compare(b.key.Rank) })
@@ -53,7 +53,7 @@
 	t.Run("of fitting entries", func(t *testing.T) {
 		var want []*entry
 		for _, e := range list {
-			if Size(e.key.MilliCores) <= Size(5000) && e.key.Shelf < 3 {
+			if SizeClass(e.key.MilliCores) <= SizeClass(5000) && e.key.Partition < 3 {
 				want = append(want, e)
 			}
 		}
@@ -65,8 +65,8 @@
 			q.Remove(e)
 			q.Remove(e) // has no effect
 		}
-		q.RemoveFunc(func(e *entry) bool { return e.key.Shelf == 1 })
-		kept = slices.DeleteFunc(slices.Delete(kept, 100, 200), func(e *entry) bool { return e.key.Shelf == 1 })
+		q.RemoveFunc(func(e *entry) bool { return e.key.Partition == 1 })
+		kept = slices.DeleteFunc(slices.Delete(kept, 100, 200), func(e *entry) bool { return e.key.Partition == 1 })
 		assertOrder(t, slices.Collect(q.All()), kept)
 		if q.Len() != len(kept) {
 			t.Errorf("length %d, want %d", q.Len(), len(kept))
@@ -78,15 +78,15 @@
 func TestSizes(t *testing.T) {
 	for _, small := range []int{0, 1, 2, 3, 5, 999, 1000, 16_000, math.MaxInt32} {
 		for _, more := range []int{0, 1, 7, 1000} {
-			if Size(small) > Size(small+more) || Size(small) >= Sizes {
-				t.Errorf("Size(%d) = %d, Size(%d) = %d, want both in order and below Sizes", small, Size(small), small+more, Size(small+more))
+			if SizeClass(small) > SizeClass(small+more) || SizeClass(small) >= SizeClasses {
+				t.Errorf("Size(%d) = %d, Size(%d) = %d, want both in order and below Sizes", small, SizeClass(small), small+more, SizeClass(small+more))
 			}
 		}
 	}
 }
 
 func TestFits(t *testing.T) {
-	q := filled([]*entry{{key: Key{MilliCores: 4000, Shelf: 2}}})
+	q := filled([]*entry{{key: Key{MilliCores: 4000, Partition: 2}}})
 	for _, test := range []struct {
 		milliCores int
 		has        func(int) bool
@@ -114,7 +114,7 @@
 	for range q.Fitting(2000, anyShelf) {
 		t.Fatal("an entry of 8 cores fits 2")
 	}
-	if q.Looked != 0 {
-		t.Errorf("%d entries were visited", q.Looked)
+	if q.Examined != 0 {
+		t.Errorf("%d entries were visited", q.Examined)
 	}
 }
--- a/core/tackquota/book.go
+++ b/core/tackquota/book.go
@@ -38,12 +38,12 @@
 type (
 	// Grant is the limit on what a workspace may have running, as committed to the log.
 	Grant struct {
-		Workspace tackid.Workspace `cbor:"1,keyasint"`
-		Room      tackroom.Room    `cbor:"2,keyasint"`
+		Workspace tackid.Workspace   `cbor:"1,keyasint"`
+		Resources tackroom.Resources `cbor:"2,keyasint"`
 	}
 
 	// Grants are the grants committed to the log.
-	Grants map[tackid.Workspace]tackroom.Room
+	Grants map[tackid.Workspace]tackroom.Resources
 
 	// Book holds the accounts of one leader. Its zero value has none. It is not safe for
 	// concurrent use.
@@ -53,7 +53,7 @@
 		// started and that no worker has reported.
 		leasesOver tackclock.Time
 		requesting []*Account // accounts with a grant to propose
-		all        tackroom.Room
+		all        tackroom.Resources
 		weights    float64 // sum over all workspaces
 		lowerAt    tackclock.Time
 	}
@@ -62,21 +62,21 @@
 	Account struct {
 		book *Book
 		name tackid.Workspace
-		cap  tackroom.Room // a zero field means no limit
+		cap  tackroom.Resources // a zero field means no limit
 		// weight is its share relative to the weights of the others; zero if it has none.
 		weight float64
 		// used is what is known to run, and earlier the part of it that earlier leaders
 		// started.
-		used    tackroom.Room
-		earlier tackroom.Room
+		used    tackroom.Resources
+		earlier tackroom.Resources
 		// inherited is the limit on what earlier leaders may have had running.
-		inherited tackroom.Room
+		inherited tackroom.Resources
 		// requested is the newest grant that was requested, and proposed are the proposed
 		// grants that are not known to be committed. granted is the minimum of those and
 		// of the committed one: the next leader may find any of them.
-		requested  tackroom.Room
-		proposed   []tackroom.Room
-		granted    tackroom.Room
+		requested  tackroom.Resources
+		proposed   []tackroom.Resources
+		granted    tackroom.Resources
 		requesting bool // is in Book.requesting
 	}
 )
@@ -93,9 +93,9 @@
 	b.SetCaps(workspaces)
 }
 
-// BeginAgain resets the accounts for the same leader, some of whose proposals may not be
+// Restart resets the accounts for the same leader, some of whose proposals may not be
 // committed yet.
-func (b *Book) BeginAgain(leasesOver tackclock.Time, workspaces []tackworkspace.Workspace, grants Grants) {
+func (b *Book) Restart(leasesOver tackclock.Time, workspaces []tackworkspace.Workspace, grants Grants) {
 	before := b.accounts
 	b.Begin(leasesOver, nil, grants)
 	for name, a := range before {
@@ -113,7 +113,7 @@
 // not listed has no cap.
 func (b *Book) SetCaps(workspaces []tackworkspace.Workspace) {
 	for _, a := range b.accounts {
-		a.cap, a.weight = tackroom.Room{}, 0
+		a.cap, a.weight = tackroom.Resources{}, 0
 	}
 	b.weights = 0
 	for i := range workspaces {
@@ -134,40 +134,40 @@
 	}
 	a := b.accounts[name]
 	if a == nil {
-		a = &Account{book: b, name: name, inherited: tackroom.Room{MilliCores: unlimited, MemoryMB: unlimited, GPUs: unlimited}}
+		a = &Account{book: b, name: name, inherited: tackroom.Resources{MilliCores: unlimited, MemoryMB: unlimited, GPUs: unlimited}}
 		b.accounts[name] = a
 	}
 	return a
 }
 
-// Wanted returns the grants to propose to the log that were requested since the last
+// TakeRequested returns the grants to propose to the log that were requested since the last
 // call.
-func (b *Book) Wanted(now tackclock.Time) []Grant {
+func (b *Book) TakeRequested(now tackclock.Time) []Grant {
 	b.lower(now)
 	var list []Grant
 	for _, a := range b.requesting {
 		a.requesting = false
 		a.proposed = append(a.proposed, a.requested)
 		a.granted = a.granted.Min(a.requested) // another grant may have been committed meanwhile
-		list = append(list, Grant{Workspace: a.name, Room: a.requested})
+		list = append(list, Grant{Workspace: a.name, Resources: a.requested})
 	}
 	b.requesting = nil
 	return list
 }
 
-// Granted records that the grants have been committed to the log.
-func (b *Book) Granted(list []Grant) {
+// Committed records that the grants have been committed to the log.
+func (b *Book) Committed(list []Grant) {
 	for _, g := range list {
 		a := b.Account(g.Workspace)
-		if at := slices.Index(a.proposed, g.Room); at >= 0 {
+		if at := slices.Index(a.proposed, g.Resources); at >= 0 {
 			a.proposed = a.proposed[at+1:]
 		}
-		a.grant(g.Room)
+		a.grant(g.Resources)
 	}
 }
 
 // grant records the committed grant.
-func (a *Account) grant(held tackroom.Room) {
+func (a *Account) grant(held tackroom.Resources) {
 	a.granted = held
 	for _, room := range a.proposed {
 		a.granted = a.granted.Min(room)
@@ -183,7 +183,7 @@
 	for _, name := range b.names() {
 		a := b.accounts[name]
 		next := a.grantFor(a.used)
-		if a.requested != a.granted || !a.capped() || next.Plus(a.cap.Over(grantStepDivisor).Times(maxSlackSteps-1)).Fits(a.granted) {
+		if a.requested != a.granted || !a.capped() || next.Plus(a.cap.DividedBy(grantStepDivisor).Times(maxSlackSteps-1)).Fits(a.granted) {
 			continue
 		}
 		// The lower grant may be committed as soon as it is proposed, so it applies from
@@ -207,7 +207,7 @@
 // Allows reports whether the workspace may start need at now. If only the grant is too
 // low for it, Allows requests a higher one. An item that is larger than the cap may run
 // if nothing else does.
-func (a *Account) Allows(now tackclock.Time, need tackroom.Room) bool {
+func (a *Account) Allows(now tackclock.Time, need tackroom.Resources) bool {
 	if a == nil || !a.capped() {
 		return true
 	}
@@ -223,17 +223,17 @@
 	return false
 }
 
-// Expect requests, within the cap, the grant that allows need to start soon, so that the
+// RequestAhead requests, within the cap, the grant that allows need to start soon, so that the
 // start need not wait for the log once there is a worker for it.
-func (a *Account) Expect(now tackclock.Time, need tackroom.Room) {
+func (a *Account) RequestAhead(now tackclock.Time, need tackroom.Resources) {
 	if a != nil && a.capped() {
-		a.request(a.running(now).Plus(need).Within(a.cap))
+		a.request(a.running(now).Plus(need).CappedBy(a.cap))
 	}
 }
 
-// Keeps reports whether a start that was counted already, but has not been ordered yet,
+// WithinCap reports whether a start that was counted already, but has not been ordered yet,
 // is still within the cap.
-func (a *Account) Keeps(now tackclock.Time, room tackroom.Room) bool {
+func (a *Account) WithinCap(now tackclock.Time, room tackroom.Resources) bool {
 	if a == nil {
 		return true
 	}
@@ -242,7 +242,7 @@
 }
 
 // within reports whether what runs may grow from runs to total.
-func (a *Account) within(runs, total tackroom.Room) bool {
+func (a *Account) within(runs, total tackroom.Resources) bool {
 	return withinPart(runs.MilliCores, total.MilliCores, a.cap.MilliCores) &&
 		withinPart(runs.MemoryMB, total.MemoryMB, a.cap.MemoryMB) && withinPart(runs.GPUs, total.GPUs, a.cap.GPUs)
 }
@@ -251,13 +251,13 @@
 	return limit == 0 || total <= limit || runs == 0
 }
 
-// Holds reports whether the cap allows need to run at once if nothing else runs.
-func (a *Account) Holds(need tackroom.Room) bool {
-	return a == nil || a.cap.Bounds(need)
+// CapAllows reports whether the cap allows need to run at once if nothing else runs.
+func (a *Account) CapAllows(need tackroom.Resources) bool {
+	return a == nil || a.cap.Allows(need)
 }
 
 // Start records that room has been ordered to start, or was so by an earlier leader.
-func (a *Account) Start(room tackroom.Room, earlier bool) {
+func (a *Account) Start(room tackroom.Resources, earlier bool) {
 	if a == nil {
 		return
 	}
@@ -270,7 +270,7 @@
 
 // prefetch requests a higher grant before starts have to wait for it.
 func (a *Account) prefetch() {
-	if soon := a.used.Plus(a.cap.Over(2 * grantStepDivisor)); a.capped() && !a.covers(a.requested, soon.Min(a.grantFor(a.used))) {
+	if soon := a.used.Plus(a.cap.DividedBy(2 * grantStepDivisor)); a.capped() && !a.covers(a.requested, soon.Min(a.grantFor(a.used))) {
 		a.requested = a.requested.Max(a.grantFor(a.used))
 		a.enqueue()
 	}
@@ -278,14 +278,14 @@
 
 // covers reports whether a grant suffices for total. Resources without a cap are always
 // covered.
-func (a *Account) covers(grant, total tackroom.Room) bool {
+func (a *Account) covers(grant, total tackroom.Resources) bool {
 	part := func(granted, total, limit int) bool { return limit == 0 || total <= granted }
 	return part(grant.MilliCores, total.MilliCores, a.cap.MilliCores) &&
 		part(grant.MemoryMB, total.MemoryMB, a.cap.MemoryMB) && part(grant.GPUs, total.GPUs, a.cap.GPUs)
 }
 
 // End records that room, which was started before, no longer runs.
-func (a *Account) End(room tackroom.Room, earlier bool) {
+func (a *Account) End(room tackroom.Resources, earlier bool) {
 	if a == nil {
 		return
 	}
@@ -296,16 +296,16 @@
 }
 
 // Used returns what is known to run.
-func (a *Account) Used() tackroom.Room { return a.used }
+func (a *Account) Used() tackroom.Resources { return a.used }
 
 // Granted returns what may run until the log grants more. For resources without a cap it
 // exceeds all that exists.
-func (a *Account) Granted() tackroom.Room { return a.granted }
+func (a *Account) Granted() tackroom.Resources { return a.granted }
 
 // Cap returns the cap; a zero field means no limit.
-func (a *Account) Cap() tackroom.Room {
+func (a *Account) Cap() tackroom.Resources {
 	if a == nil {
-		return tackroom.Room{}
+		return tackroom.Resources{}
 	}
 	return a.cap
 }
@@ -321,7 +321,7 @@
 // running returns what may be running at now. Until the leases of earlier leaders have
 // expired, they may have started everything that was granted, no matter how much of it
 // has been reported.
-func (a *Account) running(now tackclock.Time) tackroom.Room {
+func (a *Account) running(now tackclock.Time) tackroom.Resources {
 	if now >= a.book.leasesOver {
 		return a.used
 	}
@@ -329,11 +329,11 @@
 }
 
 func (a *Account) capped() bool {
-	return a.cap != tackroom.Room{}
+	return a.cap != tackroom.Resources{}
 }
 
 // request requests a grant that allows total to run.
-func (a *Account) request(total tackroom.Room) {
+func (a *Account) request(total tackroom.Resources) {
 	if !a.capped() || a.covers(a.requested, total) {
 		return
 	}
@@ -343,14 +343,14 @@
 
 // grantFor returns the grant to request for total: one step more, but no more than the
 // cap unless more runs already. Resources without a cap are granted without limit.
-func (a *Account) grantFor(total tackroom.Room) tackroom.Room {
+func (a *Account) grantFor(total tackroom.Resources) tackroom.Resources {
 	part := func(total, limit int) int {
 		if limit == 0 {
 			return unlimited
 		}
 		return max(total, min(limit, total+limit/grantStepDivisor))
 	}
-	return tackroom.Room{
+	return tackroom.Resources{
 		MilliCores: part(total.MilliCores, a.cap.MilliCores), MemoryMB: part(total.MemoryMB, a.cap.MemoryMB),
 		GPUs: part(total.GPUs, a.cap.GPUs),
 	}
--- a/core/tackquota/book_test.go
+++ b/core/tackquota/book_test.go
@@ -13,26 +13,26 @@
 
 const mairies = tackid.Workspace("mairies")
 
-func cores(n int) tackroom.Room {
-	return tackroom.Room{MilliCores: 1000 * n, MemoryMB: 1000 * n}
+func cores(n int) tackroom.Resources {
+	return tackroom.Resources{MilliCores: 1000 * n, MemoryMB: 1000 * n}
 }
 
-func capped(room tackroom.Room) []tackworkspace.Workspace {
+func capped(room tackroom.Resources) []tackworkspace.Workspace {
 	return []tackworkspace.Workspace{{Name: mairies, Cap: room}}
 }
 
 // commitWanted commits the grants that the book wants.
 func commitWanted(b *Book, now tackclock.Time, grants Grants) {
-	list := b.Wanted(now)
+	list := b.TakeRequested(now)
 	for _, g := range list {
-		grants[g.Workspace] = g.Room
+		grants[g.Workspace] = g.Resources
 	}
-	b.Granted(list)
+	b.Committed(list)
 }
 
 // newAccount returns the account of a leader after the leases of earlier leaders have
 // expired.
-func newAccount(caps tackroom.Room) (*Book, *Account, Grants) {
+func newAccount(caps tackroom.Resources) (*Book, *Account, Grants) {
 	b, grants := new(Book), make(Grants)
 	b.Begin(0, capped(caps), grants)
 	commitWanted(b, 0, grants)
@@ -41,14 +41,14 @@
 
 // assertMay calls Allows twice: the first call may have to wait for a grant to be
 // committed.
-func assertMay(t *testing.T, a *Account, now tackclock.Time, need tackroom.Room, want bool) {
+func assertMay(t *testing.T, a *Account, now tackclock.Time, need tackroom.Resources, want bool) {
 	t.Helper()
 	a.Allows(now, need)
 	commitWanted(a.book, now, make(Grants))
 	assertAllows(t, a, now, need, want)
 }
 
-func assertAllows(t *testing.T, a *Account, now tackclock.Time, need tackroom.Room, want bool) {
+func assertAllows(t *testing.T, a *Account, now tackclock.Time, need tackroom.Resources, want bool) {
 	t.Helper()
 	if got := a.Allows(now, need); got != want {
 		t.Errorf("%+v beside %+v of %+v: %v, want %v", need, a.Used(), a.Cap(), got, want)
@@ -57,13 +57,13 @@
 
 func TestCap(t *testing.T) {
 	t.Run("holds for each kind of resource", func(t *testing.T) {
-		_, a, _ := newAccount(tackroom.Room{MilliCores: 10_000, MemoryMB: 40_000})
+		_, a, _ := newAccount(tackroom.Resources{MilliCores: 10_000, MemoryMB: 40_000})
 		a.Start(cores(7), false)
 		assertMay(t, a, 1, cores(3), true)
 		assertMay(t, a, 1, cores(4), false)
-		assertMay(t, a, 1, tackroom.Room{MemoryMB: 33_000}, true)
-		assertMay(t, a, 1, tackroom.Room{MemoryMB: 33_001}, false)
-		assertMay(t, a, 1, tackroom.Room{MilliCores: 1, GPUs: 8}, true)
+		assertMay(t, a, 1, tackroom.Resources{MemoryMB: 33_000}, true)
+		assertMay(t, a, 1, tackroom.Resources{MemoryMB: 33_001}, false)
+		assertMay(t, a, 1, tackroom.Resources{MilliCores: 1, GPUs: 8}, true)
 		a.End(cores(7), false)
 		assertMay(t, a, 2, cores(10), true)
 	})
@@ -76,7 +76,7 @@
 	t.Run("none without a workspace", func(t *testing.T) {
 		var none *Account
 		assertNone := (&Book{}).Account("")
-		if assertNone != nil || !none.Allows(0, cores(1000)) || !none.Holds(cores(1000)) {
+		if assertNone != nil || !none.Allows(0, cores(1000)) || !none.CapAllows(cores(1000)) {
 			t.Error("a job without a workspace is limited")
 		}
 		none.Start(cores(1), false)
@@ -98,8 +98,8 @@
 		assertMay(t, a, 1, cores(100), true)
 	})
 	t.Run("of a gang", func(t *testing.T) {
-		_, a, _ := newAccount(tackroom.Room{MilliCores: 10_000})
-		if !a.Holds(cores(10)) || a.Holds(cores(11)) || !a.Holds(tackroom.Room{GPUs: 50}) {
+		_, a, _ := newAccount(tackroom.Resources{MilliCores: 10_000})
+		if !a.CapAllows(cores(10)) || a.CapAllows(cores(11)) || !a.CapAllows(tackroom.Resources{GPUs: 50}) {
 			t.Error("wrong answer on what the cap allows at once")
 		}
 	})
@@ -120,8 +120,8 @@
 	next := new(Book)
 	next.Begin(leasesOver, capped(cores(40)), grants)
 	a = next.Account(mairies)
-	beside := tackroom.Room{MilliCores: 40_000 - granted}
-	assertAllows(t, a, 100, beside.Plus(tackroom.Room{MilliCores: 1}), false)
+	beside := tackroom.Resources{MilliCores: 40_000 - granted}
+	assertAllows(t, a, 100, beside.Plus(tackroom.Resources{MilliCores: 1}), false)
 	t.Run("once the higher grant is committed", func(t *testing.T) {
 		assertAllows(t, a, 100, beside, false)
 		commitWanted(next, 100, grants)
@@ -130,9 +130,9 @@
 	t.Run("no matter how much of it has been reported", func(t *testing.T) {
 		a.Start(cores(6), true)
 		assertAllows(t, a, 200, beside, true)
-		assertAllows(t, a, 200, beside.Plus(tackroom.Room{MilliCores: 1}), false)
+		assertAllows(t, a, 200, beside.Plus(tackroom.Resources{MilliCores: 1}), false)
 		a.End(cores(6), true)
-		assertAllows(t, a, 200, beside.Plus(tackroom.Room{MilliCores: 1}), false)
+		assertAllows(t, a, 200, beside.Plus(tackroom.Resources{MilliCores: 1}), false)
 	})
 	t.Run("then by what actually runs", func(t *testing.T) {
 		a.Start(cores(8), true)
@@ -176,11 +176,11 @@
 // fleet models workers that keep running across leaders, and a log that may lose
 // uncommitted proposals when a leader is lost.
 type fleet struct {
-	cap      tackroom.Room
+	cap      tackroom.Resources
 	grants   Grants
-	runs     []tackroom.Room // what actually runs
-	heard    []bool          // reported to the present leader
-	early    []bool          // started by an earlier leader
+	runs     []tackroom.Resources // what actually runs
+	heard    []bool               // reported to the present leader
+	early    []bool               // started by an earlier leader
 	inFlight [][]Grant
 	book     *Book
 	now      tackclock.Time
@@ -195,7 +195,7 @@
 
 // again restarts the accounts of the leader while its proposals are not committed yet.
 func (f *fleet) again() {
-	f.book.BeginAgain(f.now.Add(1000), capped(f.cap), f.grants)
+	f.book.Restart(f.now.Add(1000), capped(f.cap), f.grants)
 	f.forget()
 }
 
@@ -210,9 +210,9 @@
 		return
 	}
 	for _, g := range f.inFlight[0] {
-		f.grants[g.Workspace] = g.Room
+		f.grants[g.Workspace] = g.Resources
 	}
-	f.book.Granted(f.inFlight[0])
+	f.book.Committed(f.inFlight[0])
 	f.inFlight = f.inFlight[1:]
 }
 
@@ -226,8 +226,8 @@
 	f.runs, f.heard, f.early = f.runs[:last], f.heard[:last], f.early[:last]
 }
 
-func (f *fleet) total() tackroom.Room {
-	var sum tackroom.Room
+func (f *fleet) total() tackroom.Resources {
+	var sum tackroom.Resources
 	for _, r := range f.runs {
 		sum = sum.Plus(r)
 	}
@@ -245,7 +245,7 @@
 			a := f.book.Account(mairies)
 			switch rapid.SampledFrom([]string{"start", "start", "start", "end", "hear", "commit", "commit", "want", "lose", "again", "lost"}).Draw(t, "act") {
 			case "start":
-				need := tackroom.Room{MilliCores: rapid.IntRange(1, 8).Draw(t, "cores") * 1000, MemoryMB: rapid.IntRange(0, 9).Draw(t, "memory") * 1000}
+				need := tackroom.Resources{MilliCores: rapid.IntRange(1, 8).Draw(t, "cores") * 1000, MemoryMB: rapid.IntRange(0, 9).Draw(t, "memory") * 1000}
 				for a.Allows(f.now, need) && rapid.IntRange(0, 4).Draw(t, "again") > 0 {
 					a.Start(need, false)
 					f.runs, f.heard, f.early = append(f.runs, need), append(f.heard, true), append(f.early, false)
@@ -257,7 +257,7 @@
 			case "hear":
 				f.hear(t)
 			case "want":
-				if list := f.book.Wanted(f.now); len(list) > 0 {
+				if list := f.book.TakeRequested(f.now); len(list) > 0 {
 					f.inFlight = append(f.inFlight, list)
 				}
 			case "commit":
@@ -299,7 +299,7 @@
 	if a.Allows(f.now, cores(1)) {
 		return
 	}
-	f.inFlight = append(f.inFlight, f.book.Wanted(f.now))
+	f.inFlight = append(f.inFlight, f.book.TakeRequested(f.now))
 	f.commit()
 	if !a.Allows(f.now, cores(1)) {
 		t.Fatalf("nothing runs and nothing can start: %v", a)
@@ -324,7 +324,7 @@
 	}
 	book := new(Book)
 	book.Begin(0, list, nil)
-	book.Granted(book.Wanted(1))
+	book.Committed(book.TakeRequested(1))
 	a := book.Account("A")
 	b.ReportAllocs()
 	for b.Loop() {
--- a/core/tackquota/share.go
+++ b/core/tackquota/share.go
@@ -15,8 +15,8 @@
 	maxOver = 4
 )
 
-// SetRoom sets the total resources of all workers.
-func (b *Book) SetRoom(all tackroom.Room) {
+// SetCapacity sets the total resources of all workers.
+func (b *Book) SetCapacity(all tackroom.Resources) {
 	b.all = all
 }
 
@@ -29,14 +29,14 @@
 	return a.weight / a.book.weights
 }
 
-// Over returns how far the workspace is beyond its share, judged by the resource of which
+// SharesOver returns how far the workspace is beyond its share, judged by the resource of which
 // it uses the largest fraction: 0 if it is within twice its share, then 1, and one more
 // for each doubling.
 //
 // Load pattern: one workspace submits ten times its usual load while the others submit
 // what they always do. By deadlines alone, its jobs would be nine out of ten that start,
 // and those of the others would be late.
-func (a *Account) Over() int {
+func (a *Account) SharesOver() int {
 	if a == nil || a.weight <= 0 {
 		return 0
 	}
--- a/core/tackrelay/message.go
+++ b/core/tackrelay/message.go
@@ -23,13 +23,13 @@
 	Reports struct {
 		// DataCentre is the data centre of the relay.
 		DataCentre tackid.DataCentre `cbor:"1,keyasint"`
-		List       []Numbered        `cbor:"2,keyasint,omitempty"`
+		List       []NumberedReport  `cbor:"2,keyasint,omitempty"`
 		// On reports whether the relay forwards reports, as the last leader told it.
 		On bool `cbor:"3,keyasint,omitempty"`
 	}
 
-	// Numbered is a report with the number by which the relay identifies the answer to it.
-	Numbered struct {
+	// NumberedReport is a report with the number by which the relay identifies the answer to it.
+	NumberedReport struct {
 		Number uint64              `cbor:"1,keyasint"`
 		Report tackdispatch.Report `cbor:"2,keyasint"`
 	}
@@ -46,8 +46,8 @@
 	Answer struct {
 		Number uint64              `cbor:"1,keyasint"`
 		Orders tackdispatch.Orders `cbor:"2,keyasint"`
-		// Ask is the control VM that the worker must report to next.
-		Ask tackid.Peer `cbor:"3,keyasint,omitempty"`
+		// NextPeer is the control VM that the worker must report to next.
+		NextPeer tackid.Peer `cbor:"3,keyasint,omitempty"`
 		// NotLeader reports that the VM that answered is not the leader.
 		NotLeader bool `cbor:"4,keyasint,omitempty"`
 		// Problem is the reason why the report is not that of a worker, or empty if it is.
--- a/core/tackrelay/outbox.go
+++ b/core/tackrelay/outbox.go
@@ -76,7 +76,7 @@
 // Next returns the reports to send to the leader now. After a change of leader all pending
 // reports are sent again: the reports of each worker carry sequence numbers, so a duplicate
 // changes nothing.
-func (o *Outbox) Next(now tackclock.Time, leader tackid.Peer) []Numbered {
+func (o *Outbox) Next(now tackclock.Time, leader tackid.Peer) []NumberedReport {
 	if leader == "" || leader == o.leader && now < o.retryAt {
 		return nil
 	}
@@ -87,20 +87,20 @@
 			o.unsent = append(o.unsent, number)
 		}
 	}
-	var list []Numbered
+	var list []NumberedReport
 	for len(o.unsent) > 0 && len(list) < maxBatch {
 		number := o.unsent[0]
 		o.unsent = o.unsent[1:]
 		if h := o.pending[number]; h != nil {
-			list = append(list, Numbered{Number: number, Report: *h.report})
+			list = append(list, NumberedReport{Number: number, Report: *h.report})
 		}
 	}
 	return list
 }
 
-// Take delivers answers to the callers of Add. A report stays pending if the VM that
+// Deliver delivers answers to the callers of Add. A report stays pending if the VM that
 // answered is not the leader.
-func (o *Outbox) Take(now tackclock.Time, from tackid.Peer, list []Answer) {
+func (o *Outbox) Deliver(now tackclock.Time, from tackid.Peer, list []Answer) {
 	for _, a := range list {
 		h := o.pending[a.Number]
 		if h == nil {
--- a/core/tackrelay/relay_test.go
+++ b/core/tackrelay/relay_test.go
@@ -28,7 +28,7 @@
 	return number
 }
 
-func assertSent(t *testing.T, got []Numbered, want ...uint64) {
+func assertSent(t *testing.T, got []NumberedReport, want ...uint64) {
 	t.Helper()
 	sent := make(map[uint64]bool)
 	for _, n := range got {
@@ -56,7 +56,7 @@
 		var o Outbox
 		a, b := add(t, &o, 1, none), add(t, &o, 2, none)
 		o.Next(0, first)
-		o.Take(0, first, []Answer{{Number: a}})
+		o.Deliver(0, first, []Answer{{Number: a}})
 		assertSent(t, o.Next(0, ""))
 		assertSent(t, o.Next(0, second), b)
 	})
@@ -65,8 +65,8 @@
 		delivered := 0
 		a := add(t, &o, 1, func(Answer) { delivered++ })
 		o.Next(0, first)
-		o.Take(0, first, []Answer{{Number: a}, {Number: a}})
-		o.Take(0, second, []Answer{{Number: a}})
+		o.Deliver(0, first, []Answer{{Number: a}, {Number: a}})
+		o.Deliver(0, second, []Answer{{Number: a}})
 		if delivered != 1 || o.Len() != 0 {
 			t.Errorf("delivered %d times, %d pending", delivered, o.Len())
 		}
@@ -75,7 +75,7 @@
 		var o Outbox
 		a := add(t, &o, 1, none)
 		o.Next(0, first)
-		o.Take(0, first, []Answer{{Number: a, NotLeader: true}})
+		o.Deliver(0, first, []Answer{{Number: a, NotLeader: true}})
 		assertSent(t, o.Next(tackclock.Time(retryAfter)-1, first))
 		assertSent(t, o.Next(tackclock.Time(retryAfter), first), a)
 	})
@@ -106,7 +106,7 @@
 	for i := range n {
 		r.Heard(0, relayOf(i), []tackid.DataCentre{"rennes", "brest"}[i%2])
 	}
-	r.Judge(1000, 1000, true)
+	r.Update(1000, 1000, true)
 	return r
 }
 
@@ -121,8 +121,8 @@
 			workers int
 			on      bool
 		}{{799, false}, {999, false}, {1000, true}, {800, true}, {799, false}} {
-			if r.Judge(test.workers, 1000, true); r.On() != test.on {
-				t.Errorf("with %d workers: relays enabled %v", test.workers, r.On())
+			if r.Update(test.workers, 1000, true); r.Enabled() != test.on {
+				t.Errorf("with %d workers: relays enabled %v", test.workers, r.Enabled())
 			}
 		}
 		if got := r.Choose(0, "i-1", "rennes", relayOf(0)); got != "" {
@@ -132,10 +132,10 @@
 	t.Run("a new leader keeps the state of the previous one", func(t *testing.T) {
 		r := &Roster{}
 		r.Inherit()
-		if r.Judge(3, 1000, false); !r.On() {
+		if r.Update(3, 1000, false); !r.Enabled() {
 			t.Error("relays are disabled before the workers are known")
 		}
-		if r.Judge(3, 1000, true); r.On() {
+		if r.Update(3, 1000, true); r.Enabled() {
 			t.Error("relays are enabled for three workers")
 		}
 	})
@@ -202,16 +202,16 @@
 func TestMessagesKeepAll(t *testing.T) {
 	report := tackdispatch.Report{
 		Worker: "i-1@5", VM: "m-1", Fixed: true, Service: "names-api", Zone: "rennes", Labels: []string{"a", "r-1"},
-		Capacity: tackroom.Room{MilliCores: 16_000, MemoryMB: 32_768, GPUs: 1}, Sequence: 7, Draining: true, Remaining: 9,
+		Capacity: tackroom.Resources{MilliCores: 16_000, MemoryMB: 32_768, GPUs: 1}, Sequence: 7, Draining: true, Remaining: 9,
 		Running: []tackdispatch.Running{{Run: 3, Checkpoint: "c", Percent: 40, Tail: 500}},
-		Ended:   []tackdispatch.Ended{{Number: 2, Run: 1, How: tackdispatch.EndFailed, Checkpoint: "d"}},
+		Ended:   []tackdispatch.Ended{{Number: 2, Run: 1, Kind: tackdispatch.EndFailed, Checkpoint: "d"}},
 	}
 	orders := tackdispatch.Orders{
 		Hold: 3500, Noted: 2, Fence: 4, Retry: 150, Start: []tackdispatch.Start{{Run: 5, Text: "t", Checkpoint: "c", Ticket: "x"}},
 		Stop: []tackdispatch.Stop{{Run: 3}}, Pace: []tackdispatch.Pace{{Run: 3, Percent: 50}},
 	}
-	sent := Answers{On: true, List: []Answer{{Number: 1, Orders: orders, Ask: second, Problem: "p", NotLeader: true}}}
-	assertSame(t, &Reports{DataCentre: "rennes", List: []Numbered{{Number: 1, Report: report}}}, new(Reports))
+	sent := Answers{On: true, List: []Answer{{Number: 1, Orders: orders, NextPeer: second, Problem: "p", NotLeader: true}}}
+	assertSame(t, &Reports{DataCentre: "rennes", List: []NumberedReport{{Number: 1, Report: report}}}, new(Reports))
 	assertSame(t, &sent, new(Answers))
 }
 
@@ -238,7 +238,7 @@
 		var now tackclock.Time
 		leader := first
 		delivered := make(map[uint64]int)
-		var sent []Numbered
+		var sent []NumberedReport
 		var open []uint64
 		for range rapid.IntRange(1, 60).Draw(t, "acts") {
 			now = now.Add(tackclock.Duration(rapid.IntRange(0, 100).Draw(t, "wait")))
@@ -261,7 +261,7 @@
 				if len(sent) > 0 {
 					n := rapid.SampledFrom(sent).Draw(t, "answered")
 					refuse := rapid.Bool().Draw(t, "refused")
-					o.Take(now, rapid.SampledFrom([]tackid.Peer{first, second}).Draw(t, "from"), []Answer{{Number: n.Number, NotLeader: refuse}})
+					o.Deliver(now, rapid.SampledFrom([]tackid.Peer{first, second}).Draw(t, "from"), []Answer{{Number: n.Number, NotLeader: refuse}})
 				}
 			case "leader":
 				leader = rapid.SampledFrom([]tackid.Peer{first, second}).Draw(t, "leader")
@@ -281,7 +281,7 @@
 		// Pending reports reach a leader that answers.
 		now = now.Add(retryAfter)
 		for _, n := range append(o.Next(now, "10.0.0.9"), o.Next(now, "10.0.0.9")...) {
-			o.Take(now, "10.0.0.9", []Answer{{Number: n.Number}})
+			o.Deliver(now, "10.0.0.9", []Answer{{Number: n.Number}})
 		}
 		if o.Len() != 0 {
 			t.Fatalf("%d reports are never answered", o.Len())
--- a/core/tackrelay/roster.go
+++ b/core/tackrelay/roster.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// HelloEvery is the interval at which a relay without reports says that it is
+	// HelloInterval is the interval at which a relay without reports says that it is
 	// available.
-	HelloEvery = 500 * tackclock.Millisecond
+	HelloInterval = 500 * tackclock.Millisecond
 	// liveTimeout is how long a relay stays eligible for workers after it was last heard
 	// from: three hellos.
-	liveTimeout = 3 * HelloEvery
+	liveTimeout = 3 * HelloInterval
 	// disablePercent is the percentage of the threshold for enabling relays below which
 	// they are disabled. Between the two the state does not change.
 	disablePercent = 80
@@ -50,10 +50,10 @@
 	r.on = true
 }
 
-// Judge decides whether workers report to relays, given the number of workers known so far;
+// Update decides whether workers report to relays, given the number of workers known so far;
 // all says that no more are expected. The workers of a small fleet report to the leader
 // directly, which saves a hop.
-func (r *Roster) Judge(workers, from int, all bool) {
+func (r *Roster) Update(workers, from int, all bool) {
 	if r.on && all {
 		r.on = workers*100 >= from*disablePercent
 		return
@@ -61,8 +61,8 @@
 	r.on = r.on || workers >= from
 }
 
-// On reports whether workers report to relays.
-func (r *Roster) On() bool {
+// Enabled reports whether workers report to relays.
+func (r *Roster) Enabled() bool {
 	return r.on
 }
 
--- a/core/tackreplica/append.go
+++ b/core/tackreplica/append.go
@@ -33,7 +33,7 @@
 		}
 		return
 	}
-	if n.throttled(p) && n.now.Sub(p.sentAt) < n.cfg.LearnerEvery {
+	if n.throttled(p) && n.now.Sub(p.sentAt) < n.cfg.LearnerInterval {
 		return
 	}
 	for p.next <= n.log.last() && p.inflightBytes < maxInflightBatches*n.cfg.MaxBatchBytes {
@@ -69,12 +69,12 @@
 	n.send(m)
 }
 
-// throttled reports whether entries for the member are sent in batches every LearnerEvery.
+// throttled reports whether entries for the member are sent in batches every LearnerInterval.
 // No commit waits for a learner, and sending each change at once would cost the leader two
 // messages per change and learner.
 func (n *Node) throttled(p *progress) bool {
 	m := n.member(p.peer)
-	return n.cfg.LearnerEvery > 0 && m != nil && !m.Voter
+	return n.cfg.LearnerInterval > 0 && m != nil && !m.Voter
 }
 
 // announceCommit notifies a member at once that entries it has are committed, so that a
--- a/core/tackreplica/cost_test.go
+++ b/core/tackreplica/cost_test.go
@@ -162,7 +162,7 @@
 func messagesToLearner(t *testing.T, members, changes int) int {
 	const voters, length = 5, 10
 	cfg, names := fleet(members, voters)
-	cfg.LearnerEvery = 120
+	cfg.LearnerInterval = 120
 	c := newClusterOf(t, 1, cfg, names...)
 	leader := c.waitForLeader()
 	clear(c.messages)
@@ -238,7 +238,7 @@
 func TestThrottledLearnerCanBePromoted(t *testing.T) {
 	const voters, changes, samples = 3, 150, 40
 	cfg, names := fleet(voters+1, voters)
-	cfg.LearnerEvery = 120
+	cfg.LearnerInterval = 120
 	c := newClusterOf(t, 1, cfg, names...)
 	leader := c.waitForLeader()
 	caughtUp := 0
--- a/core/tackreplica/membership.go
+++ b/core/tackreplica/membership.go
@@ -207,7 +207,7 @@
 // since it was last sent the whole log. Under steady load it has all entries only at the
 // moment of its response.
 func (n *Node) withinThrottle(p *progress) bool {
-	return n.throttled(p) && p.sentAll && !p.probing && len(p.inflight) == 0 && n.now.Sub(p.sentAt) <= 2*n.cfg.LearnerEvery
+	return n.throttled(p) && p.sentAll && !p.probing && len(p.inflight) == 0 && n.now.Sub(p.sentAt) <= 2*n.cfg.LearnerInterval
 }
 
 // transferIfRemoved transfers leadership once a membership in which the leader is not a
--- a/core/tackreplica/node.go
+++ b/core/tackreplica/node.go
@@ -61,9 +61,9 @@
 		Seed          uint64
 		MaxBatchBytes int
 		KeepEntries   int
-		// LearnerEvery is the interval at which entries are sent to learners. If it is
+		// LearnerInterval is the interval at which entries are sent to learners. If it is
 		// zero, entries are sent to them at once, as to voters.
-		LearnerEvery tackclock.Duration
+		LearnerInterval tackclock.Duration
 	}
 
 	// Node is one replica of the log. It is not safe for concurrent use; this includes
--- a/core/tackreplica/schedule_test.go
+++ b/core/tackreplica/schedule_test.go
@@ -51,7 +51,7 @@
 		{Peer: "a", Voter: true}, {Peer: "b", Voter: true}, {Peer: "c", Voter: true}, {Peer: "d"},
 	}}
 	if rapid.Bool().Draw(rt, "spares_learners") {
-		cfg.LearnerEvery = tackclock.Duration(rapid.IntRange(1, 500).Draw(rt, "learner_every"))
+		cfg.LearnerInterval = tackclock.Duration(rapid.IntRange(1, 500).Draw(rt, "learner_every"))
 	}
 	s := &schedule{rt: rt, cluster: newClusterOf(rt, rapid.Uint64().Draw(rt, "seed"), cfg, "a", "b", "c", "d")}
 	s.run(1600)
@@ -226,10 +226,10 @@
 // a learner may be delayed, and it learns with the next heartbeat that they are committed.
 func (s *schedule) untilInForce() tackclock.Duration {
 	const atOnce = 50
-	if s.cfg.LearnerEvery == 0 {
+	if s.cfg.LearnerInterval == 0 {
 		return atOnce
 	}
-	return atOnce + s.cfg.LearnerEvery + s.cfg.withDefaults().Heartbeat
+	return atOnce + s.cfg.LearnerInterval + s.cfg.withDefaults().Heartbeat
 }
 
 func (s *schedule) assertCaughtUp() {
--- a/core/tackretry/aside.go
+++ b/core/tackretry/aside.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// defaultServers is the default of AsideSettings.Servers.
+	// defaultServers is the default of FailingJobsSettings.Servers.
 	defaultServers = 3
-	// defaultJobs is the default of AsideSettings.Jobs.
+	// defaultJobs is the default of FailingJobsSettings.Jobs.
 	defaultJobs = 4096
 	// firstAside is how long a job is set aside at first. Each time that the
 	// next try fails, the duration doubles, up to longestAside.
@@ -28,10 +28,10 @@
 	// recognized. Key is the idempotency key, if there is one. Shape is a hash
 	// of the contents of the request, zero if unknown.
 	Job struct {
-		Service tackid.Service
-		Team    tackid.Team
-		Key     tackid.Key
-		Shape   uint64
+		Service     tackid.Service
+		Team        tackid.Team
+		Key         tackid.Key
+		Fingerprint uint64
 	}
 
 	// Failure is a failed try of a job on a backend server.
@@ -43,8 +43,8 @@
 		Healthy bool
 	}
 
-	// SetAside is a job that is refused for now.
-	SetAside struct {
+	// SetAsideJob is a job that is refused for now.
+	SetAsideJob struct {
 		Job            Job
 		BackendServers []tackid.BackendServer
 		Since, Until   tackclock.Time
@@ -52,9 +52,9 @@
 		Refused int
 	}
 
-	// AsideSettings are the tunables of an Aside. A zero field takes its
+	// FailingJobsSettings are the tunables of an Aside. A zero field takes its
 	// default.
-	AsideSettings struct {
+	FailingJobsSettings struct {
 		// Servers is the number of healthy backend servers on which a job
 		// must fail to be set aside.
 		Servers int
@@ -62,7 +62,7 @@
 		Jobs int
 	}
 
-	// Aside detects the jobs that can never succeed, and sets them aside. Such
+	// FailingJobs detects the jobs that can never succeed, and sets them aside. Such
 	// a job fails on every backend server. A caller that keeps repeating it
 	// would use up slots and the retry budget, and cause one backend server
 	// after another to be considered broken.
@@ -72,8 +72,8 @@
 	// for a while, after which one request may try it again.
 	//
 	// The zero value is ready to use. It is not safe for concurrent use.
-	Aside struct {
-		Settings AsideSettings
+	FailingJobs struct {
+		Settings FailingJobsSettings
 
 		jobs map[Job]*failureRecord
 	}
@@ -89,9 +89,9 @@
 	}
 )
 
-// Failed records a failure of a job and reports whether it causes the job to be
+// RecordFailure records a failure of a job and reports whether it causes the job to be
 // set aside.
-func (a *Aside) Failed(now tackclock.Time, f Failure) bool {
+func (a *FailingJobs) RecordFailure(now tackclock.Time, f Failure) bool {
 	if !f.Healthy {
 		return false
 	}
@@ -104,9 +104,9 @@
 	return aside
 }
 
-// Answered records a success of the job, after which its failures no longer
+// RecordSuccess records a success of the job, after which its failures no longer
 // count.
-func (a *Aside) Answered(job Job) {
+func (a *FailingJobs) RecordSuccess(job Job) {
 	if len(a.jobs) == 0 {
 		return
 	}
@@ -117,7 +117,7 @@
 
 // Check returns for how long the job is still set aside, or zero if it may be
 // tried. A request for a job that is set aside counts as refused.
-func (a *Aside) Check(now tackclock.Time, job Job) tackclock.Duration {
+func (a *FailingJobs) Check(now tackclock.Time, job Job) tackclock.Duration {
 	if len(a.jobs) == 0 {
 		return 0
 	}
@@ -140,17 +140,17 @@
 }
 
 // List returns the jobs that are set aside, in the order in which they were.
-func (a *Aside) List(now tackclock.Time) []SetAside {
-	var list []SetAside
+func (a *FailingJobs) List(now tackclock.Time) []SetAsideJob {
+	var list []SetAsideJob
 	for id, f := range a.jobs {
 		if f.asideFor > 0 && now.Before(f.until) {
-			list = append(list, SetAside{Job: id, BackendServers: slices.Clone(f.servers),
+			list = append(list, SetAsideJob{Job: id, BackendServers: slices.Clone(f.servers),
 				Since: f.since, Until: f.until, Refused: f.refused})
 		}
 	}
-	slices.SortFunc(list, func(x, y SetAside) int {
+	slices.SortFunc(list, func(x, y SetAsideJob) int {
 		return cmp.Or(cmp.Compare(x.Since, y.Since), cmp.Compare(x.Job.Key, y.Job.Key),
-			cmp.Compare(x.Job.Shape, y.Job.Shape), cmp.Compare(x.Job.Service, y.Job.Service),
+			cmp.Compare(x.Job.Fingerprint, y.Job.Fingerprint), cmp.Compare(x.Job.Service, y.Job.Service),
 			cmp.Compare(x.Job.Team, y.Job.Team))
 	})
 	return list
@@ -158,7 +158,7 @@
 
 // recordFailure counts a failure of the job on a backend server and reports
 // whether the job is set aside.
-func (a *Aside) recordFailure(now tackclock.Time, id Job, server tackid.BackendServer) bool {
+func (a *FailingJobs) recordFailure(now tackclock.Time, id Job, server tackid.BackendServer) bool {
 	f := a.jobs[id]
 	if f == nil || now.Sub(f.lastFailure) >= forgetAfter+f.asideFor {
 		f = a.addRecord(now, id)
@@ -180,7 +180,7 @@
 
 // addRecord adds a record for a failing job, and drops old records if there is no
 // room for it.
-func (a *Aside) addRecord(now tackclock.Time, id Job) *failureRecord {
+func (a *FailingJobs) addRecord(now tackclock.Time, id Job) *failureRecord {
 	if a.jobs == nil {
 		a.jobs = make(map[Job]*failureRecord)
 	}
@@ -195,7 +195,7 @@
 // dropOldRecords drops all expired records. If there are none, it drops the quarter of
 // the jobs that failed longest ago, so that its cost is amortized over many
 // failures.
-func (a *Aside) dropOldRecords(now tackclock.Time) {
+func (a *FailingJobs) dropOldRecords(now tackclock.Time) {
 	before := len(a.jobs)
 	maps.DeleteFunc(a.jobs, func(_ Job, f *failureRecord) bool {
 		return now.Sub(f.lastFailure) >= forgetAfter+f.asideFor
@@ -218,8 +218,8 @@
 	if j.Key != "" {
 		ids[0] = Job{Service: j.Service, Team: j.Team, Key: j.Key}
 	}
-	if j.Shape != 0 {
-		ids[1] = Job{Service: j.Service, Team: j.Team, Shape: j.Shape}
+	if j.Fingerprint != 0 {
+		ids[1] = Job{Service: j.Service, Team: j.Team, Fingerprint: j.Fingerprint}
 	}
 	return ids
 }
--- a/core/tackretry/aside_test.go
+++ b/core/tackretry/aside_test.go
@@ -11,11 +11,11 @@
 	"auburntack/core/tackretry"
 )
 
-var poisonJob = tackretry.Job{Service: "names-api", Team: "clerks", Key: "k1", Shape: 7}
+var poisonJob = tackretry.Job{Service: "names-api", Team: "clerks", Key: "k1", Fingerprint: 7}
 
-func fail(a *tackretry.Aside, now tackclock.Time, job tackretry.Job, healthy bool, servers ...tackid.BackendServer) {
+func fail(a *tackretry.FailingJobs, now tackclock.Time, job tackretry.Job, healthy bool, servers ...tackid.BackendServer) {
 	for _, server := range servers {
-		a.Failed(now, tackretry.Failure{Job: job, BackendServer: server, Healthy: healthy})
+		a.RecordFailure(now, tackretry.Failure{Job: job, BackendServer: server, Healthy: healthy})
 	}
 }
 
@@ -27,7 +27,7 @@
 	otherKey := poisonJob
 	otherKey.Key = "k2"
 	convey.Convey("After a job failed on three healthy backend servers", t, func() {
-		var a tackretry.Aside
+		var a tackretry.FailingJobs
 		fail(&a, 0, poisonJob, true, "s1", "s2", "s1")
 		convey.So(a.Check(1, poisonJob), convey.ShouldEqual, 0)
 		fail(&a, 1, poisonJob, true, "s3")
@@ -38,7 +38,7 @@
 			convey.So(a.List(2)[0].BackendServers, convey.ShouldHaveLength, 3)
 		})
 		convey.Convey("other jobs are not", func() {
-			convey.So(a.Check(2, tackretry.Job{Service: "names-api", Team: "clerks", Shape: 8}), convey.ShouldEqual, 0)
+			convey.So(a.Check(2, tackretry.Job{Service: "names-api", Team: "clerks", Fingerprint: 8}), convey.ShouldEqual, 0)
 		})
 		convey.Convey("one request may try it later, and a failure sets it aside for longer", func() {
 			later := tackclock.Time(2 * tackclock.Minute)
@@ -48,7 +48,7 @@
 			convey.So(a.Check(later.Add(90*tackclock.Second), poisonJob), convey.ShouldBeGreaterThan, 0)
 		})
 		convey.Convey("an answer clears it", func() {
-			a.Answered(poisonJob)
+			a.RecordSuccess(poisonJob)
 			convey.So(a.Check(2, poisonJob), convey.ShouldEqual, 0)
 			convey.So(a.List(2), convey.ShouldBeEmpty)
 		})
@@ -59,7 +59,7 @@
 // as they were when failures of broken backend servers counted against them.
 func TestOutageSetsNothingAside(t *testing.T) {
 	convey.Convey("When the backend servers fail all requests", t, func() {
-		var a tackretry.Aside
+		var a tackretry.FailingJobs
 		fail(&a, 0, poisonJob, false, "s1", "s2", "s3", "s4")
 		convey.So(a.Check(1, poisonJob), convey.ShouldEqual, 0)
 	})
@@ -67,7 +67,7 @@
 
 func TestFailingJobsAreBounded(t *testing.T) {
 	convey.Convey("After many different jobs failed", t, func() {
-		a := tackretry.Aside{Settings: tackretry.AsideSettings{Jobs: 100}}
+		a := tackretry.FailingJobs{Settings: tackretry.FailingJobsSettings{Jobs: 100}}
 		for i := range 1000 {
 			job := tackretry.Job{Service: "names-api", Key: tackid.Key(fmt.Sprint(i))}
 			fail(&a, tackclock.Time(i), job, true, "s1", "s2", "s3")
--- a/core/tackretry/budget.go
+++ b/core/tackretry/budget.go
@@ -15,7 +15,7 @@
 	defaultBurst = 20
 	// defaultTries is the default of Settings.Tries.
 	defaultTries = 3
-	// defaultMinLeft is the default of Settings.MinLeft.
+	// defaultMinLeft is the default of Settings.MinTimeLeft.
 	defaultMinLeft = 20 * tackclock.Millisecond
 )
 
@@ -40,10 +40,10 @@
 	Attempt struct {
 		// Idempotent reports whether the request may safely run twice.
 		Idempotent bool
-		// SurelyNotRun reports whether the request certainly has not run:
+		// NotRun reports whether the request certainly has not run:
 		// either no byte of it was sent, or the backend server answered that
 		// it did not run it.
-		SurelyNotRun bool
+		NotRun bool
 		// Tries counts the dispatches so far.
 		Tries int
 		// TimeLeft is the time until the caller's deadline.
@@ -63,12 +63,12 @@
 		Ratio float64
 		// Burst is the largest number of retries that the budget can hold.
 		Burst float64
-		// Tries is the largest number of dispatches of one request, including
+		// MaxTries is the largest number of dispatches of one request, including
 		// the first.
-		Tries int
-		// MinLeft is the least time until the deadline with which a retry is
+		MaxTries int
+		// MinTimeLeft is the least time until the deadline with which a retry is
 		// worthwhile.
-		MinLeft tackclock.Duration
+		MinTimeLeft tackclock.Duration
 	}
 
 	// Budget is the retry budget of one service, a token bucket. Its zero
@@ -115,7 +115,7 @@
 
 func (b *Budget) refusalReason(a Attempt) Reason {
 	switch {
-	case !a.Idempotent && !a.SurelyNotRun:
+	case !a.Idempotent && !a.NotRun:
 		return ReasonUnsafe
 	case a.Tries >= b.tries():
 		return ReasonTries
@@ -136,11 +136,11 @@
 }
 
 func (b *Budget) tries() int {
-	return orDefault(b.Settings.Tries, defaultTries)
+	return orDefault(b.Settings.MaxTries, defaultTries)
 }
 
 func (b *Budget) minLeft() tackclock.Duration {
-	return orDefault(b.Settings.MinLeft, defaultMinLeft)
+	return orDefault(b.Settings.MinTimeLeft, defaultMinLeft)
 }
 
 func orDefault[T int | float64 | tackclock.Duration](value, otherwise T) T {
--- a/core/tackretry/model_test.go
+++ b/core/tackretry/model_test.go
@@ -102,7 +102,7 @@
 	if m.randomChoice {
 		return m.servers[m.random.IntN(len(m.servers))], true
 	}
-	return m.chooser.Pick(now, tackroute.Ask{Home: "rennes-a", Exclude: tried})
+	return m.chooser.Pick(now, tackroute.Constraints{Home: "rennes-a", Exclude: tried})
 }
 
 func (m *retryModel) complete(now tackclock.Time) {
--- a/core/tackrollout/phase.go
+++ b/core/tackrollout/phase.go
@@ -41,8 +41,8 @@
 	m.Since = now
 }
 
-// Out returns the number of VMs that the wave has out of service.
-func (w *Wave) Out() int {
+// OutCount returns the number of VMs that the wave has out of service.
+func (w *Wave) OutCount() int {
 	n := 0
 	for i := range w.VMs {
 		if w.VMs[i].Phase.out() {
@@ -52,10 +52,10 @@
 	return n
 }
 
-// Holding returns the number of VMs that the wave holds: those that are out of
+// HeldCount returns the number of VMs that the wave holds: those that are out of
 // service and those that are settling.
-func (w *Wave) Holding() int {
-	n := w.Out()
+func (w *Wave) HeldCount() int {
+	n := w.OutCount()
 	for i := range w.VMs {
 		if w.VMs[i].Phase == PhaseSettling {
 			n++
--- a/core/tackrollout/rollouts.go
+++ b/core/tackrollout/rollouts.go
@@ -37,7 +37,7 @@
 // kept, since the VM could never return to service without its wave.
 func (o *Rollouts) Trim(now tackclock.Time) {
 	for _, ended := range o.ended.Trim(now, EndedAge, EndedLimit) {
-		if w := o.waves.Get(ended.Key); w != nil && w.Holding() > 0 {
+		if w := o.waves.Get(ended.Key); w != nil && w.HeldCount() > 0 {
 			o.ended.Put(now, ended.Key, struct{}{})
 			continue
 		}
@@ -112,7 +112,7 @@
 			continue
 		}
 		m.setPhase(next, at.Time)
-		r.GiveBack(at, m.VM, tackroster.VMInService)
+		r.Release(at, m.VM, tackroster.VMInService)
 	}
 }
 
--- a/core/tackrollout/steps.go
+++ b/core/tackrollout/steps.go
@@ -17,7 +17,7 @@
 	if w.Status != WaveRunning {
 		return w.refuse("take VMs for")
 	}
-	if out := w.Out(); w.MaxParallel > 0 && out+len(c.VMs) > w.MaxParallel {
+	if out := w.OutCount(); w.MaxParallel > 0 && out+len(c.VMs) > w.MaxParallel {
 		return tackentry.Refuse(tackentry.CodeInvalid, "wave %q has %d VMs out and may have %d", w.ID, out, w.MaxParallel)
 	}
 	for i, id := range c.VMs {
@@ -28,7 +28,7 @@
 			return refused
 		}
 	}
-	if refused := r.CanTake(c.VMs); refused != nil {
+	if refused := r.CheckTake(c.VMs); refused != nil {
 		return refused
 	}
 	w.take(at, r, c.VMs)
@@ -37,7 +37,7 @@
 
 // mayTake returns nil if the wave may take the VM now, and a refusal otherwise.
 func (w *Wave) mayTake(r *tackroster.Roster, id tackid.VM) *tackentry.RefusedError {
-	v, refused := r.Unheld(id)
+	v, refused := r.UnheldVM(id)
 	if refused != nil {
 		return refused
 	}
@@ -94,13 +94,13 @@
 func updateVM(at tackentry.At, r *tackroster.Roster, c *WavePhase) {
 	switch c.Phase {
 	case PhaseWaiting, PhaseDone:
-		r.GiveBack(at, c.VM, tackroster.VMInService)
+		r.Release(at, c.VM, tackroster.VMInService)
 	case PhaseOperating, PhaseReturning:
-		r.Progress(at, c.VM, tackroster.VMMaintenance)
+		r.SetState(at, c.VM, tackroster.VMMaintenance)
 	case PhaseSettling:
-		r.Progress(at, c.VM, tackroster.VMSettling)
+		r.SetState(at, c.VM, tackroster.VMSettling)
 	case PhaseFailed:
-		r.GiveBack(at, c.VM, tackroster.VMFailed)
+		r.Release(at, c.VM, tackroster.VMFailed)
 	}
 }
 
--- a/core/tackroster/budget.go
+++ b/core/tackroster/budget.go
@@ -8,7 +8,7 @@
 	"auburntack/core/tackid"
 )
 
-// CanTake returns nil if the VMs may all be taken out of service together now,
+// CheckTake returns nil if the VMs may all be taken out of service together now,
 // and a refusal otherwise. The check is made when a change is applied: if only
 // the proposer checked, two operators or waves could both take the last VM
 // that the budget leaves free.
@@ -16,7 +16,7 @@
 // A VM that is already out of service or known to be lost does not need room
 // in the budget. A VM with unknown health may be serving, so it needs room
 // although it does not count as available.
-func (r *Roster) CanTake(vms []tackid.VM) *tackentry.RefusedError {
+func (r *Roster) CheckTake(vms []tackid.VM) *tackentry.RefusedError {
 	taken := make(map[tackid.VM]bool, len(vms))
 	var pools []tackid.Pool
 	for _, id := range vms {
@@ -45,7 +45,7 @@
 func (r *Roster) checkBudgets(pool tackid.Pool, taken map[tackid.VM]bool) *tackentry.RefusedError {
 	count := r.count(pool, taken)
 	for id, v := range r.services.All() {
-		if v.Pool != pool || tackbudget.Short(v.Budget, count) == 0 {
+		if v.Pool != pool || tackbudget.Shortfall(v.Budget, count) == 0 {
 			continue
 		}
 		return tackentry.Refuse(tackentry.CodeBudget, "service %q needs %d available VMs of pool %q and would have %d (%d of them settling)",
@@ -64,7 +64,7 @@
 	var count tackbudget.Count
 	for _, id := range r.members[pool] {
 		v := r.vms.Get(id)
-		count.Add(tackbudget.Standing{
+		count.Add(tackbudget.VMStatus{
 			Available: v.Available(),
 			Settling:  v.State == VMSettling,
 			Taken:     taken[id],
--- a/core/tackroster/pools.go
+++ b/core/tackroster/pools.go
@@ -20,7 +20,7 @@
 
 // DeletePool deletes a pool that has no VMs and no services.
 func (r *Roster) DeletePool(c *tackcommand.DeletePool) *tackentry.RefusedError {
-	if refused := r.NeedPool(c.Pool); refused != nil {
+	if refused := r.CheckPool(c.Pool); refused != nil {
 		return refused
 	}
 	if vms := r.members[c.Pool]; len(vms) > 0 {
@@ -44,7 +44,7 @@
 	if r.services.Get(c.Service) != nil {
 		return tackentry.Refuse(tackentry.CodeExists, "service %q exists", c.Service)
 	}
-	if refused := r.NeedPool(c.Pool); refused != nil {
+	if refused := r.CheckPool(c.Pool); refused != nil {
 		return refused
 	}
 	r.services.Put(c.Service, Service{ID: c.Service, Pool: c.Pool, Touched: at.Revision})
@@ -52,7 +52,7 @@
 }
 
 // SetBudget accepts any budget in range, even if fewer VMs are available at the
-// moment. CanTake then refuses to take out more VMs until enough VMs serve.
+// moment. CheckTake then refuses to take out more VMs until enough VMs serve.
 func (r *Roster) SetBudget(at tackentry.At, c *tackcommand.SetBudget) *tackentry.RefusedError {
 	v := r.services.Get(c.Service)
 	if v == nil {
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// NeedPool returns a refusal if the pool does not exist.
-func (r *Roster) NeedPool(pool tackid.Pool) *tackentry.RefusedError {
+// CheckPool returns a refusal if the pool does not exist.
+func (r *Roster) CheckPool(pool tackid.Pool) *tackentry.RefusedError {
 	if r.pools.Get(pool) == nil {
 		return tackentry.Refuse(tackentry.CodeMissing, "no pool %q", pool)
 	}
--- a/core/tackroster/vms.go
+++ b/core/tackroster/vms.go
@@ -14,7 +14,7 @@
 	if v := r.vms.Get(c.VM); v != nil {
 		return tackentry.Refuse(tackentry.CodeExists, "vm %q exists in pool %q", c.VM, v.Pool)
 	}
-	if refused := r.NeedPool(c.Pool); refused != nil {
+	if refused := r.CheckPool(c.Pool); refused != nil {
 		return refused
 	}
 	v := VM{ID: c.VM, Pool: c.Pool, Since: at.Time, Touched: at.Revision}
@@ -31,11 +31,11 @@
 // MoveVM starts to move a VM to another pool. The VM counts as a member of the
 // old pool that is down until Joined moves it to the new one.
 func (r *Roster) MoveVM(at tackentry.At, c *tackcommand.MoveVM) *tackentry.RefusedError {
-	v, refused := r.Unheld(c.VM)
+	v, refused := r.UnheldVM(c.VM)
 	if refused != nil {
 		return refused
 	}
-	if refused := r.NeedPool(c.Pool); refused != nil {
+	if refused := r.CheckPool(c.Pool); refused != nil {
 		return refused
 	}
 	if v.Pool == c.Pool {
@@ -44,7 +44,7 @@
 	if v.State == VMMoving || v.State == VMFailed {
 		return v.refuse("move")
 	}
-	if refused := r.CanTake([]tackid.VM{c.VM}); refused != nil {
+	if refused := r.CheckTake([]tackid.VM{c.VM}); refused != nil {
 		return refused
 	}
 	v.setState(at, VMMoving)
@@ -56,14 +56,14 @@
 
 // DrainVM starts to drain a VM for an operator.
 func (r *Roster) DrainVM(at tackentry.At, c *tackcommand.DrainVM) *tackentry.RefusedError {
-	v, refused := r.Unheld(c.VM)
+	v, refused := r.UnheldVM(c.VM)
 	if refused != nil {
 		return refused
 	}
 	if v.State != VMInService {
 		return v.refuse("drain")
 	}
-	if refused := r.CanTake([]tackid.VM{c.VM}); refused != nil {
+	if refused := r.CheckTake([]tackid.VM{c.VM}); refused != nil {
 		return refused
 	}
 	v.setState(at, VMDraining)
@@ -73,7 +73,7 @@
 
 // UndrainVM returns a draining, drained or failed VM to service.
 func (r *Roster) UndrainVM(at tackentry.At, c *tackcommand.UndrainVM) *tackentry.RefusedError {
-	v, refused := r.Unheld(c.VM)
+	v, refused := r.UnheldVM(c.VM)
 	if refused != nil {
 		return refused
 	}
@@ -88,11 +88,11 @@
 
 // RemoveVM removes a VM from its pool and from the roster.
 func (r *Roster) RemoveVM(at tackentry.At, c *tackcommand.RemoveVM) *tackentry.RefusedError {
-	v, refused := r.Unheld(c.VM)
+	v, refused := r.UnheldVM(c.VM)
 	if refused != nil {
 		return refused
 	}
-	if refused := r.CanTake([]tackid.VM{c.VM}); refused != nil {
+	if refused := r.CheckTake([]tackid.VM{c.VM}); refused != nil {
 		return refused
 	}
 	r.leave(at, v.Pool, c.VM)
@@ -103,7 +103,7 @@
 
 // Drained ends the drain of a VM that an operator drained, after its last work.
 func (r *Roster) Drained(at tackentry.At, id tackid.VM) *tackentry.RefusedError {
-	v, refused := r.Unheld(id)
+	v, refused := r.UnheldVM(id)
 	if refused != nil {
 		return refused
 	}
@@ -119,7 +119,7 @@
 // new pool have not announced themselves yet, so the health is unknown at
 // first.
 func (r *Roster) Joined(at tackentry.At, id tackid.VM) *tackentry.RefusedError {
-	v, refused := r.Unheld(id)
+	v, refused := r.UnheldVM(id)
 	if refused != nil {
 		return refused
 	}
@@ -153,8 +153,8 @@
 	return true, nil
 }
 
-// Unheld returns a VM, or a refusal if it does not exist or a wave holds it.
-func (r *Roster) Unheld(id tackid.VM) (*VM, *tackentry.RefusedError) {
+// UnheldVM returns a VM, or a refusal if it does not exist or a wave holds it.
+func (r *Roster) UnheldVM(id tackid.VM) (*VM, *tackentry.RefusedError) {
 	v := r.vms.Get(id)
 	if v == nil {
 		return nil, tackentry.Refuse(tackentry.CodeMissing, "no vm %q", id)
@@ -165,7 +165,7 @@
 	return v, nil
 }
 
-// Hold starts to drain a VM for a wave, which has called CanTake.
+// Hold starts to drain a VM for a wave, which has called CheckTake.
 func (r *Roster) Hold(at tackentry.At, id tackid.VM, wave tackid.Wave) {
 	v := r.vms.Get(id)
 	v.setState(at, VMDraining)
@@ -173,13 +173,13 @@
 	v.Touched = at.Revision
 }
 
-// Progress moves a VM that a wave holds to its next state.
-func (r *Roster) Progress(at tackentry.At, id tackid.VM, state VMState) {
+// SetState moves a VM that a wave holds to its next state.
+func (r *Roster) SetState(at tackentry.At, id tackid.VM, state VMState) {
 	r.vms.Get(id).setState(at, state)
 }
 
-// GiveBack releases a VM that a wave holds and moves it to state.
-func (r *Roster) GiveBack(at tackentry.At, id tackid.VM, state VMState) {
+// Release releases a VM that a wave holds and moves it to state.
+func (r *Roster) Release(at tackentry.At, id tackid.VM, state VMState) {
 	v := r.vms.Get(id)
 	v.Wave = ""
 	v.Touched = at.Revision
--- a/core/tackroute/chooser.go
+++ b/core/tackroute/chooser.go
@@ -80,20 +80,20 @@
 		HomeOnly bool
 	}
 
-	// Lot identifies the slots of one incarnation of a backend server.
-	Lot struct {
+	// SlotSource identifies the slots of one incarnation of a backend server.
+	SlotSource struct {
 		BackendServer tackid.BackendServer `cbor:"1,keyasint,omitempty"`
 		Incarnation   tackid.Incarnation   `cbor:"2,keyasint,omitempty"`
 	}
 
 	// Share is a number of slots of a lot.
 	Share struct {
-		Lot
+		SlotSource
 		Slots int
 	}
 
-	// Ask holds the requirements of one request on the backend server.
-	Ask struct {
+	// Constraints holds the requirements of one request on the backend server.
+	Constraints struct {
 		// Home is the preferred data centre.
 		Home tackid.DataCentre
 		// HomeOnly forbids every other data centre.
@@ -115,7 +115,7 @@
 	Chooser struct {
 		servers     []*server
 		byName      map[tackid.BackendServer]*server
-		leaving     map[Lot]*server
+		leaving     map[SlotSource]*server
 		zones       map[tackid.DataCentre]*zone
 		scanOffset  uint32
 		meanLatency float64
@@ -127,7 +127,7 @@
 		// shares holds the number of slots that this peer may use on each
 		// lot; it is nil if the slots are not shared. bound is the total
 		// number of requests that the peer may have in flight in the zone.
-		shares map[Lot]int
+		shares map[SlotSource]int
 		bound  int
 	}
 
@@ -177,7 +177,7 @@
 
 // Pick chooses a backend server and takes one of its slots, which Done releases.
 // It returns false if no backend server that may be used has a free slot.
-func (c *Chooser) Pick(now tackclock.Time, ask Ask) (Candidate, bool) {
+func (c *Chooser) Pick(now tackclock.Time, ask Constraints) (Candidate, bool) {
 	c.scanOffset++
 	s := c.best(now, ask, true)
 	if s == nil {
@@ -245,7 +245,7 @@
 // Capacity returns how many requests this peer may have in flight at once on the
 // candidates that satisfy the ask, given its shares. Ejected candidates don't
 // count.
-func (c *Chooser) Capacity(now tackclock.Time, ask Ask) int {
+func (c *Chooser) Capacity(now tackclock.Time, ask Constraints) int {
 	n := 0
 	for dc, z := range c.zones {
 		if !ask.HomeOnly || dc == ask.Home {
@@ -262,9 +262,9 @@
 func (c *Chooser) SetShares(dc tackid.DataCentre, bound int, shares []Share) {
 	z := c.zoneOf(dc)
 	z.bound = bound
-	z.shares = make(map[Lot]int, len(shares))
+	z.shares = make(map[SlotSource]int, len(shares))
 	for _, share := range shares {
-		z.shares[share.Lot] = share.Slots
+		z.shares[share.SlotSource] = share.Slots
 	}
 	for _, s := range c.servers {
 		if s.zone == z {
@@ -278,11 +278,11 @@
 	var used []Share
 	for _, s := range c.servers {
 		if s.inFlight > 0 {
-			used = append(used, Share{Lot: s.lot(), Slots: s.inFlight})
+			used = append(used, Share{SlotSource: s.lot(), Slots: s.inFlight})
 		}
 	}
 	for lot, s := range c.leaving {
-		used = append(used, Share{Lot: lot, Slots: s.inFlight})
+		used = append(used, Share{SlotSource: lot, Slots: s.inFlight})
 	}
 	return used
 }
@@ -303,7 +303,7 @@
 // add adds a candidate. It keeps the state of the same incarnation, either known
 // from the last table or among those that left.
 func (c *Chooser) add(candidate Candidate, known *server) {
-	lot := Lot{BackendServer: candidate.BackendServer, Incarnation: candidate.Incarnation}
+	lot := SlotSource{BackendServer: candidate.BackendServer, Incarnation: candidate.Incarnation}
 	if known == nil || known.Incarnation != candidate.Incarnation {
 		known = c.leaving[lot]
 		delete(c.leaving, lot)
@@ -332,13 +332,13 @@
 
 func (c *Chooser) addLeaving(s *server) {
 	if c.leaving == nil {
-		c.leaving = make(map[Lot]*server)
+		c.leaving = make(map[SlotSource]*server)
 	}
 	c.leaving[s.lot()] = s
 }
 
 func (c *Chooser) doneLeaving(candidate Candidate) {
-	lot := Lot{BackendServer: candidate.BackendServer, Incarnation: candidate.Incarnation}
+	lot := SlotSource{BackendServer: candidate.BackendServer, Incarnation: candidate.Incarnation}
 	s := c.leaving[lot]
 	if s == nil {
 		return
@@ -357,7 +357,7 @@
 // If bounded is set, data centres whose bound is reached are skipped. Those are
 // used only by a request that no other one can take: it was admitted before the
 // bound decreased, and this peer still holds its slot.
-func (c *Chooser) best(now tackclock.Time, ask Ask, bounded bool) *server {
+func (c *Chooser) best(now tackclock.Time, ask Constraints, bounded bool) *server {
 	var found *server
 	var foundCost float64
 	n := len(c.servers)
@@ -402,12 +402,12 @@
 	return load * s.record.slowness(meanLatency) / s.record.successRate()
 }
 
-func (s *server) lot() Lot {
-	return Lot{BackendServer: s.BackendServer, Incarnation: s.Incarnation}
+func (s *server) lot() SlotSource {
+	return SlotSource{BackendServer: s.BackendServer, Incarnation: s.Incarnation}
 }
 
 // allows reports whether the server satisfies the ask.
-func allows(ask Ask, s *server) bool {
+func allows(ask Constraints, s *server) bool {
 	if ask.HomeOnly && s.DataCentre != ask.Home {
 		return false
 	}
--- a/core/tackroute/chooser_bench_test.go
+++ b/core/tackroute/chooser_bench_test.go
@@ -32,6 +32,6 @@
 var triedAlready = []tackid.BackendServer{"rennes-a-1"}
 
 func pickDone(c *tackroute.Chooser) {
-	got, _ := c.Pick(1, tackroute.Ask{Home: here, Exclude: triedAlready})
+	got, _ := c.Pick(1, tackroute.Constraints{Home: here, Exclude: triedAlready})
 	c.Done(2, got, tackroute.Outcome{Result: tackroute.Answered, Latency: 1})
 }
--- a/core/tackroute/chooser_test.go
+++ b/core/tackroute/chooser_test.go
@@ -30,14 +30,14 @@
 		var c tackroute.Chooser
 		c.SetCandidates(append(candidates(here, 1), candidates(there, 1)...))
 		for range 8 {
-			got, ok := c.Pick(0, tackroute.Ask{Home: here})
+			got, ok := c.Pick(0, tackroute.Constraints{Home: here})
 			convey.So(ok, convey.ShouldBeTrue)
 			convey.So(got.DataCentre, convey.ShouldEqual, here)
 		}
 		convey.Convey("the ninth goes elsewhere, unless only home is allowed", func() {
-			_, ok := c.Pick(0, tackroute.Ask{Home: here, HomeOnly: true})
+			_, ok := c.Pick(0, tackroute.Constraints{Home: here, HomeOnly: true})
 			convey.So(ok, convey.ShouldBeFalse)
-			got, ok := c.Pick(0, tackroute.Ask{Home: here})
+			got, ok := c.Pick(0, tackroute.Constraints{Home: here})
 			convey.So(ok, convey.ShouldBeTrue)
 			convey.So(got.DataCentre, convey.ShouldEqual, there)
 		})
@@ -54,11 +54,11 @@
 		var c tackroute.Chooser
 		table := candidates(here, 1)
 		c.SetCandidates(table)
-		older, _ := c.Pick(0, tackroute.Ask{Home: here})
+		older, _ := c.Pick(0, tackroute.Constraints{Home: here})
 		c.SetCandidates(nil)
 		table[0].VM, table[0].Incarnation = "vm-new", 2
 		c.SetCandidates(table)
-		newer, _ := c.Pick(0, tackroute.Ask{Home: here})
+		newer, _ := c.Pick(0, tackroute.Constraints{Home: here})
 		c.Done(1, newer, tackroute.Outcome{})
 		convey.So(c.InFlight(older.VM), convey.ShouldEqual, 1)
 		convey.So(c.InFlight("vm-new"), convey.ShouldEqual, 0)
@@ -74,12 +74,12 @@
 	convey.Convey("With shares for one of two backend servers", t, func() {
 		var c tackroute.Chooser
 		both := candidates(here, 2)
-		lots := []tackroute.Lot{{BackendServer: "rennes-a-0", Incarnation: 1}, {BackendServer: "rennes-a-1", Incarnation: 1}}
-		c.SetShares(here, 100, []tackroute.Share{{Lot: lots[0], Slots: 3}})
+		lots := []tackroute.SlotSource{{BackendServer: "rennes-a-0", Incarnation: 1}, {BackendServer: "rennes-a-1", Incarnation: 1}}
+		c.SetShares(here, 100, []tackroute.Share{{SlotSource: lots[0], Slots: 3}})
 		c.SetCandidates(both)
-		convey.So(c.Capacity(0, tackroute.Ask{Home: here}), convey.ShouldEqual, 3)
-		c.SetShares(here, 100, []tackroute.Share{{Lot: lots[0], Slots: 3}, {Lot: lots[1], Slots: 2}})
-		convey.So(c.Capacity(0, tackroute.Ask{Home: here}), convey.ShouldEqual, 5)
+		convey.So(c.Capacity(0, tackroute.Constraints{Home: here}), convey.ShouldEqual, 3)
+		c.SetShares(here, 100, []tackroute.Share{{SlotSource: lots[0], Slots: 3}, {SlotSource: lots[1], Slots: 2}})
+		convey.So(c.Capacity(0, tackroute.Constraints{Home: here}), convey.ShouldEqual, 5)
 	})
 }
 
@@ -91,11 +91,11 @@
 	convey.Convey("With two slots held and a bound of one", t, func() {
 		var c tackroute.Chooser
 		c.SetCandidates(append(candidates(here, 1), candidates(there, 1)...))
-		c.SetShares(here, 1, []tackroute.Share{{Lot: tackroute.Lot{BackendServer: "rennes-a-0", Incarnation: 1}, Slots: 2}})
-		c.SetShares(there, 1, []tackroute.Share{{Lot: tackroute.Lot{BackendServer: "quimper-0", Incarnation: 1}, Slots: 1}})
-		convey.So(c.Capacity(0, tackroute.Ask{Home: here}), convey.ShouldEqual, 2)
+		c.SetShares(here, 1, []tackroute.Share{{SlotSource: tackroute.SlotSource{BackendServer: "rennes-a-0", Incarnation: 1}, Slots: 2}})
+		c.SetShares(there, 1, []tackroute.Share{{SlotSource: tackroute.SlotSource{BackendServer: "quimper-0", Incarnation: 1}, Slots: 1}})
+		convey.So(c.Capacity(0, tackroute.Constraints{Home: here}), convey.ShouldEqual, 2)
 		for _, want := range []tackid.DataCentre{here, there, here} {
-			got, ok := c.Pick(0, tackroute.Ask{Home: here})
+			got, ok := c.Pick(0, tackroute.Constraints{Home: here})
 			convey.So(ok, convey.ShouldBeTrue)
 			convey.So(got.DataCentre, convey.ShouldEqual, want)
 		}
--- a/core/tackroute/machine_test.go
+++ b/core/tackroute/machine_test.go
@@ -32,7 +32,7 @@
 }
 
 func (m *chooserMachine) Pick(t *rapid.T) {
-	ask := tackroute.Ask{Home: here, HomeOnly: rapid.Bool().Draw(t, "home_only")}
+	ask := tackroute.Constraints{Home: here, HomeOnly: rapid.Bool().Draw(t, "home_only")}
 	if len(m.table) > 0 && rapid.Bool().Draw(t, "excludes") {
 		ask.Exclude = []tackid.BackendServer{rapid.SampledFrom(m.table).Draw(t, "excluded").BackendServer}
 	}
@@ -65,10 +65,10 @@
 // that not all candidates are ejected.
 func (m *chooserMachine) Check(t *rapid.T) {
 	perVM := make(map[tackid.VM]int)
-	perLot := make(map[tackroute.Lot]int)
+	perLot := make(map[tackroute.SlotSource]int)
 	for _, c := range m.inFlight {
 		perVM[c.VM]++
-		perLot[tackroute.Lot{BackendServer: c.BackendServer, Incarnation: c.Incarnation}]++
+		perLot[tackroute.SlotSource{BackendServer: c.BackendServer, Incarnation: c.Incarnation}]++
 	}
 	for _, c := range append(candidates(here, 3), candidates(there, 2)...) {
 		if got := m.chooser.InFlight(c.VM); got != perVM[c.VM] {
@@ -80,7 +80,7 @@
 			t.Fatalf("%v has %d in flight on 3 slots", lot, n)
 		}
 	}
-	if len(m.table) > 0 && m.chooser.Capacity(m.now, tackroute.Ask{Home: here}) == 0 {
+	if len(m.table) > 0 && m.chooser.Capacity(m.now, tackroute.Constraints{Home: here}) == 0 {
 		t.Fatalf("all of %d candidates are ejected", len(m.table))
 	}
 }
