--- a/core/tackroute/outcome_test.go
+++ b/core/tackroute/outcome_test.go
@@ -35,7 +35,7 @@
 func newSimulation(servers int, fails func(tackid.BackendServer) bool) *simulation {
 	s := &simulation{fails: fails, sent: make(map[tackid.BackendServer]int), random: rand.New(rand.NewPCG(1, 1))}
 	s.pick = func(s *simulation) (tackroute.Candidate, bool) {
-		return s.chooser.Pick(s.now, tackroute.Ask{Home: here})
+		return s.chooser.Pick(s.now, tackroute.Constraints{Home: here})
 	}
 	s.chooser.SetCandidates(candidates(here, servers))
 	return s
@@ -113,7 +113,7 @@
 				s := newSimulation(6, tt.bad)
 				for range 1000 {
 					s.run(10)
-					convey.So(s.chooser.Capacity(s.now, tackroute.Ask{Home: here}), convey.ShouldBeGreaterThan, 0)
+					convey.So(s.chooser.Capacity(s.now, tackroute.Constraints{Home: here}), convey.ShouldBeGreaterThan, 0)
 				}
 			})
 		})
@@ -129,12 +129,12 @@
 		c.SetCandidates(candidates(here, 2))
 		silent := tackid.BackendServer("rennes-a-0")
 		for range 3 {
-			got, _ := c.Pick(0, tackroute.Ask{Home: here, Exclude: []tackid.BackendServer{"rennes-a-1"}})
+			got, _ := c.Pick(0, tackroute.Constraints{Home: here, Exclude: []tackid.BackendServer{"rennes-a-1"}})
 			convey.So(got.BackendServer, convey.ShouldEqual, silent)
 			c.Done(0, got, tackroute.Outcome{Result: tackroute.Silent})
 		}
 		for range 8 {
-			got, ok := c.Pick(1, tackroute.Ask{Home: here})
+			got, ok := c.Pick(1, tackroute.Constraints{Home: here})
 			convey.So(ok, convey.ShouldBeTrue)
 			convey.So(got.BackendServer, convey.ShouldNotEqual, silent)
 		}
@@ -193,7 +193,7 @@
 	var c tackroute.Chooser
 	table := candidates(here, 2)
 	c.SetCandidates(table)
-	others := tackroute.Ask{Home: here, Exclude: []tackid.BackendServer{table[0].BackendServer}}
+	others := tackroute.Constraints{Home: here, Exclude: []tackid.BackendServer{table[0].BackendServer}}
 	for range 5 {
 		got, _ := c.Pick(0, others)
 		c.Done(0, got, tackroute.Outcome{Result: tackroute.Silent})
@@ -202,7 +202,7 @@
 		t.Fatalf("capacity is %d, want that of the other candidate alone, %d", got, table[0].Slots)
 	}
 	c.SetCandidates(table[1:])
-	if got := c.Capacity(0, tackroute.Ask{Home: here}); got != 1 {
+	if got := c.Capacity(0, tackroute.Constraints{Home: here}); got != 1 {
 		t.Errorf("capacity is %d with the ejected candidate alone, want 1, for a request on probation", got)
 	}
 }
--- a/core/tackshare/allocate.go
+++ b/core/tackshare/allocate.go
@@ -196,7 +196,7 @@
 	return false
 }
 
-func (h *session) recordGrant(lot tackroute.Lot) {
+func (h *session) recordGrant(lot tackroute.SlotSource) {
 	c := h.lots[lot]
 	if c == nil {
 		c = new(count)
--- a/core/tackshare/group.go
+++ b/core/tackshare/group.go
@@ -12,8 +12,8 @@
 // or was the owner, what it granted.
 type group struct {
 	Group
-	lots         []tackroute.Lot
-	slots        map[tackroute.Lot]int
+	lots         []tackroute.SlotSource
+	slots        map[tackroute.SlotSource]int
 	holding      holding
 	ownership    ownership
 	applied      []tackroute.Share
@@ -32,7 +32,7 @@
 func (g *group) inUse(usage Usage) int {
 	n := 0
 	for _, used := range usage.InUse {
-		if _, ok := g.slots[used.Lot]; ok {
+		if _, ok := g.slots[used.SlotSource]; ok {
 			n += used.Slots
 		}
 	}
@@ -50,7 +50,7 @@
 
 // members returns the peers among which a group is divided while there is no
 // demand: those in its data centre or, if there are none, all.
-func (g *group) members(all []Neighbour) []tackid.Peer {
+func (g *group) members(all []PeerLocation) []tackid.Peer {
 	var inside, every []tackid.Peer
 	for _, p := range all {
 		every = append(every, p.Peer)
@@ -68,7 +68,7 @@
 // The slots are divided evenly among all members, including unreachable ones,
 // with the remainder starting at another member for each lot, so that the parts
 // of all members add up to the number of slots.
-func (s *Sharer) fixedPart(g *group, lot tackroute.Lot) int {
+func (s *Sharer) fixedPart(g *group, lot tackroute.SlotSource) int {
 	members := g.members(s.peers)
 	self := slices.Index(members, s.Self)
 	if self < 0 {
@@ -84,6 +84,6 @@
 	return part
 }
 
-func sortedLots(lots map[tackroute.Lot]*count) []tackroute.Lot {
+func sortedLots(lots map[tackroute.SlotSource]*count) []tackroute.SlotSource {
 	return slices.SortedFunc(maps.Keys(lots), compareLots)
 }
--- a/core/tackshare/holding.go
+++ b/core/tackshare/holding.go
@@ -36,7 +36,7 @@
 	// slots claimed from an earlier session.
 	fixed bool
 	bound int
-	lots  map[tackroute.Lot]*count
+	lots  map[tackroute.SlotSource]*count
 	// need is the decaying maximum of recent needs, shortSteps the number of
 	// steps for which it has exceeded the slots held.
 	need       float64
@@ -52,7 +52,7 @@
 // restart begins a session with an owner, in which all slots held are claimed.
 // If there are none, the wait for an answer goes on from the previous session.
 func (h *holding) restart(now tackclock.Time, owner tackid.Peer) {
-	lots := make(map[tackroute.Lot]*count, len(h.lots))
+	lots := make(map[tackroute.SlotSource]*count, len(h.lots))
 	for lot, c := range h.lots {
 		if held := c.held(); held > 0 {
 			lots[lot] = &count{granted: held}
@@ -130,10 +130,10 @@
 	for _, lot := range sortedLots(h.lots) {
 		c := h.lots[lot]
 		if !h.granted && c.granted > 0 {
-			r.Claimed = append(r.Claimed, Count{Lot: lot, Slots: c.granted})
+			r.Claimed = append(r.Claimed, Count{SlotSource: lot, Slots: c.granted})
 		}
 		if c.returned > 0 && (c.sent == 0 || c.sent > l.ackedSeq) {
-			r.Returned = append(r.Returned, Count{Lot: lot, Slots: c.returned})
+			r.Returned = append(r.Returned, Count{SlotSource: lot, Slots: c.returned})
 			if c.sent == 0 {
 				c.sent = l.sentSeq
 			}
@@ -163,10 +163,10 @@
 	h.fixed = false
 	h.bound = gr.Bound
 	for _, n := range gr.Granted {
-		c := h.lots[n.Lot]
+		c := h.lots[n.SlotSource]
 		if c == nil {
 			c = new(count)
-			h.lots[n.Lot] = c
+			h.lots[n.SlotSource] = c
 		}
 		c.granted = max(c.granted, n.Slots)
 	}
@@ -311,7 +311,7 @@
 	h := &g.holding
 	shares := make([]tackroute.Share, len(g.lots))
 	for i, lot := range g.lots {
-		shares[i] = tackroute.Share{Lot: lot}
+		shares[i] = tackroute.Share{SlotSource: lot}
 		if c := h.lots[lot]; c != nil {
 			shares[i].Slots = min(c.held(), g.slots[lot])
 		}
@@ -329,9 +329,9 @@
 	return s.User.Usage(now, subject)
 }
 
-func (u *Usage) slotsOf(lot tackroute.Lot) int {
+func (u *Usage) slotsOf(lot tackroute.SlotSource) int {
 	for _, n := range u.InUse {
-		if n.Lot == lot {
+		if n.SlotSource == lot {
 			return n.Slots
 		}
 	}
--- a/core/tackshare/model_test.go
+++ b/core/tackshare/model_test.go
@@ -229,8 +229,8 @@
 	return tackid.Peer(fmt.Sprintf("%s-%d", home, vm))
 }
 
-func lotOf(e int) tackroute.Lot {
-	return tackroute.Lot{BackendServer: tackid.BackendServer(fmt.Sprintf("%s-%d", service, e)), Incarnation: 1}
+func lotOf(e int) tackroute.SlotSource {
+	return tackroute.SlotSource{BackendServer: tackid.BackendServer(fmt.Sprintf("%s-%d", service, e)), Incarnation: 1}
 }
 
 func tableOf(executors int) *tackroute.Table {
@@ -254,9 +254,9 @@
 
 // newSimPeer starts one of a number of peers.
 func newSimPeer(now tackclock.Time, vm, vms int, epoch uint64) *simPeer {
-	var peers []tackshare.Neighbour
+	var peers []tackshare.PeerLocation
 	for vm := range vms {
-		peers = append(peers, tackshare.Neighbour{Peer: peerOf(vm), DataCentre: home})
+		peers = append(peers, tackshare.PeerLocation{Peer: peerOf(vm), DataCentre: home})
 	}
 	v := new(simPeer)
 	v.sharer = &tackshare.Sharer{Self: peerOf(vm), Home: home, Epoch: epoch, User: v}
@@ -276,7 +276,7 @@
 	if v.down || v.inFlight >= w.capacity(now, vm) {
 		return 0, false
 	}
-	c, ok := v.chooser.Pick(now, tackroute.Ask{Home: home})
+	c, ok := v.chooser.Pick(now, tackroute.Constraints{Home: home})
 	if !ok {
 		return 0, false
 	}
@@ -358,7 +358,7 @@
 
 // capacity returns how many requests a peer may have in flight.
 func (w *leasedShares) capacity(now tackclock.Time, vm int) int {
-	return w.vms[vm].chooser.Capacity(now, tackroute.Ask{Home: home})
+	return w.vms[vm].chooser.Capacity(now, tackroute.Constraints{Home: home})
 }
 
 func (w *leasedShares) traffic() (int, int) { return w.messages, w.bytes }
--- a/core/tackshare/owner.go
+++ b/core/tackshare/owner.go
@@ -29,7 +29,7 @@
 		want  int
 		bound int
 		sent  uint64
-		lots  map[tackroute.Lot]*count
+		lots  map[tackroute.SlotSource]*count
 	}
 )
 
@@ -49,7 +49,7 @@
 	}
 	h.want = r.Want
 	for _, n := range r.Returned {
-		if c := h.lots[n.Lot]; c != nil {
+		if c := h.lots[n.SlotSource]; c != nil {
 			c.returned = max(c.returned, n.Slots)
 		}
 	}
@@ -64,10 +64,10 @@
 		o.sessions = make(map[tackid.Peer]*session)
 	}
 	delete(o.sessions, from)
-	h := &session{id: r.Session, lots: make(map[tackroute.Lot]*count)}
+	h := &session{id: r.Session, lots: make(map[tackroute.SlotSource]*count)}
 	for _, n := range r.Claimed {
-		if free := min(n.Slots, g.free(n.Lot)); free > 0 {
-			h.lots[n.Lot] = &count{granted: free}
+		if free := min(n.Slots, g.free(n.SlotSource)); free > 0 {
+			h.lots[n.SlotSource] = &count{granted: free}
 		}
 	}
 	h.bound = h.held()
@@ -90,7 +90,7 @@
 }
 
 // free returns how many slots of a lot are granted to no holder.
-func (g *group) free(lot tackroute.Lot) int {
+func (g *group) free(lot tackroute.SlotSource) int {
 	n := g.slots[lot]
 	for _, h := range g.ownership.sessions {
 		if c := h.lots[lot]; c != nil {
@@ -136,7 +136,7 @@
 		if c.sent == 0 {
 			c.sent = l.sentSeq
 		}
-		gr.Granted = append(gr.Granted, Count{Lot: lot, Slots: c.granted})
+		gr.Granted = append(gr.Granted, Count{SlotSource: lot, Slots: c.granted})
 		needed = true
 	}
 	if !needed {
@@ -161,7 +161,7 @@
 }
 
 func (s *Sharer) exchange(now tackclock.Time, g *group) {
-	self := &link{Neighbour: Neighbour{Peer: s.Self}, sentSeq: 1}
+	self := &link{PeerLocation: PeerLocation{Peer: s.Self}, sentSeq: 1}
 	if g.holding.owner == s.Self {
 		for _, r := range g.appendReport(nil, self) {
 			s.receiveReport(now, s.Self, &r)
@@ -247,7 +247,7 @@
 	return h ^ h>>33
 }
 
-func compareNeighbours(a, b Neighbour) int {
+func compareNeighbours(a, b PeerLocation) int {
 	return cmp.Compare(a.Peer, b.Peer)
 }
 
--- a/core/tackshare/quota_test.go
+++ b/core/tackshare/quota_test.go
@@ -39,9 +39,9 @@
 
 func newQuotaPeers(vms, quota int) *quotaPeers {
 	q := new(quotaPeers)
-	var peers []tackshare.Neighbour
+	var peers []tackshare.PeerLocation
 	for vm := range vms {
-		peers = append(peers, tackshare.Neighbour{Peer: peerOf(vm), DataCentre: home})
+		peers = append(peers, tackshare.PeerLocation{Peer: peerOf(vm), DataCentre: home})
 	}
 	for vm := range vms {
 		h := new(holder)
@@ -139,7 +139,7 @@
 		return u
 	}
 	h.arrives = false
-	if c, ok := h.chooser.Pick(now, tackroute.Ask{Home: home}); ok {
+	if c, ok := h.chooser.Pick(now, tackroute.Constraints{Home: home}); ok {
 		h.inFlight = append(h.inFlight, c)
 	}
 	return u
@@ -157,7 +157,7 @@
 	h := new(eagerUser)
 	h.sharer = &tackshare.Sharer{Self: peerOf(vm), Home: home, Epoch: 1, User: h}
 	h.chooser.SetCandidates(table.Services[service])
-	h.sharer.SetPeers(0, []tackshare.Neighbour{{Peer: peerOf(0), DataCentre: home}, {Peer: peerOf(1), DataCentre: home}})
+	h.sharer.SetPeers(0, []tackshare.PeerLocation{{Peer: peerOf(0), DataCentre: home}, {Peer: peerOf(1), DataCentre: home}})
 	h.sharer.SetTable(0, table)
 	return h
 }
--- a/core/tackshare/share.go
+++ b/core/tackshare/share.go
@@ -42,18 +42,18 @@
 		InUse []tackroute.Share
 	}
 
-	// User uses the shares. SetShares replaces the shares of a group; the
+	// Consumer uses the shares. SetShares replaces the shares of a group; the
 	// total number of slots in use may not exceed bound. If a share is smaller
 	// than the number of slots in use, no new requests start there and the
 	// running ones continue. Usage must reflect every SetShares call that has
 	// returned.
-	User interface {
+	Consumer interface {
 		SetShares(now tackclock.Time, group Group, bound int, shares []tackroute.Share)
 		Usage(now tackclock.Time, subject Subject) Usage
 	}
 
-	// Neighbour is a peer and its data centre.
-	Neighbour struct {
+	// PeerLocation is a peer and its data centre.
+	PeerLocation struct {
 		Peer       tackid.Peer
 		DataCentre tackid.DataCentre
 	}
@@ -105,7 +105,7 @@
 
 	// Count is a number of slots of a lot.
 	Count struct {
-		tackroute.Lot
+		tackroute.SlotSource
 		Slots int `cbor:"3,keyasint"`
 	}
 
@@ -135,7 +135,7 @@
 	return max(c.granted-c.returned, 0)
 }
 
-func compareLots(a, b tackroute.Lot) int {
+func compareLots(a, b tackroute.SlotSource) int {
 	if c := cmp.Compare(a.BackendServer, b.BackendServer); c != 0 {
 		return c
 	}
--- a/core/tackshare/sharer.go
+++ b/core/tackshare/sharer.go
@@ -47,14 +47,14 @@
 		// Epoch distinguishes the incarnations of this peer. It can be the
 		// time of its start.
 		Epoch uint64
-		User  User
+		User  Consumer
 
 		links map[tackid.Peer]*link
 		// retired keeps the links of removed peers, since the sequence
 		// numbers of frames must not restart.
 		retired    map[tackid.Peer]*link
-		peers      []Neighbour
-		live       []Neighbour
+		peers      []PeerLocation
+		live       []PeerLocation
 		groups     map[Group]*group
 		groupOrder []Group
 		allGroups  []*group
@@ -66,7 +66,7 @@
 
 	// link is the state of the connection to another peer.
 	link struct {
-		Neighbour
+		PeerLocation
 		lastHeard   tackclock.Time
 		epoch       uint64
 		receivedSeq uint64
@@ -83,14 +83,14 @@
 )
 
 // SetPeers sets the peers, which may or may not include this one.
-func (s *Sharer) SetPeers(now tackclock.Time, peers []Neighbour) {
+func (s *Sharer) SetPeers(now tackclock.Time, peers []PeerLocation) {
 	if s.retired == nil {
 		s.startedAt = now
 		s.retired = make(map[tackid.Peer]*link)
 	}
 	maps.Copy(s.retired, s.links)
 	s.links = make(map[tackid.Peer]*link, len(peers))
-	s.peers = []Neighbour{{Peer: s.Self, DataCentre: s.Home}}
+	s.peers = []PeerLocation{{Peer: s.Self, DataCentre: s.Home}}
 	for _, p := range peers {
 		if p.Peer == s.Self {
 			continue
@@ -100,7 +100,7 @@
 			l = new(link)
 		}
 		delete(s.retired, p.Peer)
-		l.Neighbour, l.lastHeard = p, now
+		l.PeerLocation, l.lastHeard = p, now
 		s.links[p.Peer] = l
 		s.peers = append(s.peers, p)
 	}
@@ -116,12 +116,12 @@
 	for service, candidates := range table.Services {
 		for _, c := range candidates {
 			key := Group{Subject: Subject{Service: service}, DataCentre: c.DataCentre}
-			s.addLot(key, old, tackroute.Lot{BackendServer: c.BackendServer, Incarnation: c.Incarnation}, c.Slots)
+			s.addLot(key, old, tackroute.SlotSource{BackendServer: c.BackendServer, Incarnation: c.Incarnation}, c.Slots)
 		}
 	}
 	for team, slots := range table.Quotas {
 		if slots > 0 {
-			s.addLot(Group{Subject: Subject{Team: team}}, old, tackroute.Lot{}, slots)
+			s.addLot(Group{Subject: Subject{Team: team}}, old, tackroute.SlotSource{}, slots)
 		}
 	}
 	for key, g := range old {
@@ -275,7 +275,7 @@
 
 // refreshLive recomputes the set of live peers, and the owners if it changed.
 func (s *Sharer) refreshLive(now tackclock.Time) {
-	live := make([]Neighbour, 0, len(s.peers))
+	live := make([]PeerLocation, 0, len(s.peers))
 	for _, p := range s.peers {
 		if l := s.links[p.Peer]; l == nil || s.alive(now, l) {
 			live = append(live, p)
@@ -287,14 +287,14 @@
 	}
 }
 
-func (s *Sharer) addLot(key Group, old map[Group]*group, lot tackroute.Lot, slots int) {
+func (s *Sharer) addLot(key Group, old map[Group]*group, lot tackroute.SlotSource, slots int) {
 	g := s.groups[key]
 	if g == nil {
 		g = old[key]
 		if g == nil {
 			g = &group{Group: key}
 		}
-		g.lots, g.slots = nil, make(map[tackroute.Lot]int)
+		g.lots, g.slots = nil, make(map[tackroute.SlotSource]int)
 		s.groups[key] = g
 	}
 	g.lots = append(g.lots, lot)
--- a/core/tackshare/size_test.go
+++ b/core/tackshare/size_test.go
@@ -35,7 +35,7 @@
 			n := min(share.Slots, u.Waiting)
 			u.Waiting -= n
 			if n > 0 {
-				u.InUse = append(u.InUse, tackroute.Share{Lot: share.Lot, Slots: n})
+				u.InUse = append(u.InUse, tackroute.Share{SlotSource: share.SlotSource, Slots: n})
 			}
 		}
 	}
@@ -110,9 +110,9 @@
 }
 
 func sizedSharers(vms, centres int, table *tackroute.Table) ([]*tackshare.Sharer, []*multiUser) {
-	var peers []tackshare.Neighbour
+	var peers []tackshare.PeerLocation
 	for vm := range vms {
-		peers = append(peers, tackshare.Neighbour{Peer: peerOf(vm), DataCentre: tackid.DataCentre(fmt.Sprint("centre-", vm%centres))})
+		peers = append(peers, tackshare.PeerLocation{Peer: peerOf(vm), DataCentre: tackid.DataCentre(fmt.Sprint("centre-", vm%centres))})
 	}
 	var sharers []*tackshare.Sharer
 	var users []*multiUser
--- a/core/tacksilence/watch.go
+++ b/core/tacksilence/watch.go
@@ -38,9 +38,9 @@
 	}
 )
 
-// Fell records that a worker, last heard from at the given time, stopped reporting. tried
+// FellSilent records that a worker, last heard from at the given time, stopped reporting. tried
 // says that it ran an item that may be the cause.
-func (w *Watch) Fell(vm tackid.VM, heard tackclock.Time, tried bool) {
+func (w *Watch) FellSilent(vm tackid.VM, heard tackclock.Time, tried bool) {
 	w.fell = append(w.fell, silence{vm: vm, heard: heard, tried: tried})
 }
 
@@ -52,12 +52,12 @@
 	w.doubts[x.VM] = append(w.doubts[x.VM], doubt{Doubt: x, heard: heard, since: now})
 }
 
-// Heard resolves the doubts about a VM after a report from a worker process there. Doubts
+// Resolve resolves the doubts about a VM after a report from a worker process there. Doubts
 // about the same process, and about processes whose end is excused, are dismissed; the
 // other processes have crashed.
-func (w *Watch) Heard(vm tackid.VM, life string, excused func(life string) bool) (dismissed []tackjob.Doubt, crashed []tackjob.Crash) {
+func (w *Watch) Resolve(vm tackid.VM, life string, excused func(life string) bool) (dismissed []tackjob.Doubt, crashed []tackjob.Crash) {
 	for _, x := range w.doubts[vm] {
-		if x.Life == life || excused(x.Life) {
+		if x.WorkerID == life || excused(x.WorkerID) {
 			dismissed = append(dismissed, x.Doubt)
 			continue
 		}
--- a/core/tackstate/state_test.go
+++ b/core/tackstate/state_test.go
@@ -46,7 +46,7 @@
 			Cores: 16, MemoryMB: 32768, Health: tackfleet.HealthServing,
 		}}}})
 	}
-	apply(Proposal{Ledger: &tackledger.Change{Begin: &tackledger.Begin{ID: tackledger.ID{Service: "names-api", Key: "k"}, Request: "r", Within: 1000}}})
+	apply(Proposal{Ledger: &tackledger.Change{Begin: &tackledger.Begin{ID: tackledger.ID{Service: "names-api", Key: "k"}, Request: "r", Timeout: 1000}}})
 	return s
 }
 
--- a/core/tackupkeep/wave.go
+++ b/core/tackupkeep/wave.go
@@ -20,8 +20,8 @@
 		Number Number             `cbor:"1,keyasint"`
 		VMs    []tackid.VM        `cbor:"2,keyasint"`
 		Within tackclock.Duration `cbor:"3,keyasint,omitempty"`
-		// AtOnce is the number of VMs that the wave may have down at a time.
-		AtOnce   int            `cbor:"4,keyasint,omitempty"`
+		// MaxDown is the number of VMs that the wave may have down at a time.
+		MaxDown  int            `cbor:"4,keyasint,omitempty"`
 		Accepted tackclock.Time `cbor:"5,keyasint,omitempty"`
 		// Term is that of the leader that accepted the wave.
 		Term tackreplica.Term `cbor:"7,keyasint,omitempty"`
@@ -79,11 +79,11 @@
 
 // Complete reports whether the maintenance of every VM has begun.
 func (w *Wave) Complete() bool {
-	return len(w.Left()) == 0
+	return len(w.Remaining()) == 0
 }
 
-// Left returns the VMs whose maintenance has not begun.
-func (w *Wave) Left() []tackid.VM {
+// Remaining returns the VMs whose maintenance has not begun.
+func (w *Wave) Remaining() []tackid.VM {
 	var left []tackid.VM
 	for _, vm := range w.VMs {
 		if !slices.Contains(w.Begun, vm) {
--- a/core/tackwave/bench_test.go
+++ b/core/tackwave/bench_test.go
@@ -99,7 +99,7 @@
 				waiting = append(waiting, m.VM)
 			}
 		}
-		if v.Status == tackfleet.WaveRunning && v.Holding() == 0 && len(waiting) > 0 {
+		if v.Status == tackfleet.WaveRunning && v.HeldCount() == 0 && len(waiting) > 0 {
 			step := tackfleet.WaveStep{Wave: v.ID, VMs: p.group(w, &v, waiting)}
 			d.Changes = append(d.Changes, tackfleet.Change{WaveStep: &step})
 		}
--- a/core/tackwave/cost.go
+++ b/core/tackwave/cost.go
@@ -197,7 +197,7 @@
 		if !ok || w.Status != tackfleet.WaveRunning {
 			return
 		}
-		r.plan.BufferVMs = max(r.plan.BufferVMs, w.Out())
+		r.plan.BufferVMs = max(r.plan.BufferVMs, w.OutCount())
 		if !r.apply(r.p.Decide(r.m, r.cfg)) {
 			r.advanceClock(&w)
 		}
--- a/core/tackwave/world_test.go
+++ b/core/tackwave/world_test.go
@@ -271,7 +271,7 @@
 				w.violations = append(w.violations, fmt.Sprintf("%s was not operated by %s", m.VM, wave.ID))
 			}
 		}
-		out += wave.Out()
+		out += wave.OutCount()
 	}
 	for id, n := range holders {
 		if n > 1 {
@@ -327,7 +327,7 @@
 
 func (w *world) active() bool {
 	return slices.ContainsFunc(w.fleet.Waves(), func(v tackfleet.Wave) bool {
-		return v.Status == tackfleet.WaveRunning || v.Holding() > 0
+		return v.Status == tackfleet.WaveRunning || v.HeldCount() > 0
 	})
 }
 
--- a/core/tackwork/key_test.go
+++ b/core/tackwork/key_test.go
@@ -15,16 +15,16 @@
 func (l *log) putKeys(t *testing.T, v tackcatalog.Version, keys map[tackid.Workspace]string) {
 	t.Helper()
 	c := l.Catalog
-	c.Version, c.Source, c.Keyed, c.Workspaces = v, []byte{byte(v)}, true, nil
+	c.Version, c.Source, c.RequiresKeys, c.Workspaces = v, []byte{byte(v)}, true, nil
 	for name, key := range keys {
-		c.Workspaces = append(c.Workspaces, tackworkspace.Workspace{Name: name, Keys: []tackworkspace.Fingerprint{tackworkspace.Print(key)}})
+		c.Workspaces = append(c.Workspaces, tackworkspace.Workspace{Name: name, Keys: []tackworkspace.Fingerprint{tackworkspace.FingerprintOf(key)}})
 	}
 	l.append(t, Change{Catalog: &c})
 }
 
 func (l *log) assertHolder(t *testing.T, key string, want tackid.Workspace) {
 	t.Helper()
-	if got, held := l.Holder(tackworkspace.Print(key)); got != want || held != (want != "") {
+	if got, held := l.Holder(tackworkspace.FingerprintOf(key)); got != want || held != (want != "") {
 		t.Errorf("key %q is held by %q, %v, want %q", key, got, held, want)
 	}
 }
@@ -34,7 +34,7 @@
 	l := newLog(t)
 	l.putKeys(t, 5, map[tackid.Workspace]string{"mairies": "m", "postes": "p"})
 	l.assertHolder(t, "m", "mairies")
-	if out := l.append(t, Change{Submit: twoSteps(first), Key: tackworkspace.Print("m")}); out.NoKey || out.Job.Workspace != "mairies" {
+	if out := l.append(t, Change{Submit: twoSteps(first), Key: tackworkspace.FingerprintOf("m")}); out.NoKey || out.Job.Workspace != "mairies" {
 		t.Fatalf("submitted with a key of mairies: %+v", out)
 	}
 	t.Run("an older catalog restores no key", func(t *testing.T) {
@@ -47,7 +47,7 @@
 	// has looked the key up but before the job is applied. This requires a second lookup
 	// when the job is applied.
 	t.Run("a key that was removed meanwhile submits nothing", func(t *testing.T) {
-		if out := l.append(t, Change{Submit: twoSteps(second), Key: tackworkspace.Print("m")}); !out.NoKey || out.Job != nil {
+		if out := l.append(t, Change{Submit: twoSteps(second), Key: tackworkspace.FingerprintOf("m")}); !out.NoKey || out.Job != nil {
 			t.Errorf("accepted: %+v", out)
 		}
 	})
@@ -67,8 +67,8 @@
 		}
 		restored.assertHolder(t, "m", "")
 		restored.assertHolder(t, "p", "postes")
-		if j := restored.Jobs.Get(first); j == nil || j.Workspace != "mairies" || !restored.Catalog.Keyed {
-			t.Errorf("restored job %+v, keyed %v", j, restored.Catalog.Keyed)
+		if j := restored.Jobs.Get(first); j == nil || j.Workspace != "mairies" || !restored.Catalog.RequiresKeys {
+			t.Errorf("restored job %+v, keyed %v", j, restored.Catalog.RequiresKeys)
 		}
 	})
 }
@@ -96,7 +96,7 @@
 	if err := l.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	if l.Catalog.Keyed || l.Catalog.Queue(queue) == nil || l.Catalog.Queue(queue).Public {
+	if l.Catalog.RequiresKeys || l.Catalog.Queue(queue) == nil || l.Catalog.Queue(queue).Public {
 		t.Errorf("the catalog is %+v", l.Catalog)
 	}
 	if j := l.Jobs.Get(id); j == nil || j.Workspace != "" {
--- a/core/tackwork/state.go
+++ b/core/tackwork/state.go
@@ -28,9 +28,9 @@
 type (
 	// State is the result of applying the log. Its zero value is empty.
 	State struct {
-		// KeepClosed is how long a closed job can still be looked up. It must be the same
+		// ClosedRetention is how long a closed job can still be looked up. It must be the same
 		// on all replicas; zero means two and a half minutes.
-		KeepClosed tackclock.Duration
+		ClosedRetention tackclock.Duration
 
 		Catalog tackcatalog.Catalog
 		Jobs    tackjob.Table
@@ -53,10 +53,10 @@
 		Catalog *tackcatalog.Catalog `cbor:"4,keyasint,omitempty"`
 		Wave    *tackupkeep.Wave     `cbor:"5,keyasint,omitempty"`
 		Upkeep  *UpkeepBegun         `cbor:"6,keyasint,omitempty"`
-		// Orders are VMs to which the leader is about to give orders. They change
+		// PendingVMOrders are VMs to which the leader is about to give orders. They change
 		// nothing; they tell the next leader that such orders may have been given.
-		Orders   []tackid.VM       `cbor:"7,keyasint,omitempty"`
-		Findings *tackjob.Findings `cbor:"8,keyasint,omitempty"`
+		PendingVMOrders []tackid.VM       `cbor:"7,keyasint,omitempty"`
+		Findings        *tackjob.Findings `cbor:"8,keyasint,omitempty"`
 		// Key is the key that a job is submitted with; empty if its queue requires none.
 		Key tackworkspace.Fingerprint `cbor:"9,keyasint,omitempty"`
 		// Grants may accompany Ends as well.
@@ -132,11 +132,11 @@
 	}
 	for _, end := range c.Ends {
 		if j := s.Jobs.Get(end.Item.Job); j != nil {
-			j.Take(end, e.Time)
+			j.RecordEnd(end, e.Time)
 		}
 	}
 	if c.Findings != nil {
-		s.Jobs.Find(c.Findings, e.Time)
+		s.Jobs.ApplyFindings(c.Findings, e.Time)
 	}
 	s.grant(c.Grants)
 	return Outcome{}
@@ -195,7 +195,7 @@
 		s.Grants = make(tackquota.Grants)
 	}
 	for _, g := range list {
-		s.Grants[g.Workspace] = g.Room
+		s.Grants[g.Workspace] = g.Resources
 	}
 }
 
@@ -204,7 +204,7 @@
 		return
 	}
 	s.expired = now
-	s.Jobs.Expire(now.Add(-cmp.Or(s.KeepClosed, defaultKeepClosed)))
+	s.Jobs.Expire(now.Add(-cmp.Or(s.ClosedRetention, defaultKeepClosed)))
 }
 
 // Snapshot returns the encoded state, which Restore reads.
--- a/core/tackwork/state_test.go
+++ b/core/tackwork/state_test.go
@@ -190,7 +190,7 @@
 	l := newLog(t)
 	l.append(t, Change{Submit: twoSteps("00000000000000a1")})
 	l.append(t, done("00000000000000a1", 0, 1))
-	l.append(t, Change{Wave: &tackupkeep.Wave{Number: 1, VMs: []tackid.VM{"m-1"}, AtOnce: 1}})
+	l.append(t, Change{Wave: &tackupkeep.Wave{Number: 1, VMs: []tackid.VM{"m-1"}, MaxDown: 1}})
 	data, err := l.Snapshot()
 	if err != nil {
 		t.Fatal(err)
--- a/core/tackworkspace/workspace.go
+++ b/core/tackworkspace/workspace.go
@@ -30,7 +30,7 @@
 		// Weight is the weight of its share when all workers are busy.
 		Weight float64 `cbor:"3,keyasint,omitempty"`
 		// Cap limits what it has running over all workers. A zero field means no limit.
-		Cap tackroom.Room `cbor:"4,keyasint"`
+		Cap tackroom.Resources `cbor:"4,keyasint"`
 		// Priority 0 is served first, higher values later.
 		Priority int `cbor:"5,keyasint,omitempty"`
 	}
@@ -47,8 +47,8 @@
 	}
 )
 
-// Print returns the fingerprint of a key; the fingerprint of the empty key is empty.
-func Print(key string) Fingerprint {
+// FingerprintOf returns the fingerprint of a key; the fingerprint of the empty key is empty.
+func FingerprintOf(key string) Fingerprint {
 	if key == "" {
 		return ""
 	}
@@ -78,9 +78,9 @@
 	return name, ok && key != ""
 }
 
-// Check returns all problems found in a list of workspaces. A key must not be shared by
+// Validate returns all problems found in a list of workspaces. A key must not be shared by
 // two of them: each could see and cancel the jobs of the other.
-func Check(list []Workspace) []Problem {
+func Validate(list []Workspace) []Problem {
 	var problems []Problem
 	names := make(map[tackid.Workspace]int)
 	holders := make(map[Fingerprint]int)
--- a/io/tackcontrol/advice.go
+++ b/io/tackcontrol/advice.go
@@ -42,7 +42,7 @@
 		c.mu.Unlock()
 		return
 	}
-	request, wanted := c.dispatch.AdviceWanted(now)
+	request, wanted := c.dispatch.NextAdviceRequest(now)
 	c.mu.Unlock()
 	if !wanted {
 		return
@@ -60,6 +60,6 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.dispatched == term {
-		c.dispatch.Advised(asked, request, tickets, valid, err == nil)
+		c.dispatch.AdviceReceived(asked, request, tickets, valid, err == nil)
 	}
 }
--- a/io/tackcontrol/control.go
+++ b/io/tackcontrol/control.go
@@ -152,7 +152,7 @@
 		moving:   make(chan struct{}, movesInFlight),
 	}
 	c.cfg.RelayFrom = cmp.Or(cfg.RelayFrom, defaultRelayFrom)
-	c.state.KeepClosed = cfg.KeepClosed
+	c.state.ClosedRetention = cfg.KeepClosed
 	c.orders.perSecond = cfg.CallsPerSecond
 	stored, err := c.openDisk()
 	if err != nil {
@@ -182,7 +182,7 @@
 	c.orders.reset(c.clock.Now())
 	c.node = tackreplica.New(tackreplica.Config{
 		Self: c.cfg.Self, Members: c.firstMembers(), Seed: rand.Uint64(),
-		Heartbeat: logHeartbeat, Lease: logLease, Election: logElection, LearnerEvery: logHeartbeat,
+		Heartbeat: logHeartbeat, Lease: logLease, Election: logElection, LearnerInterval: logHeartbeat,
 	}, stored, c.clock.Now())
 	c.refreshStatus(c.clock.Now())
 	return nil
--- a/io/tackcontrol/control_test.go
+++ b/io/tackcontrol/control_test.go
@@ -229,7 +229,7 @@
 func (c *cluster) ask(op tackwork.Operation, id string) tackwork.Answer {
 	r := &tackwork.Request{Operation: op, Host: "a.example", Path: "/q/" + id}
 	if op == tackwork.Submit {
-		r.Spec = &tackjob.Spec{Steps: []tackjob.Step{{Count: 2, Estimate: 100, Room: tackroom.Room{MilliCores: 500}}}}
+		r.Spec = &tackjob.Spec{Steps: []tackjob.Step{{Count: 2, Estimate: 100, Resources: tackroom.Resources{MilliCores: 500}}}}
 	}
 	return c.client.Do(context.Background(), r)
 }
@@ -399,7 +399,7 @@
 	sound := &worker{id: "i-1", control: leader}
 	sound.beat()
 	foreign := &tackdispatch.Report{
-		Worker: "i-9", VM: "m-i-1", Service: "elsewhere", Sequence: 1, Capacity: tackroom.Room{MilliCores: 4000, MemoryMB: 4000},
+		Worker: "i-9", VM: "m-i-1", Service: "elsewhere", Sequence: 1, Capacity: tackroom.Resources{MilliCores: 4000, MemoryMB: 4000},
 	}
 	if _, err := leader.Heartbeat(t.Context(), foreign); !errors.As(err, new(*tackdispatch.ForeignError)) {
 		t.Errorf("error %v, want a *ForeignError", err)
--- a/io/tackcontrol/disk.go
+++ b/io/tackcontrol/disk.go
@@ -66,7 +66,7 @@
 		return false, nil
 	}
 	c.mu.Lock()
-	c.state = tackwork.State{KeepClosed: c.cfg.KeepClosed}
+	c.state = tackwork.State{ClosedRetention: c.cfg.KeepClosed}
 	c.snapshotAt = 0
 	err = c.restore(stored)
 	c.mu.Unlock()
--- a/io/tackcontrol/jobs.go
+++ b/io/tackcontrol/jobs.go
@@ -106,7 +106,7 @@
 		return nil, &tackwork.Answer{Verdict: tackwork.NoQueue}
 	}
 	found := &call{queue: *q, id: tackjob.ID(rest), spec: r.Spec, request: r.ID}
-	if c.state.Catalog.Keyed && !q.Public {
+	if c.state.Catalog.RequiresKeys && !q.Public {
 		held := false
 		if found.workspace, held = c.state.Holder(r.Key); !held {
 			return nil, &tackwork.Answer{Verdict: tackwork.NoKey, Reason: whyNoKey(r.Key)}
@@ -139,7 +139,7 @@
 func (c *Control) pending(k *call) tackwork.Answer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return tackwork.Answer{Queue: true, Pending: c.dispatch.Pending(k.queue.QueueKey)}
+	return tackwork.Answer{Queue: true, Pending: c.dispatch.UnstartedJobs(k.queue.QueueKey)}
 }
 
 func (c *Control) lookup(k *call) tackwork.Answer {
@@ -183,7 +183,7 @@
 	case known != nil:
 		return tackwork.Answer{Reason: "known"}
 	case !admission.Accepted:
-		return tackwork.Answer{Verdict: tackwork.Refused, RetryAfter: admission.ComeBack, Reason: admission.Reason}
+		return tackwork.Answer{Verdict: tackwork.Refused, RetryAfter: admission.RetryAfter, Reason: admission.Reason}
 	}
 	p := c.proposeTold(ctx, tackwork.Change{Submit: &spec, Key: k.key}, func() { c.decided(spec.ID) })
 	switch {
--- a/io/tackcontrol/keys_test.go
+++ b/io/tackcontrol/keys_test.go
@@ -17,14 +17,14 @@
 // keyed is a catalog with a public queue, /open/, and one that asks for a key, /q/.
 func keyed(v tackcatalog.Version, keys map[tackid.Workspace][]string) *tackcatalog.Catalog {
 	c := catalog
-	c.Version, c.Source, c.Keyed = v, []byte{byte(v)}, true
+	c.Version, c.Source, c.RequiresKeys = v, []byte{byte(v)}, true
 	open := c.Queues[0]
 	open.Prefix, open.Public = "/open/", true
 	c.Queues = append([]tackcatalog.Queue{open}, c.Queues...)
 	for _, name := range []tackid.Workspace{"mairies", "postes"} {
 		w := tackworkspace.Workspace{Name: name}
 		for _, key := range keys[name] {
-			w.Keys = append(w.Keys, tackworkspace.Print(key))
+			w.Keys = append(w.Keys, tackworkspace.FingerprintOf(key))
 		}
 		c.Workspaces = append(c.Workspaces, w)
 	}
@@ -41,7 +41,7 @@
 // assertKey asks with a key; the path names queue and job.
 func (c *cluster) assertKey(op tackwork.Operation, key, path string, want tackwork.Verdict) {
 	c.t.Helper()
-	r := &tackwork.Request{Operation: op, Host: "a.example", Path: path, Key: tackworkspace.Print(key)}
+	r := &tackwork.Request{Operation: op, Host: "a.example", Path: path, Key: tackworkspace.FingerprintOf(key)}
 	if op == tackwork.Submit {
 		r.Spec = &tackjob.Spec{Steps: []tackjob.Step{{Count: 1, Estimate: 100}}}
 	}
@@ -119,7 +119,7 @@
 				t.Errorf("listed %s, want %s in it", list, want)
 			}
 		}
-		if short := tackworkspace.Print("p2").Short(); !strings.Contains(one, short) || strings.Contains(list+one, `"p2"`) {
+		if short := tackworkspace.FingerprintOf("p2").Short(); !strings.Contains(one, short) || strings.Contains(list+one, `"p2"`) {
 			t.Errorf("shown %s and %s, want %s and no key", list, one, short)
 		}
 		if code, body := page("?name=nobody"); code != http.StatusNotFound {
--- a/io/tackcontrol/loop.go
+++ b/io/tackcontrol/loop.go
@@ -31,7 +31,7 @@
 		c.judgeRelays(now)
 	}
 	events, left := c.dispatch.Events()
-	known, looked := c.state.Jobs.Len(), c.dispatch.Looked()
+	known, looked := c.state.Jobs.Len(), c.dispatch.Examined()
 	c.mu.Unlock()
 	c.updateGauges(now, known)
 	c.meters.looked.Update(int64(looked))
@@ -138,7 +138,7 @@
 func (c *Control) apply(e tackreplica.Entry) error {
 	c.mu.Lock()
 	change, out, err := c.state.Apply(e)
-	c.orders.follow(c.clock.Now(), &e, change.Orders)
+	c.orders.follow(c.clock.Now(), &e, change.PendingVMOrders)
 	if err == nil && c.dispatched != 0 {
 		c.follow(&change, out)
 	}
--- a/io/tackcontrol/metrics.go
+++ b/io/tackcontrol/metrics.go
@@ -89,7 +89,7 @@
 		m.runsLost.Inc(1)
 	case tackdispatch.EventItemSuspected:
 		m.suspected.Inc(1)
-	case tackdispatch.EventHeld:
+	case tackdispatch.EventItemsHeld:
 		m.held.Inc(1)
 	case tackdispatch.EventItemGivenUp:
 		m.givenUp.Inc(1)
--- a/io/tackcontrol/moves.go
+++ b/io/tackcontrol/moves.go
@@ -75,7 +75,7 @@
 	var moves []tackpool.Move
 	c.logStandings(now, pools)
 	plan := c.planner(now, pools).Plan(pools, most)
-	c.dispatch.Empty(now, plan.Emptied)
+	c.dispatch.WithholdWork(now, plan.Emptied)
 	for _, m := range plan.Moves {
 		c.upkeep.calls[m.VM] = true
 		c.dispatch.Moving(now, m)
@@ -91,7 +91,7 @@
 func mostMoves(pools []tackpool.Pool) int {
 	vms := 0
 	for i := range pools {
-		vms += len(pools[i].VMs) + len(pools[i].Coming)
+		vms += len(pools[i].VMs) + len(pools[i].Incoming)
 	}
 	return max(movesAtOnce, vms/movesPart)
 }
@@ -105,7 +105,7 @@
 	u.rest.Observe(now, pools)
 	u.reserve.Observe(now, p, pools)
 	p.ParkAfter = u.rest.After(now, p.ParkAfter)
-	p.Reserve, p.WantedFor = u.reserve.MilliCores(now), u.reserve.WantedFor(now)
+	p.Reserve, p.SinceFirstWork = u.reserve.MilliCores(now), u.reserve.SinceFirstWork(now)
 	if p.ParkAfter != u.restAfter || p.Reserve != u.reserved {
 		c.log.WithFields(logrus.Fields{
 			"after_ms": int64(p.ParkAfter), "before_ms": int64(u.restAfter), "idle_times": u.rest.Known(),
@@ -124,8 +124,8 @@
 	if now.Sub(c.upkeep.standingsAt) < standingsEvery {
 		return
 	}
-	standings := c.cfg.Moves.Standings(pools)
-	if !slices.ContainsFunc(standings, func(s tackpool.Standing) bool { return s.Lacks() }) {
+	standings := c.cfg.Moves.Statuses(pools)
+	if !slices.ContainsFunc(standings, func(s tackpool.PoolStatus) bool { return s.Lacks() }) {
 		return
 	}
 	c.upkeep.standingsAt = now
--- a/io/tackcontrol/orders.go
+++ b/io/tackcontrol/orders.go
@@ -116,7 +116,7 @@
 // announce has the log name VMs that are about to be ordered about; false if no
 // order may be given.
 func (c *Control) announce(ctx context.Context, vms ...tackid.VM) bool {
-	p := c.propose(ctx, tackwork.Change{Orders: vms})
+	p := c.propose(ctx, tackwork.Change{PendingVMOrders: vms})
 	if p.fate == committed {
 		return true
 	}
--- a/io/tackcontrol/propose.go
+++ b/io/tackcontrol/propose.go
@@ -148,7 +148,7 @@
 	c.dispatch.Reset(now, term, tackdispatch.Inherited{
 		Jobs: &c.state.Jobs, Workspaces: c.state.Catalog.Workspaces, Grants: c.state.Grants,
 	})
-	c.dispatch.ExcuseBy(func(now tackclock.Time, vm tackid.VM) bool {
+	c.dispatch.SetOrderedBefore(func(now tackclock.Time, vm tackid.VM) bool {
 		return c.orders.byEarlier(now, term, vm, c.cfg.Handover+orderTakes)
 	})
 	c.upkeep.reset(now)
@@ -169,12 +169,12 @@
 		c.dispatch.Rebind(now, c.state.Catalog.Workspaces)
 	}
 	for _, e := range change.Ends {
-		c.dispatch.Taken(now, e)
+		c.dispatch.EndLogged(now, e)
 	}
 	if change.Findings != nil {
-		c.dispatch.Found(now, change.Findings)
+		c.dispatch.FindingsLogged(now, change.Findings)
 	}
-	c.dispatch.Granted(change.Grants)
+	c.dispatch.GrantsLogged(change.Grants)
 }
 
 // queueEnds has ends, and what dispatch found out and wants granted since the last call,
@@ -232,7 +232,7 @@
 	}
 	for id, ends := range byWorker {
 		c.meters.ends.Inc(int64(len(ends)))
-		c.dispatch.EndsNoted(id, ends)
+		c.dispatch.EndsLogged(id, ends)
 	}
 }
 
--- a/io/tackcontrol/relay.go
+++ b/io/tackcontrol/relay.go
@@ -85,7 +85,7 @@
 		if a.Problem != "" {
 			return Reply{}, &tackdispatch.ForeignError{Worker: r.Worker, Problem: a.Problem}
 		}
-		return Reply{Orders: a.Orders, Ask: a.Ask}, nil
+		return Reply{Orders: a.Orders, Ask: a.NextPeer}, nil
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -123,7 +123,7 @@
 	}
 }
 
-func (c *Control) sendReports(leader tackid.Peer, list []tackrelay.Numbered) {
+func (c *Control) sendReports(leader tackid.Peer, list []tackrelay.NumberedReport) {
 	m := tackrelay.Reports{DataCentre: c.cfg.DataCentre, List: list, On: c.relays(c.clock.Now())}
 	if err := c.links.Send(leader, kindReports, m); err != nil {
 		c.log.WithField("peer", leader).WithField("reports", len(list)).WithError(err).Debug("reports not sent")
@@ -137,7 +137,7 @@
 	if now < c.relay.helloAt || leader == "" || leader == c.cfg.Self {
 		return
 	}
-	c.relay.helloAt = now.Add(tackrelay.HelloEvery)
+	c.relay.helloAt = now.Add(tackrelay.HelloInterval)
 	c.sendReports(leader, nil)
 }
 
@@ -151,10 +151,10 @@
 	now := c.clock.Now()
 	c.mu.Lock()
 	c.roster.Heard(now, from, m.DataCentre)
-	if m.On && c.dispatched != 0 && !c.dispatch.Sure(now) {
+	if m.On && c.dispatched != 0 && !c.dispatch.EarlierLeasesEnded(now) {
 		c.roster.Inherit()
 	}
-	answers := tackrelay.Answers{On: c.roster.On()}
+	answers := tackrelay.Answers{On: c.roster.Enabled()}
 	c.mu.Unlock()
 	for i := range m.List {
 		answers.List = append(answers.List, c.answerReport(from, &m.List[i]))
@@ -168,13 +168,13 @@
 	}
 }
 
-func (c *Control) answerReport(from tackid.Peer, n *tackrelay.Numbered) tackrelay.Answer {
+func (c *Control) answerReport(from tackid.Peer, n *tackrelay.NumberedReport) tackrelay.Answer {
 	a := tackrelay.Answer{Number: n.Number}
 	reply, err := c.decide(&n.Report, from)
 	var foreign *tackdispatch.ForeignError
 	switch {
 	case err == nil:
-		a.Orders, a.Ask = reply.Orders, reply.Ask
+		a.Orders, a.NextPeer = reply.Orders, reply.Ask
 	case errors.As(err, &foreign):
 		a.Problem = foreign.Problem
 	default:
@@ -196,14 +196,14 @@
 	if from == c.Leader() {
 		c.relay.on, c.relay.heard = m.On, now
 	}
-	c.relay.box.Take(now, from, m.List)
+	c.relay.box.Deliver(now, from, m.List)
 }
 
 // judgeRelays decides whether workers report to relays. The caller holds mu.
 func (c *Control) judgeRelays(now tackclock.Time) {
-	before, workers := c.roster.On(), c.dispatch.Workers()
-	c.roster.Judge(workers, c.cfg.RelayFrom, c.dispatch.Sure(now))
-	if on := c.roster.On(); on != before {
+	before, workers := c.roster.Enabled(), c.dispatch.Workers()
+	c.roster.Update(workers, c.cfg.RelayFrom, c.dispatch.EarlierLeasesEnded(now))
+	if on := c.roster.Enabled(); on != before {
 		c.log.WithField("workers", workers).WithField("from", c.cfg.RelayFrom).WithField("relays", on).Info("who takes reports")
 		for _, p := range c.roster.Live(now) { // before the first worker comes there
 			c.sendAnswers(p, tackrelay.Answers{On: on})
--- a/io/tackcontrol/undecided_test.go
+++ b/io/tackcontrol/undecided_test.go
@@ -23,7 +23,7 @@
 func submitTo(control *tackcontrol.Control, request, id string, within time.Duration) tackwork.Answer {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	step := tackjob.Step{Count: 8, Estimate: 1000, Room: tackroom.Room{MilliCores: 1000, MemoryMB: 10}}
+	step := tackjob.Step{Count: 8, Estimate: 1000, Resources: tackroom.Resources{MilliCores: 1000, MemoryMB: 10}}
 	return control.Do(ctx, &tackwork.Request{
 		Operation: tackwork.Submit, ID: tackid.RequestID(request), Host: "a.example", Path: "/q/" + id,
 		Spec: &tackjob.Spec{Steps: []tackjob.Step{step}},
--- a/io/tackcontrol/waves.go
+++ b/io/tackcontrol/waves.go
@@ -59,7 +59,7 @@
 		// standingsAt is when the log last said how the pools stand.
 		standingsAt tackclock.Time
 		// rest judges after which idle time VMs go to the standby pool.
-		rest tackpool.Rest
+		rest tackpool.ParkDelay
 		// restAfter is what it judged last.
 		restAfter tackclock.Duration
 		// reserve judges how much each pool has at hand, reserved is what it judged last,
@@ -77,7 +77,7 @@
 func (u *upkeep) reset(now tackclock.Time) {
 	u.from, u.lookAt = now, now
 	u.calls = make(map[tackid.VM]bool)
-	u.rest, u.restAfter = tackpool.Rest{}, 0
+	u.rest, u.restAfter = tackpool.ParkDelay{}, 0
 	u.reserve, u.reserved = tackpool.Reserve{}, 0
 }
 
@@ -88,7 +88,7 @@
 	}
 	a := c.answerProposal(c.propose(ctx, tackwork.Change{Wave: &w}))
 	c.log.WithFields(logrus.Fields{
-		"wave": int64(w.Number), "vms": len(w.VMs), "at_once": w.AtOnce, "within_ms": int64(w.Within), "outcome": a.Verdict.String(),
+		"wave": int64(w.Number), "vms": len(w.VMs), "at_once": w.MaxDown, "within_ms": int64(w.Within), "outcome": a.Verdict.String(),
 	}).Info("wave decided")
 	return a
 }
--- a/io/tackcontrol/worker_test.go
+++ b/io/tackcontrol/worker_test.go
@@ -28,7 +28,7 @@
 	w.sequence++
 	reply, err := w.control.Heartbeat(context.Background(), &tackdispatch.Report{
 		Worker: w.id, VM: tackid.VM("m-" + string(w.id)), Service: "names-api", Sequence: w.sequence, Ended: w.ended,
-		Capacity: tackroom.Room{MilliCores: 4000, MemoryMB: 4000},
+		Capacity: tackroom.Resources{MilliCores: 4000, MemoryMB: 4000},
 	})
 	if err != nil {
 		return
@@ -44,7 +44,7 @@
 	w.ended = kept
 	for _, s := range o.Start {
 		w.number++
-		w.ended = append(w.ended, tackdispatch.Ended{Number: w.number, Item: s.Item, Run: s.Run, How: tackdispatch.EndDone})
+		w.ended = append(w.ended, tackdispatch.Ended{Number: w.number, Item: s.Item, Run: s.Run, Kind: tackdispatch.EndDone})
 	}
 }
 
@@ -62,7 +62,7 @@
 // the log, and so must the job's failure.
 func TestItemThatCrashesItsWorkersIsGivenUpAcrossLeaders(t *testing.T) {
 	c := newRunning(t)
-	spec := &tackjob.Spec{Steps: []tackjob.Step{{Count: 1, Estimate: 100, Room: tackroom.Room{MilliCores: 500}}}}
+	spec := &tackjob.Spec{Steps: []tackjob.Step{{Count: 1, Estimate: 100, Resources: tackroom.Resources{MilliCores: 500}}}}
 	c.await("the job is accepted", func() bool {
 		submit := &tackwork.Request{Operation: tackwork.Submit, Host: "a.example", Path: "/q/" + jobA, Spec: spec}
 		return c.client.Do(context.Background(), submit).Verdict == tackwork.Done
@@ -108,7 +108,7 @@
 	l.sequence++
 	reply, err := c.running[leader].control.Heartbeat(context.Background(), &tackdispatch.Report{
 		Worker: tackdispatch.WorkerID(fmt.Sprintf("i-%s-%d", l.vm, l.number)), VM: l.vm, Service: "names-api",
-		Sequence: l.sequence, Capacity: tackroom.Room{MilliCores: 4000, MemoryMB: 4000},
+		Sequence: l.sequence, Capacity: tackroom.Resources{MilliCores: 4000, MemoryMB: 4000},
 	})
 	if err != nil || len(reply.Orders.Start) == 0 {
 		return false
--- a/io/tackcontrol/workers.go
+++ b/io/tackcontrol/workers.go
@@ -74,7 +74,7 @@
 // and jobs are owed there. Workers report before the first catalog comes. The caller
 // holds mu.
 func (c *Control) poolExists(service tackid.Service) bool {
-	return c.state.Catalog.Version == 0 || c.state.Catalog.Service(service) != nil || c.dispatch.Owes(service)
+	return c.state.Catalog.Version == 0 || c.state.Catalog.Service(service) != nil || c.dispatch.HasOpenJobs(service)
 }
 
 // Leave takes in that a worker has ended; false if this VM does not lead.
--- a/io/tackcontrol/workspaces.go
+++ b/io/tackcontrol/workspaces.go
@@ -32,7 +32,7 @@
 	// workspace is one workspace and how it stands.
 	workspace struct {
 		*tackworkspace.Workspace
-		tackdispatch.Standing
+		tackdispatch.WorkspaceStatus
 	}
 )
 
@@ -71,7 +71,7 @@
 	for i := range catalog {
 		list[i].Workspace = &catalog[i]
 		if leads {
-			list[i].Standing = c.dispatch.Standing(catalog[i].Name)
+			list[i].WorkspaceStatus = c.dispatch.WorkspaceStatus(catalog[i].Name)
 		}
 	}
 	return list, leads
@@ -108,8 +108,8 @@
 	return false
 }
 
-func cores(r tackroom.Room) float64     { return float64(r.MilliCores) / 1000 }
-func gigabytes(r tackroom.Room) float64 { return float64(r.MemoryMB) / 1024 }
+func cores(r tackroom.Resources) float64     { return float64(r.MilliCores) / 1000 }
+func gigabytes(r tackroom.Resources) float64 { return float64(r.MemoryMB) / 1024 }
 
 // bound is what a table shows of a cap, of which zero is none.
 func bound(n float64) any {
--- a/io/tackhttp/aside.go
+++ b/io/tackhttp/aside.go
@@ -18,12 +18,12 @@
 	any  atomic.Bool // a job has failed: before, no request is looked up
 
 	mu    sync.Mutex
-	aside tackretry.Aside
+	aside tackretry.FailingJobs
 }
 
 // SetAside returns the jobs that are refused for now, since each backend
 // server that ran them broke off.
-func (h *Handler) SetAside() []tackretry.SetAside {
+func (h *Handler) SetAside() []tackretry.SetAsideJob {
 	h.asides.mu.Lock()
 	defer h.asides.mu.Unlock()
 	return h.asides.aside.List(h.clock.Now())
@@ -53,7 +53,7 @@
 	a.any.Store(true)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.aside.Failed(c.h.clock.Now(), tackretry.Failure{Job: job, BackendServer: candidate.BackendServer, Healthy: healthy}) {
+	if a.aside.RecordFailure(c.h.clock.Now(), tackretry.Failure{Job: job, BackendServer: candidate.BackendServer, Healthy: healthy}) {
 		c.h.meters.setAside.Inc(1)
 	}
 }
@@ -67,7 +67,7 @@
 	job := c.job()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.aside.Answered(job)
+	a.aside.RecordSuccess(job)
 }
 
 // job returns what the request is known by.
@@ -83,6 +83,6 @@
 	h.WriteString(c.r.RequestURI)
 	h.WriteByte(' ')
 	h.Write(c.body)
-	job.Shape = h.Sum64()
+	job.Fingerprint = h.Sum64()
 	return job
 }
--- a/io/tackhttp/call.go
+++ b/io/tackhttp/call.go
@@ -243,10 +243,10 @@
 		return true
 	}
 	return c.service.retry(tackretry.Attempt{
-		Idempotent:   c.repeatable(),
-		SurelyNotRun: f.didNotRun,
-		Tries:        c.tries,
-		TimeLeft:     c.left(),
+		Idempotent: c.repeatable(),
+		NotRun:     f.didNotRun,
+		Tries:      c.tries,
+		TimeLeft:   c.left(),
 	})
 }
 
--- a/io/tackhttp/handler.go
+++ b/io/tackhttp/handler.go
@@ -92,7 +92,7 @@
 		sender  sender
 		quotas  quotas
 		asides  asides
-		life    tackledger.Life
+		life    tackledger.InstanceID
 		prefix  string // of the request ids of this process
 		ids     atomic.Uint64
 		buffers sync.Pool
@@ -129,7 +129,7 @@
 		clock:    cfg.Clock,
 		log:      cfg.Logger,
 		meters:   newMeters(cfg.Registry),
-		life:     tackledger.Life(life),
+		life:     tackledger.InstanceID(life),
 		prefix:   fmt.Sprintf("%s-%012x-", cfg.Self, life&(1<<48-1)),
 		services: make(map[tackid.Service]*service),
 		stop:     make(chan struct{}),
@@ -245,8 +245,8 @@
 
 // tries returns how often a request may be dispatched.
 func (h *Handler) tries() int {
-	if h.cfg.Retry.Tries > 0 {
-		return h.cfg.Retry.Tries
+	if h.cfg.Retry.MaxTries > 0 {
+		return h.cfg.Retry.MaxTries
 	}
 	return defaultTries
 }
--- a/io/tackhttp/keyed.go
+++ b/io/tackhttp/keyed.go
@@ -31,7 +31,7 @@
 		return refusal(http.StatusServiceUnavailable, codeNoLedger, "this VM keeps no records of keys", tackclock.Second)
 	}
 	id := tackledger.ID{Service: c.service.name, Team: c.team, Key: c.key}
-	print := tackledger.Print(c.r.Method, c.r.RequestURI, c.body)
+	print := tackledger.NewFingerprint(c.r.Method, c.r.RequestURI, c.body)
 	known := c.lookup(id, print)
 	if known.Kind == tackledger.Recorded || known.Kind == tackledger.Mismatch {
 		return c.repeat(known)
@@ -44,7 +44,7 @@
 	if f != nil {
 		return c.refuseKeyed(id, print, f)
 	}
-	if claim.Kind != tackledger.Mine {
+	if claim.Kind != tackledger.Claimed {
 		return c.repeat(claim)
 	}
 	return c.runOnce(id)
@@ -55,7 +55,7 @@
 // that it did not run. What other VMs know is not asked; f speaks of this
 // request.
 func (c *call) refuseKeyed(id tackledger.ID, print tackledger.Fingerprint, f *failure) *failure {
-	if known := c.lookup(id, print); known.Kind != tackledger.Mine {
+	if known := c.lookup(id, print); known.Kind != tackledger.Claimed {
 		return c.repeat(known)
 	}
 	return f
@@ -66,7 +66,7 @@
 	if l, ok := c.h.cfg.Ledger.(Lookuper); ok {
 		return l.Lookup(id, print)
 	}
-	return tackledger.Claim{Kind: tackledger.Mine}
+	return tackledger.Claim{Kind: tackledger.Claimed}
 }
 
 // claim asks for the key.
@@ -79,8 +79,8 @@
 		Fingerprint: print,
 		Request:     c.requestID(),
 		Peer:        c.h.cfg.Self,
-		Life:        c.h.life,
-		Within:      left + claimMargin,
+		Instance:    c.h.life,
+		Timeout:     left + claimMargin,
 	})
 	if err == nil {
 		return claim, nil
--- a/io/tackhttp/keyed_test.go
+++ b/io/tackhttp/keyed_test.go
@@ -112,7 +112,7 @@
 	e := newEntry(t, Config{Ledger: ledger}, backend.address)
 	first := exchange(t, e.address, keyed("POST", "dated", "{}"))
 	id := tackledger.ID{Service: "names", Key: "dated"}
-	claim, err := ledger.Claim(t.Context(), tackledger.Begin{ID: id, Fingerprint: tackledger.Print("POST", "/names/x", []byte("{}"))})
+	claim, err := ledger.Claim(t.Context(), tackledger.Begin{ID: id, Fingerprint: tackledger.NewFingerprint("POST", "/names/x", []byte("{}"))})
 	if err != nil || claim.Kind != tackledger.Recorded {
 		t.Fatalf("the key's record is %+v, %v", claim, err)
 	}
@@ -139,8 +139,8 @@
 	e := newEntry(t, Config{Ledger: ledger}, backend.address)
 	ledger.Claim(t.Context(), tackledger.Begin{
 		ID:          tackledger.ID{Service: "names", Key: "k"},
-		Fingerprint: tackledger.Print("POST", "/names/x", []byte("{}")),
-		Request:     "of-the-dead", Peer: "rennes-b-1", Within: tackclock.Minute,
+		Fingerprint: tackledger.NewFingerprint("POST", "/names/x", []byte("{}")),
+		Request:     "of-the-dead", Peer: "rennes-b-1", Timeout: tackclock.Minute,
 	})
 	got := exchange(t, e.address, keyed("POST", "k", "{}"))
 	assertOwn(t, got, http.StatusConflict, codeKeyRunning, tackledger.OutcomeUnknown)
--- a/io/tackhttp/record_bench_test.go
+++ b/io/tackhttp/record_bench_test.go
@@ -19,8 +19,8 @@
 	id := tackledger.ID{Service: "names-api", Team: "post", Key: tackid.Key(fmt.Sprintf("%032x", n))}
 	request := tackid.RequestID(fmt.Sprintf("rennes-a-1-0123456789ab-%d", n))
 	changes := [2]tackledger.Change{
-		{Begin: &tackledger.Begin{ID: id, Fingerprint: tackledger.Print("POST", "/names-api/x", nil),
-			Request: request, Peer: "rennes-a-1", Life: 1 << 60, Within: 40_000}},
+		{Begin: &tackledger.Begin{ID: id, Fingerprint: tackledger.NewFingerprint("POST", "/names-api/x", nil),
+			Request: request, Peer: "rennes-a-1", Instance: 1 << 60, Timeout: 40_000}},
 		{Finish: &tackledger.Finish{ID: id, Request: request, Outcome: tackledger.OutcomeAnswered,
 			Answer: tackledger.Answer{Status: 200, Body: make([]byte, 100), Header: []tackledger.Field{
 				{Name: "Content-Length", Values: []string{"100"}},
--- a/io/tackhttp/service.go
+++ b/io/tackhttp/service.go
@@ -74,8 +74,8 @@
 	s.gate.SetCapacity(s.chooser.Capacity(now, s.ask()))
 }
 
-func (s *service) ask() tackroute.Ask {
-	return tackroute.Ask{Home: s.h.cfg.Home, HomeOnly: s.table.HomeOnly}
+func (s *service) ask() tackroute.Constraints {
+	return tackroute.Constraints{Home: s.h.cfg.Home, HomeOnly: s.table.HomeOnly}
 }
 
 // enter admits a request, after a wait in the queue if need be. A nil failure
--- a/io/tackhttp/share.go
+++ b/io/tackhttp/share.go
@@ -21,7 +21,7 @@
 	waiting map[tackid.Team]int // requests that wait in a queue
 }
 
-var _ tackshare.User = (*Handler)(nil)
+var _ tackshare.Consumer = (*Handler)(nil)
 
 // SetShares implements tackshare.User.
 func (h *Handler) SetShares(now tackclock.Time, group tackshare.Group, bound int, shares []tackroute.Share) {
--- a/io/tackhttp/share_test.go
+++ b/io/tackhttp/share_test.go
@@ -41,7 +41,7 @@
 		s.gate.SetCapacity(8)
 		s.gate.Offer(0, tacklimit.Request{ID: 1})
 		s.gate.Offer(0, tacklimit.Request{ID: 2})
-		s.chooser.Pick(0, tackroute.Ask{})
+		s.chooser.Pick(0, tackroute.Constraints{})
 		usage := h.Usage(tackclock.Time(0), tackshare.Subject{Service: "names"})
 		convey.So(usage.Admitted, convey.ShouldEqual, 1)
 		convey.So(usage.InUse, convey.ShouldHaveLength, 1)
--- a/io/tackreport/plot.go
+++ b/io/tackreport/plot.go
@@ -85,7 +85,7 @@
 
 // shares returns, for each line, the per cent of its budget that its ith cause
 // used.
-func shares(lines []tackburn.Line, i int) plotter.Values {
+func shares(lines []tackburn.Summary, i int) plotter.Values {
 	v := make(plotter.Values, len(lines))
 	for n, l := range lines {
 		if bad := l.Period.Bad(); bad > 0 {
@@ -96,7 +96,7 @@
 	return v
 }
 
-func names(lines []tackburn.Line) []string {
+func names(lines []tackburn.Summary) []string {
 	list := make([]string, len(lines))
 	for i, l := range lines {
 		list[i] = printable(l.Name)
@@ -129,9 +129,9 @@
 }
 
 // worst returns the lines that burnt most in three days, at most maxLines.
-func worst(lines []tackburn.Line) []tackburn.Line {
-	list := slices.DeleteFunc(slices.Clone(lines), func(l tackburn.Line) bool { return len(l.Quarters) == 0 })
-	slices.SortStableFunc(list, func(a, b tackburn.Line) int {
+func worst(lines []tackburn.Summary) []tackburn.Summary {
+	list := slices.DeleteFunc(slices.Clone(lines), func(l tackburn.Summary) bool { return len(l.Quarters) == 0 })
+	slices.SortStableFunc(list, func(a, b tackburn.Summary) int {
 		switch {
 		case a.BudgetLeft < b.BudgetLeft:
 			return -1
@@ -145,7 +145,7 @@
 
 // burns returns the burn rate over the quarters of days, to the end of the
 // last one.
-func burns(l tackburn.Line) plotter.XYs {
+func burns(l tackburn.Summary) plotter.XYs {
 	xys := make(plotter.XYs, 0, len(l.Quarters)+1)
 	for _, q := range l.Quarters {
 		xys = append(xys, plotter.XY{X: float64(q.Start) / 1000, Y: q.Counts.Burn(l.Objective)})
--- a/io/tackreport/text.go
+++ b/io/tackreport/text.go
@@ -17,7 +17,7 @@
 // section is one of the report's lists with its title.
 type section struct {
 	Title string
-	Lines []tackburn.Line
+	Lines []tackburn.Summary
 }
 
 // Text writes the report as a table for each of services, teams and labels
@@ -67,7 +67,7 @@
 }
 
 // cells returns the columns of one line.
-func cells(l tackburn.Line) []string {
+func cells(l tackburn.Summary) []string {
 	list := []string{printable(l.Name), fmt.Sprintf("%g%%", l.Objective), fmt.Sprint(l.Period.Total()), percent(l.BudgetLeft)}
 	for _, win := range l.Windows {
 		list = append(list, burn(win))
@@ -98,7 +98,7 @@
 	return fmt.Sprintf("%.2f", w.Burn)
 }
 
-func timeLeft(l tackburn.Line) string {
+func timeLeft(l tackburn.Summary) string {
 	switch {
 	case l.Lasting:
 		return "lasts"
--- a/io/tackvm/share.go
+++ b/io/tackvm/share.go
@@ -25,10 +25,10 @@
 	v.sharer.SetTable(now, v.routes.Load())
 }
 
-func neighbours(members []tackreplica.Member) []tackshare.Neighbour {
-	list := make([]tackshare.Neighbour, 0, len(members))
+func neighbours(members []tackreplica.Member) []tackshare.PeerLocation {
+	list := make([]tackshare.PeerLocation, 0, len(members))
 	for _, m := range members {
-		list = append(list, tackshare.Neighbour{Peer: m.Peer, DataCentre: m.DataCentre})
+		list = append(list, tackshare.PeerLocation{Peer: m.Peer, DataCentre: m.DataCentre})
 	}
 	return list
 }
--- a/io/tackvm/tasks.go
+++ b/io/tackvm/tasks.go
@@ -212,7 +212,7 @@
 		v.log.WithField("worker", vm).WithError(err).Debug("platform did not say what runs")
 		return
 	}
-	r := tackplace.Report{Worker: vm, Asked: asked}
+	r := tackplace.Report{Worker: vm, RequestedAt: asked}
 	for _, u := range list {
 		r.Tasks = append(r.Tasks, tackplace.Usage{
 			Task: u.Task, Token: u.Token, State: tackplace.UsageState(u.State),
