--- a/io/tackvm/burn.go
+++ b/io/tackvm/burn.go
@@ -16,24 +16,25 @@
 	"auburntack/io/tacksettings"
 )
 
-// burnEvery is how often this VM adds what it counted to the replicated
-// account of service levels.
-const burnEvery = time.Minute
+// burnInterval is how often this VM adds its request counts to the replicated
+// service-level counts.
+const burnInterval = time.Minute
 
-// meter counts requests until they are added to the replicated account.
+// meter counts requests until the counts are added to the replicated service-level
+// counts.
 type meter struct {
 	clock *tackclock.Clock
 
-	mu       sync.Mutex
-	counted  tackburn.Meter
-	settings tackburn.Settings
-	inWave   map[tackid.Service]bool
-	pending  *tackburn.Sample // proposed, and no answer came
-	sequence uint64
-	warned   tackid.Revision
+	mu             sync.Mutex
+	counted        tackburn.Meter
+	settings       tackburn.Settings
+	inWave         map[tackid.Service]bool
+	pending        *tackburn.Sample // proposed but not yet acknowledged
+	sequence       uint64
+	warnedRevision tackid.Revision
 }
 
-// Count counts the end of one request.
+// Count records a finished request.
 func (m *meter) Count(r tackhttp.Result) {
 	if r.Gone {
 		return
@@ -49,8 +50,8 @@
 	}, labels...)
 }
 
-// outcome tells what came of a request. What goes wrong while a wave has VMs
-// of the service's pool out is put down to the wave.
+// outcome classifies a request. A failure is attributed to maintenance while a wave is
+// running on the pool of the service.
 func (m *meter) outcome(r tackhttp.Result) tackburn.Outcome {
 	o := tackburn.OutcomeGood
 	switch {
@@ -67,22 +68,23 @@
 	return o
 }
 
-// current returns the settings that requests are counted by.
+// current returns the settings by which requests are counted.
 func (m *meter) current() tackburn.Settings {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.settings
 }
 
-// unanswered returns the sample that was proposed and got no answer, or nil.
+// unanswered returns the sample that was proposed and not acknowledged, or nil.
 func (m *meter) unanswered() *tackburn.Sample {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.pending
 }
 
-// take returns what was counted since the last sample, or nil.
-func (m *meter) take(self tackid.Peer, all bool) *tackburn.Sample {
+// takeSample returns a sample of the counts since the last one, or nil if there are
+// none. If all is set, it includes counts that could wait.
+func (m *meter) takeSample(self tackid.Peer, all bool) *tackburn.Sample {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	take := m.counted.Take
@@ -96,16 +98,16 @@
 	return m.pending
 }
 
-// taken notes that the sample that take returned is in the account.
-func (m *meter) taken() {
+// acknowledge records that the sample returned by takeSample has been applied.
+func (m *meter) acknowledge() {
 	m.mu.Lock()
 	m.pending = nil
 	m.mu.Unlock()
 }
 
-// serveBurn adds what this VM counted to the account, once a minute.
+// serveBurn adds the counts of this VM to the replicated counts once a minute.
 func (v *VM) serveBurn(ctx context.Context) error {
-	ticker := time.NewTicker(burnEvery)
+	ticker := time.NewTicker(burnInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -117,33 +119,32 @@
 	}
 }
 
-// flushBurn proposes what was counted, with all also what could wait. Where no
-// answer comes, the same sample is proposed again the next time; its sequence
-// keeps it from counting twice.
+// flushBurn proposes the counts, including those that could wait if all is set. If no
+// answer arrives, the same sample is proposed again the next time; its sequence number
+// keeps it from being counted twice.
 func (v *VM) flushBurn(ctx context.Context, all bool) {
 	if v.proposeBurn(ctx, v.meter.unanswered()) {
-		v.proposeBurn(ctx, v.meter.take(v.cfg.VM.ID, all))
+		v.proposeBurn(ctx, v.meter.takeSample(v.cfg.VM.ID, all))
 	}
 }
 
-// proposeBurn adds a sample to the account and reports whether none is left
-// unanswered.
+// proposeBurn proposes a sample and reports whether none is left unacknowledged.
 func (v *VM) proposeBurn(ctx context.Context, sample *tackburn.Sample) bool {
 	if sample == nil {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, resendEvery*3/4)
+	ctx, cancel := context.WithTimeout(ctx, proposalResendInterval*3/4)
 	defer cancel()
 	if _, err := v.propose(ctx, tackstate.Proposal{Burn: sample}); err != nil {
 		v.log.WithError(err).Warn("service-level counts not recorded yet")
 		return false
 	}
-	v.meter.taken()
+	v.meter.acknowledge()
 	return true
 }
 
-// refreshMeter takes over the settings of the account and the services whose
-// pools a wave is in. The lock on the state is held.
+// refreshMeter updates the meter's settings and its set of services whose pool has a
+// running wave. The caller must hold the lock on the state.
 func (v *VM) refreshMeter() {
 	settings := v.burnSettings()
 	inWave := make(map[tackid.Service]bool)
@@ -160,8 +161,8 @@
 	v.meter.mu.Unlock()
 }
 
-// burnSettings returns the settings file's part, overridden by the replicated
-// configuration. A value that cannot be read is logged once and passed over.
+// burnSettings returns the settings from the settings file, overridden by the replicated
+// configuration. An invalid value is logged once and ignored.
 func (v *VM) burnSettings() tackburn.Settings {
 	s := tackburn.Settings{Default: v.cfg.Burn.Objective, Labels: burnLabels(v.cfg.Burn.Windows)}
 	for _, c := range v.state.Fleet.Settings() {
@@ -169,15 +170,15 @@
 			continue
 		}
 		err := s.Set(c.Key, c.Value)
-		if err != nil && c.Revision > v.meter.warned {
-			v.meter.warned = c.Revision
-			v.log.WithError(err).Warn("setting passed over; set it anew")
+		if err != nil && c.Revision > v.meter.warnedRevision {
+			v.meter.warnedRevision = c.Revision
+			v.log.WithError(err).Warn("ignoring an invalid setting; set it again")
 		}
 	}
 	return s
 }
 
-// burnLabels returns the windows of the settings file. Times of day are since
+// burnLabels returns the windows of the settings file. Times of day are relative to
 // midnight UTC; a window that ends before it starts ends the next day.
 func burnLabels(windows []tacksettings.Window) []tackburn.LabelWindow {
 	var list []tackburn.LabelWindow
--- a/io/tackvm/burn_test.go
+++ b/io/tackvm/burn_test.go
@@ -12,11 +12,10 @@
 	"auburntack/io/tacksettings"
 )
 
-// Symptom: counts of a minute are gone, or count twice.
-// Sequence: a sample is proposed and no answer comes; meanwhile further
-// requests end, some of them late by the service's own limit or in a wave.
-// Cause: an unanswered sample was dropped, or was mixed with later counts and
-// proposed under another sequence.
+// A sample whose answer is lost must be proposed again unchanged, while more requests
+// are counted, some late by the service's own limit and some during a wave. The counts
+// of a minute were lost if an unacknowledged sample was dropped, and counted twice if it
+// was merged with later counts under another sequence number.
 func TestUnansweredSampleIsProposedAgain(t *testing.T) {
 	m := meter{clock: new(tackclock.Clock), inWave: map[tackid.Service]bool{"communes": true}}
 	m.clock.Set(tackclock.Time(20_000*tackclock.Day + 30*tackclock.Minute))
@@ -25,14 +24,14 @@
 		t.Fatal(err)
 	}
 	m.Count(tackhttp.Result{Service: "names-api", Team: "post", Outcome: tackledger.OutcomeAnswered, Took: 101})
-	first := m.take("rennes-a-1", false)
+	first := m.takeSample("rennes-a-1", false)
 	m.Count(tackhttp.Result{Service: "communes", Team: "post", Outcome: tackledger.OutcomeUnknown})
 	m.Count(tackhttp.Result{Service: "communes", Team: "post", Gone: true})
 	if again := m.unanswered(); again == nil || again.Sequence != first.Sequence || len(again.Services) != 1 {
 		t.Fatalf("after a lost answer proposed %+v, want %+v", again, first)
 	}
-	m.taken()
-	second := m.take("rennes-a-1", false)
+	m.acknowledge()
+	second := m.takeSample("rennes-a-1", false)
 	got := fmt.Sprint(m.unanswered() == second, second.Sequence > first.Sequence, first.Services, second.Services, first.Labels)
 	want := fmt.Sprint(true, true,
 		[]tackburn.ServiceCounts{{Service: "names-api", Counts: tackburn.Counts{Late: 1, LatencyMS: 101}}},
--- a/io/tackvm/caller.go
+++ b/io/tackvm/caller.go
@@ -12,7 +12,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// ledger claims and finishes idempotency keys through the log.
+// ledger claims and finishes idempotency keys through the replicated log.
 type ledger struct {
 	v *VM
 }
@@ -37,24 +37,24 @@
 		Registry: v.registry,
 		Ledger:   ledger{v: v},
 		Routes:   func() *tackroute.Table { return v.routes.Load() },
-		Ready:    func() bool { return v.serves.Load() },
+		Ready:    func() bool { return v.serving.Load() },
 		Meter:    &v.meter,
 	})
 }
 
-// Claim records the key in the log, and returns once a majority has it.
+// Claim claims the key in the log and returns once a majority has stored it.
 func (l ledger) Claim(ctx context.Context, b tackledger.Begin) (tackledger.Claim, error) {
 	out, err := l.v.propose(ctx, tackstate.Proposal{Ledger: &tackledger.Change{Begin: &b}})
 	return out.Claim, err
 }
 
-// Finish records what became of the work of a key.
+// Finish records the outcome of the request with a key.
 func (l ledger) Finish(ctx context.Context, f tackledger.Finish) error {
 	_, err := l.v.propose(ctx, tackstate.Proposal{Ledger: &tackledger.Change{Finish: &f}})
 	return err
 }
 
-// Lookup returns what this VM knows of a key.
+// Lookup returns the claim on a key as known to this VM.
 func (l ledger) Lookup(id tackledger.ID, print tackledger.Fingerprint) tackledger.Claim {
 	l.v.mu.RLock()
 	defer l.v.mu.RUnlock()
--- a/io/tackvm/command.go
+++ b/io/tackvm/command.go
@@ -19,20 +19,20 @@
 )
 
 const (
-	// commandLimit is how long a command may take. Beyond it the operator
-	// is told that the outcome is unknown.
-	commandLimit = 6 * tackclock.Second
-	// readLimit is how long a query waits for the leader to confirm it.
-	readLimit = 1500 * tackclock.Millisecond
+	// commandTimeout bounds how long a command may take. After it the operator is told
+	// that the outcome is unknown.
+	commandTimeout = 6 * tackclock.Second
+	// readTimeout bounds how long a query waits for the leader's confirmation.
+	readTimeout = 1500 * tackclock.Millisecond
 )
 
-// Do carries out a command and returns once it is in force.
+// Do executes a command and returns once it is in force.
 func (v *VM) Do(ctx context.Context, r tackoperator.Command) (tackoperator.Done, error) {
 	command, err := tackcommand.Parse(r.Text)
 	if err != nil {
 		return tackoperator.Done{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, commandLimit.Std())
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout.Std())
 	defer cancel()
 	if command.AddPeer != nil || command.RemovePeer != nil {
 		return v.changeMembers(ctx, command)
@@ -49,12 +49,12 @@
 	if out.Fleet.Refused != nil {
 		return tackoperator.Done{}, out.Fleet.Refused
 	}
-	return v.doneAt(ctx, out.Fleet.Revision)
+	return v.awaitDone(ctx, out.Fleet.Revision)
 }
 
-// doneAt waits until the revision is in force and tells which peers lost
-// their lease before they took it up.
-func (v *VM) doneAt(ctx context.Context, rev tackid.Revision) (tackoperator.Done, error) {
+// awaitDone waits until the revision is in force. The result lists the peers whose lease
+// expired before they applied it.
+func (v *VM) awaitDone(ctx context.Context, rev tackid.Revision) (tackoperator.Done, error) {
 	missing, err := v.awaitInForce(ctx, rev)
 	if err != nil {
 		return tackoperator.Done{}, asOperatorError(err)
@@ -85,10 +85,10 @@
 	if answer.Refused != "" {
 		return tackoperator.Done{}, &tackfleet.RefusedError{Code: tackfleet.CodeState, Reason: answer.Refused}
 	}
-	return v.doneAt(ctx, answer.Index)
+	return v.awaitDone(ctx, answer.Index)
 }
 
-// membersAfter returns the members once the command has been carried out.
+// membersAfter returns the list of members as it is after command c.
 func membersAfter(members []tackreplica.Member, c *tackcommand.Command) []tackreplica.Member {
 	if r := c.RemovePeer; r != nil {
 		return without(members, r.Peer)
@@ -109,40 +109,41 @@
 	return slices.DeleteFunc(kept, func(m tackreplica.Member) bool { return m.Peer == p })
 }
 
-// Ask answers a query by the newest that this VM can be sure of.
+// Ask answers a query from the state applied on this VM, which is up to date if the
+// answer is marked as confirmed.
 func (v *VM) Ask(ctx context.Context, text string) (tackoperator.Answer, error) {
 	q, err := tackquery.Parse(text)
 	if err != nil {
 		return tackoperator.Answer{}, err
 	}
-	confirmed, standings := v.catchUp(ctx)
+	confirmed, members := v.catchUp(ctx)
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	table, err := tackquery.Run(q, source{v: v, now: v.clock.Now(), standings: standings})
+	table, err := tackquery.Run(q, source{v: v, now: v.clock.Now(), members: members})
 	if err != nil {
 		return tackoperator.Answer{}, err
 	}
 	return tackoperator.Answer{Confirmed: confirmed, Revision: v.applied.Index, Table: table}, nil
 }
 
-// catchUp waits until this VM has applied all that was answered before it was
-// called, and returns how the leader says that the members stand. It reports
-// false where no leader confirms that in time.
-func (v *VM) catchUp(ctx context.Context) (bool, []standing) {
+// catchUp waits until this VM has applied everything that was acknowledged before the
+// call. It returns the status of the members as reported by the leader, or false if no
+// leader confirms in time.
+func (v *VM) catchUp(ctx context.Context) (bool, []memberStatus) {
 	if !v.status.Load().Leased {
 		return false, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, readLimit.Std())
+	ctx, cancel := context.WithTimeout(ctx, readTimeout.Std())
 	defer cancel()
-	index, standings, err := v.readIndex(ctx)
+	index, members, err := v.readIndex(ctx)
 	if err != nil {
 		return false, nil
 	}
 	for v.status.Load().Applied < index {
-		tackloop.Sleep(ctx, readyEvery/25)
+		tackloop.Sleep(ctx, readyPollInterval/25)
 		if ctx.Err() != nil {
 			return false, nil
 		}
 	}
-	return true, standings
+	return true, members
 }
--- a/io/tackvm/confirm.go
+++ b/io/tackvm/confirm.go
@@ -11,44 +11,44 @@
 )
 
 const (
-	// askAgainEvery is how long a confirm waits for its answer before it is
-	// sent again, perhaps to another leader.
-	askAgainEvery = 250 * time.Millisecond
-	// askedLimit bounds the confirms that a leader keeps. Those beyond it
-	// are dropped and asked again.
-	askedLimit = 4096
+	// confirmResendInterval is how long to wait for the answer to a confirm before it is
+	// sent again, possibly to another leader.
+	confirmResendInterval = 250 * time.Millisecond
+	// maxPendingConfirms bounds the confirms that a leader keeps. Further ones are
+	// dropped; their senders send them again.
+	maxPendingConfirms = 4096
 )
 
-// askedConfirm is a confirm that this VM, as the leader, has yet to answer.
-type askedConfirm struct {
+// pendingConfirm is a confirm that this VM, as the leader, has yet to answer.
+type pendingConfirm struct {
 	confirm
-	from tackid.Peer
-	at   tackclock.Time
+	from       tackid.Peer
+	receivedAt tackclock.Time
 }
 
-// awaitInForce waits until the revision is in force: every member has applied
-// it, or has lost its lease and no longer relies on an older one. It returns
-// the members of the second kind.
+// awaitInForce waits until the revision is in force: each member has either applied it,
+// or has lost its lease and so no longer relies on an older revision. It returns the
+// members that lost their lease.
 func (v *VM) awaitInForce(ctx context.Context, index tackid.Revision) ([]tackid.Peer, error) {
 	answer, err := v.askLeader(ctx, confirm{Index: index})
 	return answer.Missing, err
 }
 
-// readIndex returns the revision that a read must have seen to show every
-// command that was answered before the read began, and how the members stand.
-func (v *VM) readIndex(ctx context.Context) (tackid.Revision, []standing, error) {
+// readIndex returns the revision that a read must have applied to reflect every command
+// acknowledged before the read began, and the status of the members.
+func (v *VM) readIndex(ctx context.Context) (tackid.Revision, []memberStatus, error) {
 	answer, err := v.askLeader(ctx, confirm{})
-	return answer.Index, answer.Standings, err
+	return answer.Index, answer.Members, err
 }
 
 func (v *VM) askLeader(ctx context.Context, ask confirm) (confirmed, error) {
 	serial, answers := v.confirms.Add()
 	defer v.confirms.Remove(serial)
-	ticker := time.NewTicker(askAgainEvery)
+	ticker := time.NewTicker(confirmResendInterval)
 	defer ticker.Stop()
 	ask.Serial = serial
 	for {
-		v.loop.Post(ctx, func() { v.askOnLoop(ask) })
+		v.loop.Post(ctx, func() { v.sendConfirm(ask) })
 		select {
 		case answer := <-answers:
 			return answer, nil
@@ -59,12 +59,12 @@
 	}
 }
 
-func (v *VM) askOnLoop(ask confirm) {
+func (v *VM) sendConfirm(ask confirm) {
 	leader := v.node.Status(v.clock.Now()).Leader
 	switch leader {
 	case "":
 	case v.cfg.VM.ID:
-		v.keepAsked(v.cfg.VM.ID, ask)
+		v.addPendingConfirm(v.cfg.VM.ID, ask)
 	default:
 		v.send(leader, kindConfirm, ask)
 	}
@@ -75,52 +75,52 @@
 	if !v.decode(from, body, &ask) {
 		return
 	}
-	v.loop.Post(context.Background(), func() { v.keepAsked(from, ask) })
+	v.loop.Post(context.Background(), func() { v.addPendingConfirm(from, ask) })
 }
 
-func (v *VM) keepAsked(from tackid.Peer, ask confirm) {
-	if len(v.asked) >= askedLimit {
+func (v *VM) addPendingConfirm(from tackid.Peer, ask confirm) {
+	if len(v.pendingConfirms) >= maxPendingConfirms {
 		return
 	}
-	for _, a := range v.asked {
+	for _, a := range v.pendingConfirms {
 		if a.from == from && a.Serial == ask.Serial {
 			return
 		}
 	}
-	v.asked = append(v.asked, askedConfirm{confirm: ask, from: from, at: v.clock.Now()})
+	v.pendingConfirms = append(v.pendingConfirms, pendingConfirm{confirm: ask, from: from, receivedAt: v.clock.Now()})
 }
 
-// answerConfirms answers, on the leader, what can be answered now. It does so
-// only while a majority confirms that this VM leads: a leader that was cut
-// off could otherwise answer with a revision that others have passed.
+// answerConfirms answers, on the leader, the confirms that can be answered now. It does
+// so only while a majority confirms this VM as the leader: a leader that is cut off
+// could otherwise answer with a revision that is already out of date.
 func (v *VM) answerConfirms(now tackclock.Time) {
-	if len(v.asked) == 0 {
+	if len(v.pendingConfirms) == 0 {
 		return
 	}
 	if v.status.Load().Leader != v.cfg.VM.ID {
-		v.asked = nil
+		v.pendingConfirms = nil
 		return
 	}
 	if !v.node.LeaderLease(now) {
 		return
 	}
-	var kept []askedConfirm
-	for _, a := range v.asked {
-		if !v.answerConfirm(now, a) && now.Sub(a.at) < 10*tackclock.Second {
+	var kept []pendingConfirm
+	for _, a := range v.pendingConfirms {
+		if !v.answerConfirm(now, a) && now.Sub(a.receivedAt) < 10*tackclock.Second {
 			kept = append(kept, a)
 		}
 	}
-	v.asked = kept
+	v.pendingConfirms = kept
 }
 
-func (v *VM) answerConfirm(now tackclock.Time, a askedConfirm) bool {
+func (v *VM) answerConfirm(now tackclock.Time, a pendingConfirm) bool {
 	answer := confirmed{Serial: a.Serial, Index: a.Index}
 	switch {
 	case a.Change != nil:
-		answer.Index, answer.Refused = v.changeTo(now, membersAfter(v.node.Members(), a.Change))
+		answer.Index, answer.Refused = v.setMembers(now, membersAfter(v.node.Members(), a.Change))
 	case a.Index == 0:
 		answer.Index = v.status.Load().Commit
-		answer.Standings = standings(now, v.status.Load())
+		answer.Members = memberStatuses(now, v.status.Load())
 	default:
 		done, missing := v.node.InForce(now, a.Index)
 		if !done {
@@ -136,9 +136,9 @@
 	return true
 }
 
-// changeTo makes the members those of the system. Asked again for members that
-// stand already, it answers as it did before: the first answer may be lost.
-func (v *VM) changeTo(now tackclock.Time, members []tackreplica.Member) (tackid.Revision, string) {
+// setMembers proposes a change of the system's members. If the members are already as
+// requested, it reports success again, since the first answer may have been lost.
+func (v *VM) setMembers(now tackclock.Time, members []tackreplica.Member) (tackid.Revision, string) {
 	if slices.Equal(v.node.Members(), members) {
 		return v.status.Load().Commit, ""
 	}
@@ -149,10 +149,10 @@
 	return rev, ""
 }
 
-func standings(now tackclock.Time, s *tackreplica.Status) []standing {
-	list := make([]standing, 0, len(s.Members))
+func memberStatuses(now tackclock.Time, s *tackreplica.Status) []memberStatus {
+	list := make([]memberStatus, 0, len(s.Members))
 	for _, m := range s.Members {
-		list = append(list, standing{Peer: m.Peer, Applied: m.Applied, Leased: m.LeaseUntil.After(now)})
+		list = append(list, memberStatus{Peer: m.Peer, Applied: m.Applied, Leased: m.LeaseUntil.After(now)})
 	}
 	return list
 }
--- a/io/tackvm/duties.go
+++ b/io/tackvm/duties.go
@@ -15,137 +15,138 @@
 )
 
 const (
-	dutyEvery = 200 * tackclock.Millisecond
-	// dutyLimit is how long the leader waits for what it proposed to be
-	// applied before it decides anew.
-	dutyLimit = 2 * tackclock.Second
-	// pollEvery is how often the platform is asked about a VM under way.
-	pollEvery = 500 * tackclock.Millisecond
-	// platformCalls bounds the calls to the platform at one time.
-	platformCalls = 16
+	reconcileInterval = 200 * tackclock.Millisecond
+	// reconcileTimeout is how long the leader waits for its proposals to be applied
+	// before it decides again.
+	reconcileTimeout = 2 * tackclock.Second
+	// operationPollInterval is how often the platform is asked about a VM with an
+	// operation in progress.
+	operationPollInterval = 500 * tackclock.Millisecond
+	// maxOperationCalls bounds the concurrent calls to the platform about operations.
+	maxOperationCalls = 16
 )
 
-var preferences = map[tacksettings.Preference]tackwave.Prefer{
+var wavePreferences = map[tacksettings.Preference]tackwave.Prefer{
 	tacksettings.PreferBuffer: tackwave.PreferBuffer,
 	tacksettings.PreferTime:   tackwave.PreferTime,
 }
 
 type (
-	// duties are what the leader does beyond keeping the log. All but the
-	// operations belong to the loop.
-	duties struct {
-		planner *tackwave.Planner
-		at      tackclock.Time
-		// until is the last revision proposed by an earlier round and term
-		// the term it was proposed in; the next round waits for it, so that
-		// it decides by what the earlier one changed.
-		until      tackid.Revision
-		term       tackreplica.Term
-		proposedAt tackclock.Time
+	// reconciler is the state for what the leader does beyond replicating the log. All
+	// fields but operations are accessed only by the loop, unless they have their own
+	// synchronization.
+	reconciler struct {
+		planner   *tackwave.Planner
+		lastRound tackclock.Time
+		// proposedIndex is the last revision proposed by an earlier round, in the term
+		// proposedTerm. The next round waits until it is applied, so that it decides on
+		// the resulting state.
+		proposedIndex tackid.Revision
+		proposedTerm  tackreplica.Term
+		proposedAt    tackclock.Time
 
-		reports  map[tackid.Peer]heardReport
-		reported tackclock.Time
-		// reportedTo is the leader that had a report of this life.
-		reportedTo tackid.Peer
-		unleased   map[tackid.Peer]tackclock.Time
-		hadIdle    bool
-		stopped    atomic.Bool
-		leaving    leaving
-		// known holds the VMs while observations looks at them. It is kept,
-		// since half a megabyte five times a second would else be garbage.
-		known []tackfleet.VM
+		reports    map[tackid.Peer]receivedReport
+		lastReport tackclock.Time
+		// reportedTo is the leader to which this VM has sent a report since it started.
+		reportedTo    tackid.Peer
+		unleasedSince map[tackid.Peer]tackclock.Time
+		reportedIdle  bool
+		stopped       atomic.Bool
+		awaitingIdle  awaitingIdleVMs
+		// vmBuffer holds the VMs while observations examines them. It is reused, since
+		// otherwise half a megabyte of garbage is allocated five times per second.
+		vmBuffer []tackfleet.VM
 
 		operations operations
 		tasks      tasks
 	}
 
-	// leaving are the VMs that may get no new work, as of the fleet's
-	// revision.
-	leaving struct {
-		made  bool
-		fleet tackid.Revision
-		vms   []tackid.VM
+	// awaitingIdleVMs lists the VMs that may get no new work, as of fleetRevision.
+	awaitingIdleVMs struct {
+		valid         bool
+		fleetRevision tackid.Revision
+		vms           []tackid.VM
 	}
 
-	// operations are the calls to the platform that are under way and what
-	// it last said of each VM.
+	// operations tracks the calls to the platform in progress and the last status it
+	// reported for each VM.
 	operations struct {
-		mu     sync.Mutex
-		said   map[tackid.VM]tackwave.OperationStatus
-		asked  map[tackid.VM]tackclock.Time
-		active int
+		mu       sync.Mutex
+		status   map[tackid.VM]tackwave.OperationStatus
+		calledAt map[tackid.VM]tackclock.Time
+		active   int
 	}
 
-	// view is what the wave planner sees of this VM.
+	// view is the input of the wave planner on this VM.
 	view struct {
 		v   *VM
 		now tackclock.Time
 	}
 )
 
-// tickDuties has the leader compare what the fleet should be with what is
-// seen and propose the difference.
-func (v *VM) tickDuties(now tackclock.Time) {
+// tickReconciler compares, on the leader, the desired state of the fleet with the
+// observed one and proposes the difference.
+func (v *VM) tickReconciler(now tackclock.Time) {
 	if !v.node.LeaderLease(now) {
-		v.duties.unleased = nil
+		v.reconciler.unleasedSince = nil
 		return
 	}
-	if now.Sub(v.duties.at) < dutyEvery {
+	if now.Sub(v.reconciler.lastRound) < reconcileInterval {
 		return
 	}
 	v.watchLeases(now)
-	v.duties.at = now
-	if v.dutyPending(now) {
+	v.reconciler.lastRound = now
+	if v.changesPending(now) {
 		return
 	}
 	v.mu.RLock()
 	placement := v.decideTasks(now)
-	decision := v.duties.planner.Decide(view{v: v, now: now}, v.waveSettings(now))
-	changes := append(v.observations(now), v.withoutLive(decision.Changes)...)
+	decision := v.reconciler.planner.Decide(view{v: v, now: now}, v.waveSettings(now))
+	changes := append(v.observations(now), v.withoutTaskVMs(decision.Changes)...)
 	changes = append(changes, placement.Changes...)
 	v.mu.RUnlock()
 	for i := range changes {
-		v.proposeDuty(now, &changes[i])
+		v.proposeChange(now, &changes[i])
 	}
 	for _, op := range decision.Operations {
-		v.operate(op)
+		v.startOperation(op)
 	}
 	v.pollOperations(now)
 	v.carryOutOrders(placement.Orders)
 	v.pollUsage(now)
 }
 
-func (v *VM) dutyPending(now tackclock.Time) bool {
+func (v *VM) changesPending(now tackclock.Time) bool {
 	s := v.status.Load()
-	return v.duties.term == s.Term && v.applied.Index < v.duties.until && now.Sub(v.duties.proposedAt) < dutyLimit
+	return v.reconciler.proposedTerm == s.Term && v.applied.Index < v.reconciler.proposedIndex && now.Sub(v.reconciler.proposedAt) < reconcileTimeout
 }
 
-func (v *VM) proposeDuty(now tackclock.Time, c *tackfleet.Change) {
+func (v *VM) proposeChange(now tackclock.Time, c *tackfleet.Change) {
 	p := tackstate.Proposal{Fleet: c}
 	data, err := p.Encode()
 	if err != nil {
-		v.log.WithError(err).Error("duty cannot be encoded")
+		v.log.WithError(err).Error("cannot encode a fleet change")
 		return
 	}
 	index, term, err := v.node.Propose(now, data)
 	if err != nil {
 		return
 	}
-	v.duties.until = index
-	v.duties.term = term
-	v.duties.proposedAt = now
+	v.reconciler.proposedIndex = index
+	v.reconciler.proposedTerm = term
+	v.reconciler.proposedAt = now
 }
 
-// observations tells the fleet what the announcements say of its VMs, where
-// that differs from what it holds.
+// observations returns a change that records what the announcements say about the
+// fleet's VMs, where that differs from the recorded state.
 func (v *VM) observations(now tackclock.Time) []tackfleet.Change {
 	v.directoryMu.Lock()
 	defer v.directoryMu.Unlock()
-	known := v.duties.known[:0]
+	known := v.reconciler.vmBuffer[:0]
 	for vm := range v.state.Fleet.EachVM() {
 		known = append(known, *vm)
 	}
-	v.duties.known = known
+	v.reconciler.vmBuffer = known
 	seen := v.directory.Observations(now, known)
 	if len(seen) == 0 {
 		return nil
@@ -156,7 +157,7 @@
 func (v *VM) waveSettings(now tackclock.Time) tackwave.Settings {
 	w := v.cfg.Wave
 	return tackwave.Settings{
-		Prefer:         preferences[w.Prefer],
+		Prefer:         wavePreferences[w.Prefer],
 		NightEnds:      v.nightEnds(now),
 		Settle:         w.Settle,
 		DrainLimit:     w.DrainLimit,
@@ -167,10 +168,10 @@
 	}
 }
 
-// nightEnds returns the first moment at the configured time of day that comes
-// after the first of the running waves was started or resumed, or after now if
-// none runs; it is zero where no time of day is configured. Counting from now
-// alone would give a wave that overruns another whole day.
+// nightEnds returns the first moment at the configured time of day after the earliest
+// start or resumption of a running wave, or after now if none is running. It returns
+// zero if no time of day is configured. Counting from now in all cases would give a wave
+// that overruns another whole day.
 func (v *VM) nightEnds(now tackclock.Time) tackclock.Time {
 	began := now
 	for _, w := range v.state.Fleet.Waves() {
@@ -184,11 +185,11 @@
 // Now returns the time of this round.
 func (w view) Now() tackclock.Time { return w.now }
 
-// Fleet returns the state that this VM has applied.
+// Fleet returns the fleet state applied on this VM.
 func (w view) Fleet() *tackfleet.State { return &w.v.state.Fleet }
 
-// Idle reports whether no peer has work in flight on the VM and no task may
-// still run there.
+// Idle reports whether no peer has work in flight on the VM and no task may still be
+// running there.
 func (w view) Idle(id tackid.VM, fence tackid.Revision) bool {
 	vm, ok := w.v.state.Fleet.VM(id)
 	return ok && !w.v.runsTasks(id) && w.v.idle(w.now, vm, fence)
@@ -200,33 +201,33 @@
 	return done && len(missing) == 0
 }
 
-// Platform reports whether there is a platform to carry out maintenance.
+// Platform reports whether a platform is configured to carry out maintenance.
 func (w view) Platform() bool { return w.v.platform != nil }
 
-// Operation returns what the platform last said of the VM.
+// Operation returns the last status that the platform reported for the VM.
 func (w view) Operation(vm tackid.VM) tackwave.OperationStatus {
-	return w.v.duties.operations.of(vm)
+	return w.v.reconciler.operations.statusOf(vm)
 }
 
-func (o *operations) of(vm tackid.VM) tackwave.OperationStatus {
+func (o *operations) statusOf(vm tackid.VM) tackwave.OperationStatus {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.said[vm]
+	return o.status[vm]
 }
 
-// begin takes one of the places for calls to the platform, unless the VM was
-// asked about a moment ago.
+// begin reserves one of the concurrent calls to the platform. It reports false if none
+// is free or the last call about the VM was less than operationPollInterval ago.
 func (o *operations) begin(now tackclock.Time, vm tackid.VM) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.active >= platformCalls || now.Sub(o.asked[vm]) < pollEvery {
+	if o.active >= maxOperationCalls || now.Sub(o.calledAt[vm]) < operationPollInterval {
 		return false
 	}
-	if o.asked == nil {
-		o.asked = make(map[tackid.VM]tackclock.Time)
-		o.said = make(map[tackid.VM]tackwave.OperationStatus)
+	if o.calledAt == nil {
+		o.calledAt = make(map[tackid.VM]tackclock.Time)
+		o.status = make(map[tackid.VM]tackwave.OperationStatus)
 	}
-	o.asked[vm] = now
+	o.calledAt[vm] = now
 	o.active++
 	return true
 }
@@ -236,44 +237,44 @@
 	defer o.mu.Unlock()
 	o.active--
 	if s != nil {
-		o.said[vm] = *s
+		o.status[vm] = *s
 	}
 }
 
-// operate asks the platform to reboot or upgrade a VM. The planner asks again
-// until the platform shows the operation, so a lost call needs no retry here.
-func (v *VM) operate(op tackwave.OperationRequest) {
-	if v.platform == nil || !v.duties.operations.begin(v.clock.Now(), op.VM) {
+// startOperation asks the platform to reboot or upgrade a VM. The planner repeats the
+// request until the platform reports the operation, so a lost call needs no retry here.
+func (v *VM) startOperation(op tackwave.OperationRequest) {
+	if v.platform == nil || !v.reconciler.operations.begin(v.clock.Now(), op.VM) {
 		return
 	}
 	go func() {
-		defer v.duties.operations.end(op.VM, nil)
+		defer v.reconciler.operations.end(op.VM, nil)
 		if err := v.platform.Start(context.Background(), op.VM, op.Action, op.Operation); err != nil {
-			v.log.WithField("worker", op.VM).WithError(err).Warn("platform did not take the operation")
+			v.log.WithField("worker", op.VM).WithError(err).Warn("cannot start the operation on the platform")
 		}
 	}()
 }
 
-// pollOperations asks the platform about the VMs it has an operation for.
+// pollOperations asks the platform about the VMs that have an operation in progress.
 func (v *VM) pollOperations(now tackclock.Time) {
 	if v.platform == nil {
 		return
 	}
 	for _, w := range v.state.Fleet.Waves() {
 		for _, x := range w.VMs {
-			if x.Phase == tackfleet.PhaseOperating && v.duties.operations.begin(now, x.VM) {
-				go v.poll(x.VM)
+			if x.Phase == tackfleet.PhaseOperating && v.reconciler.operations.begin(now, x.VM) {
+				go v.pollOperation(x.VM)
 			}
 		}
 	}
 }
 
-func (v *VM) poll(vm tackid.VM) {
+func (v *VM) pollOperation(vm tackid.VM) {
 	s, err := v.platform.State(context.Background(), vm)
 	if err != nil {
-		v.log.WithField("worker", vm).WithError(err).Debug("platform did not answer")
-		v.duties.operations.end(vm, nil)
+		v.log.WithField("worker", vm).WithError(err).Debug("cannot read the VM's state from the platform")
+		v.reconciler.operations.end(vm, nil)
 		return
 	}
-	v.duties.operations.end(vm, &tackwave.OperationStatus{State: tackwave.PlatformState(s.State), Operation: s.Operation})
+	v.reconciler.operations.end(vm, &tackwave.OperationStatus{State: tackwave.PlatformState(s.State), Operation: s.Operation})
 }
--- a/io/tackvm/fence.go
+++ b/io/tackvm/fence.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	reportEvery = 250 * tackclock.Millisecond
-	// farWork is how long after the end of its lease a peer in another data
-	// centre may still be at work for a caller it had then. Without a lease
-	// it sends nothing out of its own data centre.
-	farWork = 2 * tackclock.Minute
-	// lastWords is how much longer than its lease a VM that said it has
-	// stopped may still be granted one.
-	lastWords = tackclock.Second / 2
+	reportInterval = 250 * tackclock.Millisecond
+	// remoteWorkLimit is how long after its lease expired a peer in another data centre
+	// may still have work in flight for a caller that it had accepted before. A peer
+	// without a lease sends no new requests out of its own data centre.
+	remoteWorkLimit = 2 * tackclock.Minute
+	// stoppedLeaseGrace is how much later than one lease duration after its report the
+	// lease of a VM that reported a graceful stop may expire.
+	stoppedLeaseGrace = tackclock.Second / 2
 )
 
-// tickReport tells the leader which of the VMs that may get no new work are
-// idle here.
+// tickReport reports to the leader which of the VMs that may get no new work have none
+// in flight from this VM.
 func (v *VM) tickReport(now tackclock.Time) {
-	if now.Sub(v.duties.reported) < reportEvery {
+	if now.Sub(v.reconciler.lastReport) < reportInterval {
 		return
 	}
 	leader := v.status.Load().Leader
@@ -32,23 +32,24 @@
 		return
 	}
 	r := v.report()
-	if len(r.Idle) == 0 && !v.duties.hadIdle && v.duties.reportedTo == leader {
+	if len(r.Idle) == 0 && !v.reconciler.reportedIdle && v.reconciler.reportedTo == leader {
 		return
 	}
-	v.duties.reported = now
-	v.duties.reportedTo = leader
-	v.duties.hadIdle = len(r.Idle) > 0
+	v.reconciler.lastReport = now
+	v.reconciler.reportedTo = leader
+	v.reconciler.reportedIdle = len(r.Idle) > 0
 	v.send(leader, kindReport, r)
 }
 
-// report reads the applied revision before it counts what is in flight: a
-// request that was let in by an older revision is then surely counted.
+// report returns the report of this VM. It reads the applied revision before it checks
+// for requests in flight, so that every request admitted by an older revision is
+// included.
 func (v *VM) report() report {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	r := report{Applied: v.applied.Index, Stopped: v.duties.stopped.Load()}
-	v.refreshLeaving()
-	for _, vm := range v.duties.leaving.vms {
+	r := report{Applied: v.applied.Index, Stopped: v.reconciler.stopped.Load()}
+	v.refreshAwaitingIdle()
+	for _, vm := range v.reconciler.awaitingIdle.vms {
 		if v.caller.Idle(vm) {
 			r.Idle = append(r.Idle, vm)
 		}
@@ -56,16 +57,16 @@
 	return r
 }
 
-// refreshLeaving lists the VMs that may get no new work, anew only when the
-// fleet changed: the report is made at every tick, and looking at thousands of
-// VMs each time took a peer more processor time than all else it does. The
-// lock on the state is held.
-func (v *VM) refreshLeaving() {
-	l := &v.duties.leaving
-	if l.made && l.fleet == v.fleetAt {
+// refreshAwaitingIdle updates the list of VMs that may get no new work, but only if the
+// fleet has changed. The report is built at every tick, and examining thousands of VMs
+// each time used more processor time on a peer than everything else it does. The caller
+// must hold the lock on the state.
+func (v *VM) refreshAwaitingIdle() {
+	l := &v.reconciler.awaitingIdle
+	if l.valid && l.fleetRevision == v.fleetRevision {
 		return
 	}
-	l.made, l.fleet, l.vms = true, v.fleetAt, nil
+	l.valid, l.fleetRevision, l.vms = true, v.fleetRevision, nil
 	for vm := range v.state.Fleet.EachVM() {
 		if awaitsIdle(vm) {
 			l.vms = append(l.vms, vm.ID)
@@ -82,34 +83,34 @@
 	if !v.decode(from, body, &r) {
 		return
 	}
-	v.loop.Post(context.Background(), func() { v.keepReport(from, r) })
+	v.loop.Post(context.Background(), func() { v.recordReport(from, r) })
 }
 
-func (v *VM) keepReport(from tackid.Peer, r report) {
-	if v.duties.reports == nil {
-		v.duties.reports = make(map[tackid.Peer]heardReport)
+func (v *VM) recordReport(from tackid.Peer, r report) {
+	if v.reconciler.reports == nil {
+		v.reconciler.reports = make(map[tackid.Peer]receivedReport)
 	}
-	v.duties.reports[from] = heardReport{report: r, at: v.clock.Now()}
+	v.reconciler.reports[from] = receivedReport{report: r, receivedAt: v.clock.Now()}
 }
 
-// fenced reports whether no peer routes by a revision older than rev. A peer
-// without a lease in the data centre of the VM in question may still do so,
-// since it goes on serving its own data centre.
+// fenced reports whether no peer routes by a revision older than rev to a VM in data
+// centre in. A peer in that data centre may still do so without a lease, since it
+// continues to serve its own data centre.
 func (v *VM) fenced(now tackclock.Time, rev tackid.Revision, in tackid.DataCentre) bool {
 	done, missing := v.node.InForce(now, rev)
 	if !done {
 		return false
 	}
 	for _, p := range missing {
-		if m := v.member(p); m.DataCentre == in && !v.stoppedAsPlanned(m) {
+		if m := v.member(p); m.DataCentre == in && !v.stoppedGracefully(m) {
 			return false
 		}
 	}
 	return true
 }
 
-// idle reports whether no peer has, or will have, work in flight on the VM
-// that stopped being routable at fence.
+// idle reports whether no peer has, or will have, work in flight on a VM that stopped
+// being routable at revision fence.
 func (v *VM) idle(now tackclock.Time, vm tackfleet.VM, fence tackid.Revision) bool {
 	if v.applied.Index < fence || !v.fenced(now, fence, vm.DataCentre) {
 		return false
@@ -126,44 +127,45 @@
 	if m.Peer == v.cfg.VM.ID {
 		return v.caller.Idle(vm.ID)
 	}
-	if v.stoppedAsPlanned(m) {
+	if v.stoppedGracefully(m) {
 		return true
 	}
-	r, heard := v.duties.reports[m.Peer]
+	r, heard := v.reconciler.reports[m.Peer]
 	if heard && r.Applied >= fence && slices.Contains(r.Idle, vm.ID) {
 		return true
 	}
-	since, unleased := v.duties.unleased[m.Peer]
-	return m.DataCentre != vm.DataCentre && unleased && now.Sub(since) > farWork
+	since, unleased := v.reconciler.unleasedSince[m.Peer]
+	return m.DataCentre != vm.DataCentre && unleased && now.Sub(since) > remoteWorkLimit
 }
 
-// watchLeases notes since when this leader has known each member to be without
-// a lease. A new leader cannot tell what the one before it granted, so it
-// counts from its own first look.
+// watchLeases records since when this leader has known each member to be without a
+// lease. A new leader cannot know which leases its predecessor granted, so it counts
+// from its own first observation.
 func (v *VM) watchLeases(now tackclock.Time) {
-	if v.duties.unleased == nil {
-		v.duties.unleased = make(map[tackid.Peer]tackclock.Time)
+	if v.reconciler.unleasedSince == nil {
+		v.reconciler.unleasedSince = make(map[tackid.Peer]tackclock.Time)
 	}
 	for _, m := range v.status.Load().Members {
-		_, noted := v.duties.unleased[m.Peer]
+		_, noted := v.reconciler.unleasedSince[m.Peer]
 		switch leased := m.LeaseUntil.After(now); {
 		case leased:
-			delete(v.duties.unleased, m.Peer)
+			delete(v.reconciler.unleasedSince, m.Peer)
 		case !noted:
-			v.duties.unleased[m.Peer] = now
+			v.reconciler.unleasedSince[m.Peer] = now
 		}
 	}
 }
 
-// stoppedAsPlanned reports whether the member said that it was stopping with
-// nothing left, and has not lived since. A later life holds leases again before
-// it takes callers; going by the word of the former one would cut its work.
-func (v *VM) stoppedAsPlanned(m tackreplica.MemberStatus) bool {
-	r, heard := v.duties.reports[m.Peer]
+// stoppedGracefully reports whether the member reported that it was stopping with no
+// work left and has not been started since. A restarted member holds a lease again
+// before it accepts callers; if its old report still counted, work in flight from it
+// would be interrupted.
+func (v *VM) stoppedGracefully(m tackreplica.MemberStatus) bool {
+	r, heard := v.reconciler.reports[m.Peer]
 	if !heard || !r.Stopped {
 		return false
 	}
-	return !m.LeaseUntil.After(r.at.Add(v.cfg.Replica.Lease + lastWords))
+	return !m.LeaseUntil.After(r.receivedAt.Add(v.cfg.Replica.Lease + stoppedLeaseGrace))
 }
 
 func (v *VM) member(p tackid.Peer) tackreplica.MemberStatus {
--- a/io/tackvm/gauges.go
+++ b/io/tackvm/gauges.go
@@ -6,8 +6,8 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// gauges show in the metrics how this VM stands in the replicated log. The
-// zero value shows nothing.
+// gauges are the metrics for this VM's part in the replicated log. The zero value is not
+// registered and must not be updated.
 type gauges struct {
 	revision metrics.Gauge
 	term     metrics.Gauge
--- a/io/tackvm/loop.go
+++ b/io/tackvm/loop.go
@@ -12,10 +12,10 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// runLoop owns the replicated log until ctx ends. It returns an error only
-// when the VM cannot go on.
+// runLoop runs the replicated log until ctx is done. It returns an error only if the VM
+// cannot continue.
 func (v *VM) runLoop(ctx context.Context) error {
-	return v.loop.Run(ctx, func() { v.tick(v.clock.Now()) }, v.settle)
+	return v.loop.Run(ctx, func() { v.tick(v.clock.Now()) }, v.processEvents)
 }
 
 func (v *VM) tick(now tackclock.Time) {
@@ -23,43 +23,43 @@
 	v.tickDirectory(now)
 	v.tickReport(now)
 	v.tickShare(now)
-	v.tickDuties(now)
+	v.tickReconciler(now)
 }
 
-// settle carries out what the log asks for until it asks for nothing more,
-// then brings what depends on it up to date.
-func (v *VM) settle() error {
-	if err := v.carryOutAll(); err != nil {
+// processEvents performs all the work that the log has ready, then updates everything
+// derived from it.
+func (v *VM) processEvents() error {
+	if err := v.handleAllReady(); err != nil {
 		return err
 	}
 	now := v.clock.Now()
 	v.publishRoutes(now)
 	v.node.Applied(v.applied.Index)
-	// What was applied is reported at once: the leader answers a command only
-	// when every VM has said so.
-	if err := v.carryOutAll(); err != nil {
+	// Report the applied index at once: the leader answers a command only after every VM
+	// has reported that it applied it.
+	if err := v.handleAllReady(); err != nil {
 		return err
 	}
 	v.refreshStatus(now)
 	v.answerConfirms(now)
-	return v.snapshotWhenDue()
+	return v.maybeSnapshot()
 }
 
-func (v *VM) carryOutAll() error {
+func (v *VM) handleAllReady() error {
 	for {
 		r, ok := v.node.Ready()
 		if !ok {
 			return nil
 		}
-		if err := v.carryOut(r); err != nil {
+		if err := v.handleReady(r); err != nil {
 			return err
 		}
 	}
 }
 
-func (v *VM) carryOut(r tackreplica.Ready) error {
+func (v *VM) handleReady(r tackreplica.Ready) error {
 	if r.Snapshot != nil {
-		if err := v.install(*r.Snapshot); err != nil {
+		if err := v.installSnapshot(*r.Snapshot); err != nil {
 			return err
 		}
 	}
@@ -68,7 +68,7 @@
 	}
 	for _, m := range r.Messages {
 		to := m.To
-		m.From, m.To = "", "" // the link tells both
+		m.From, m.To = "", "" // the link identifies both ends
 		v.send(to, kindReplica, m)
 	}
 	for _, e := range r.Committed {
@@ -98,9 +98,9 @@
 }
 
 func (v *VM) persistFailed(err error) error {
-	// A write or sync that failed may or may not be on the disk. Going on
-	// could answer something as durable that a restart would not find, so the
-	// process ends and the other replicas carry on.
+	// After a failed write or sync the data may or may not be on the disk. Continuing
+	// could acknowledge as durable what is missing after a restart, so the process exits
+	// and the other replicas continue without it.
 	v.node.Fail()
 	return &StoppedError{
 		What:   "write to the data folder " + v.cfg.State.Folder,
@@ -109,19 +109,19 @@
 	}
 }
 
-func (v *VM) install(snap tackreplica.Snapshot) error {
+func (v *VM) installSnapshot(snap tackreplica.Snapshot) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if err := v.state.Restore(snap.Data); err != nil {
 		return &StoppedError{
-			What:   "take over the leader's snapshot",
+			What:   "restore the leader's snapshot",
 			Advice: "run the same version of auburntackd on every VM",
 			Err:    err,
 		}
 	}
 	v.applied = tackreplica.Entry{Index: snap.Index, Term: snap.Term, Time: snap.Time}
-	v.snapshotAt = snap.Index
-	v.fleetAt = snap.Index
+	v.snapshotIndex = snap.Index
+	v.fleetRevision = snap.Index
 	return nil
 }
 
@@ -138,19 +138,19 @@
 		}
 	}
 	if e.Kind == tackreplica.EntryMembership {
-		v.takeMembers()
+		v.applyMembership()
 	}
 	if p.Fleet != nil {
-		v.fleetAt = e.Index
-		v.logChange(p, out)
+		v.fleetRevision = e.Index
+		v.logCommand(p, out)
 	}
 	if p.Origin == v.cfg.VM.ID {
-		v.proposals.Deliver(p.Serial, proposed{outcome: out})
+		v.proposals.Deliver(p.Serial, proposalResult{outcome: out})
 	}
 	return nil
 }
 
-func (v *VM) logChange(p tackstate.Proposal, out tackstate.Outcome) {
+func (v *VM) logCommand(p tackstate.Proposal, out tackstate.Outcome) {
 	if p.Fleet.Command == nil {
 		return
 	}
@@ -162,8 +162,8 @@
 	entry.Info("command applied")
 }
 
-// takeMembers links this VM to the members that the log now names.
-func (v *VM) takeMembers() {
+// applyMembership connects this VM to the members listed in the log.
+func (v *VM) applyMembership() {
 	members := v.node.Status(v.clock.Now()).Members
 	plain := make([]tackreplica.Member, 0, len(members))
 	for _, m := range members {
@@ -173,18 +173,18 @@
 	v.directoryMu.Lock()
 	v.directory.SetPeers(peerIDs(plain, v.cfg.VM.ID))
 	v.directoryMu.Unlock()
-	v.sharer.SetPeers(v.clock.Now(), neighbours(plain))
+	v.sharer.SetPeers(v.clock.Now(), peerLocations(plain))
 }
 
-func (v *VM) snapshotWhenDue() error {
-	if v.applied.Index < v.snapshotAt+snapshotEvery {
+func (v *VM) maybeSnapshot() error {
+	if v.applied.Index < v.snapshotIndex+snapshotInterval {
 		return nil
 	}
 	v.mu.RLock()
 	data, err := v.state.Snapshot()
 	v.mu.RUnlock()
 	if err != nil {
-		return &StoppedError{What: "take a snapshot", Advice: "report this as a fault", Err: err}
+		return &StoppedError{What: "take a snapshot", Advice: "report this as a bug", Err: err}
 	}
 	snap, ok := v.node.SnapshotAt(v.applied.Index, data)
 	if !ok {
@@ -196,7 +196,7 @@
 		}
 	}
 	v.node.Compact(snap)
-	v.snapshotAt = snap.Index
+	v.snapshotIndex = snap.Index
 	return nil
 }
 
@@ -221,11 +221,11 @@
 	v.loop.Post(context.Background(), func() { v.node.Step(v.clock.Now(), m) })
 }
 
-// decode reads the body of a peer's message. What cannot be read is dropped
-// and logged: the sender repeats what matters.
+// decode decodes the body of a peer's message. A message that cannot be decoded is
+// logged and dropped; the sender retransmits the messages that matter.
 func (v *VM) decode(from tackid.Peer, body []byte, into any) bool {
 	if err := cbor.Unmarshal(body, into); err != nil {
-		v.log.WithField("peer", from).WithError(err).Warn("message that cannot be read")
+		v.log.WithField("peer", from).WithError(err).Warn("dropping a message that cannot be decoded")
 		return false
 	}
 	return true
--- a/io/tackvm/message.go
+++ b/io/tackvm/message.go
@@ -25,55 +25,54 @@
 		Data   []byte `cbor:"2,keyasint"`
 	}
 
-	// reject answers a forward that was surely not appended.
+	// reject answers a forward whose proposal was definitely not appended.
 	reject struct {
 		Serial uint64 `cbor:"1,keyasint"`
 	}
 
-	// confirm asks the leader one of two things: with Index zero, which
-	// revision a deciding read must have seen; with an Index, to answer once
-	// that revision is in force.
+	// confirm asks the leader to confirm a revision. If Index is zero, the leader
+	// answers with the revision that a linearizable read must have applied; otherwise it
+	// answers once Index is in force.
 	confirm struct {
 		Serial uint64          `cbor:"1,keyasint"`
 		Index  tackid.Revision `cbor:"2,keyasint,omitempty"`
-		// Change, if it is not nil, asks instead to add or remove a member.
-		// The leader works out the new members: the sender may not know of a
-		// change that was made just before.
+		// If Change is set, confirm instead asks the leader to add or remove a member.
+		// The leader computes the new list of members, since the sender may not know of
+		// a change made just before.
 		Change *tackcommand.Command `cbor:"3,keyasint,omitempty"`
 	}
 
-	// confirmed answers a confirm. Missing names the peers that have no lease
-	// and have not applied the revision.
+	// confirmed answers a confirm. Missing lists the peers that have no lease and have
+	// not applied the revision.
 	confirmed struct {
 		Serial  uint64          `cbor:"1,keyasint"`
 		Index   tackid.Revision `cbor:"2,keyasint"`
 		Missing []tackid.Peer   `cbor:"3,keyasint,omitempty"`
-		// Standings come with the answer for a read, Refused with that for
-		// members that the leader does not accept.
-		Standings []standing `cbor:"4,keyasint,omitempty"`
-		Refused   string     `cbor:"5,keyasint,omitempty"`
+		// Members is set in answers to reads. Refused is set if the leader rejects a
+		// membership change.
+		Members []memberStatus `cbor:"4,keyasint,omitempty"`
+		Refused string         `cbor:"5,keyasint,omitempty"`
 	}
 
-	// standing is what the leader knows of one member.
-	standing struct {
+	// memberStatus is what the leader knows about one member.
+	memberStatus struct {
 		Peer    tackid.Peer     `cbor:"1,keyasint"`
 		Applied tackid.Revision `cbor:"2,keyasint,omitempty"`
 		Leased  bool            `cbor:"3,keyasint,omitempty"`
 	}
 
-	// report tells the leader which of the VMs that may get no new work have
-	// none left on the sender. It holds for every fence up to Applied.
-	// Stopped says that the sender is stopping as planned and has nothing
-	// left anywhere.
+	// report tells the leader which of the VMs that may get no new work have no work in
+	// flight from the sender. It is valid for every fence up to Applied. Stopped means
+	// that the sender is stopping gracefully and has no work left on any VM.
 	report struct {
 		Applied tackid.Revision `cbor:"1,keyasint"`
 		Idle    []tackid.VM     `cbor:"2,keyasint,omitempty"`
 		Stopped bool            `cbor:"3,keyasint,omitempty"`
 	}
 
-	// heardReport is a report and when it came.
-	heardReport struct {
+	// receivedReport is a report and the time it was received.
+	receivedReport struct {
 		report
-		at tackclock.Time
+		receivedAt tackclock.Time
 	}
 )
--- a/io/tackvm/meter_test.go
+++ b/io/tackvm/meter_test.go
@@ -14,7 +14,7 @@
 	m.settings.Labels = []tackburn.LabelWindow{{Label: "fajr", Service: "dawn-svc", From: 0, To: tackclock.Day}}
 	m.Count(tackhttp.Result{Service: "dawn-svc", Team: "marawi", Outcome: tackledger.OutcomeAnswered, Took: 5})
 	m.Count(tackhttp.Result{Service: "eid-svc", Outcome: tackledger.OutcomeDidNotRun})
-	sample := m.take("marawi-hall-1", true)
+	sample := m.takeSample("marawi-hall-1", true)
 	if sample == nil || len(sample.Services) != 2 || len(sample.Teams) != 1 {
 		t.Fatalf("sample %+v", sample)
 	}
@@ -22,8 +22,8 @@
 	if len(sample.Labels) != 1 || sample.Labels[0] != want {
 		t.Errorf("labels %+v, want %+v alone", sample.Labels, want)
 	}
-	m.taken()
-	if sample := m.take("marawi-hall-1", true); sample != nil {
+	m.acknowledge()
+	if sample := m.takeSample("marawi-hall-1", true); sample != nil {
 		t.Errorf("taken twice: %+v", sample)
 	}
 }
--- a/io/tackvm/propose.go
+++ b/io/tackvm/propose.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// resendEvery is how long a proposal waits to be applied before it is sent
-	// once more, perhaps to another leader.
-	resendEvery = 400 * time.Millisecond
-	// noLeaderLimit is how long a proposal waits while no leader takes it.
-	// An election takes up to 3 s; beyond that the VM is cut off or there is
-	// no majority, and whoever waits is better told at once.
-	noLeaderLimit = 3 * tackclock.Second
+	// proposalResendInterval is how long to wait for a proposal to be applied before it
+	// is sent again, possibly to another leader.
+	proposalResendInterval = 400 * time.Millisecond
+	// noLeaderTimeout is how long a proposal waits for a leader that accepts it. An
+	// election takes up to 3 s; after that this VM is cut off or there is no majority,
+	// and it is better to fail at once.
+	noLeaderTimeout = 3 * tackclock.Second
 
 	noLeader = "no leader with a majority could be reached"
 )
 
 type (
-	// proposed is what comes back for a proposal: its outcome, or the word of a
-	// leader that it surely did not append it.
-	proposed struct {
+	// proposalResult is the answer to a proposal: its outcome, or rejected if a leader
+	// reports that it definitely did not append it.
+	proposalResult struct {
 		outcome  tackstate.Outcome
 		rejected bool
 	}
 
-	// NotRunError says that nothing was done: no leader took the proposal.
+	// NotRunError reports that nothing was done because no leader accepted the proposal.
 	NotRunError struct {
 		Reason string
 	}
 
-	// UnknownOutcomeError says that a leader was sent the proposal and that
-	// no outcome came back in time.
+	// UnknownOutcomeError reports that the proposal was sent to a leader and no outcome
+	// arrived in time.
 	UnknownOutcomeError struct {
 		Err error
 	}
@@ -52,15 +52,15 @@
 	return fmt.Sprintf("vm: outcome unknown: %v", e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *UnknownOutcomeError) Unwrap() error {
 	return e.Err
 }
 
-// propose puts p into the log through whichever peer leads and returns what
-// applying it on this VM came to. The proposal must be idempotent, since it
-// is sent again when no outcome comes. The error is a *NotRunError when
-// surely nothing was appended and an *UnknownOutcomeError otherwise.
+// propose appends p to the log through the current leader and returns the outcome of
+// applying it on this VM. The proposal must be idempotent, since it is sent again if no
+// outcome arrives. The error is a *NotRunError if p was definitely not appended, and an
+// *UnknownOutcomeError otherwise.
 func (v *VM) propose(ctx context.Context, p tackstate.Proposal) (tackstate.Outcome, error) {
 	p.Origin = v.cfg.VM.ID
 	serial, answers := v.proposals.Add()
@@ -73,10 +73,10 @@
 	return v.awaitOutcome(ctx, serial, data, answers)
 }
 
-func (v *VM) awaitOutcome(ctx context.Context, serial uint64, data []byte, answers <-chan proposed) (tackstate.Outcome, error) {
+func (v *VM) awaitOutcome(ctx context.Context, serial uint64, data []byte, answers <-chan proposalResult) (tackstate.Outcome, error) {
 	var sent, rejected int
 	began := v.clock.Now()
-	ticker := time.NewTicker(resendEvery)
+	ticker := time.NewTicker(proposalResendInterval)
 	defer ticker.Stop()
 	if v.submit(ctx, serial, data) {
 		sent++
@@ -91,7 +91,7 @@
 		case <-ticker.C:
 			if v.submit(ctx, serial, data) {
 				sent++
-			} else if sent <= rejected && v.withoutLeader(began) {
+			} else if sent <= rejected && v.leaderlessTooLong(began) {
 				return tackstate.Outcome{}, &NotRunError{Reason: noLeader}
 			}
 		case <-ctx.Done():
@@ -103,36 +103,36 @@
 	}
 }
 
-// withoutLeader reports whether this VM has had neither a lease nor a leader
-// that takes its proposals for so long that waiting on has no point.
-func (v *VM) withoutLeader(began tackclock.Time) bool {
+// leaderlessTooLong reports whether this VM has had neither a lease nor a leader that
+// accepts its proposals for so long that waiting further is pointless.
+func (v *VM) leaderlessTooLong(began tackclock.Time) bool {
 	now := v.clock.Now()
-	if now.Sub(began) >= noLeaderLimit {
+	if now.Sub(began) >= noLeaderTimeout {
 		return true
 	}
-	return !v.status.Load().Leased && now.Sub(v.status.Load().LeaseUntil) >= noLeaderLimit
+	return !v.status.Load().Leased && now.Sub(v.status.Load().LeaseUntil) >= noLeaderTimeout
 }
 
-// submit gives the proposal to the log here, or sends it to the leader. It
-// reports whether the proposal may have left this VM or been appended.
+// submit appends the proposal to the log if this VM leads, and sends it to the leader
+// otherwise. It reports whether the proposal may have left this VM or been appended.
 func (v *VM) submit(ctx context.Context, serial uint64, data []byte) bool {
-	left := make(chan bool, 1)
-	ok := v.loop.Post(ctx, func() { left <- v.submitOnLoop(serial, data) })
+	submitted := make(chan bool, 1)
+	ok := v.loop.Post(ctx, func() { submitted <- v.forwardOrAppend(serial, data) })
 	if !ok {
 		return false
 	}
 	select {
-	case taken := <-left:
-		return taken
+	case ok := <-submitted:
+		return ok
 	case <-ctx.Done():
-		// The loop has the proposal and may yet append it.
+		// The loop has the proposal and may still append it.
 		return true
 	case <-v.loop.Ended():
 		return true
 	}
 }
 
-func (v *VM) submitOnLoop(serial uint64, data []byte) bool {
+func (v *VM) forwardOrAppend(serial uint64, data []byte) bool {
 	now := v.clock.Now()
 	leader := v.node.Status(now).Leader
 	switch leader {
@@ -144,8 +144,8 @@
 	return v.links.Send(leader, kindForward, forward{Serial: serial, Data: data}) == nil
 }
 
-// append puts data into the log of this VM if it leads with a majority that
-// answers. A leader that was cut off would append what may be lost later.
+// append appends data to the log if this VM leads with a majority that confirms it. A
+// leader that is cut off would append entries that may later be lost.
 func (v *VM) append(data []byte) bool {
 	now := v.clock.Now()
 	if !v.node.LeaderLease(now) {
@@ -172,5 +172,5 @@
 	if !v.decode(from, body, &r) {
 		return
 	}
-	v.proposals.Deliver(r.Serial, proposed{rejected: true})
+	v.proposals.Deliver(r.Serial, proposalResult{rejected: true})
 }
--- a/io/tackvm/query.go
+++ b/io/tackvm/query.go
@@ -11,13 +11,14 @@
 	"auburntack/io/tackoperator"
 )
 
-// source is what queries read on this VM. The lock on the state is held.
+// source provides the data for queries on this VM. The caller must hold the lock on the
+// state.
 type source struct {
 	v   *VM
 	now tackclock.Time
-	// standings is what the leader said, empty where it was not asked in
-	// time.
-	standings []standing
+	// members is the status of the members as reported by the leader, or empty if the
+	// leader did not answer in time.
+	members []memberStatus
 }
 
 // Now returns the time of the query.
@@ -26,9 +27,9 @@
 // Fleet returns the fleet.
 func (s source) Fleet() *tackfleet.State { return &s.v.state.Fleet }
 
-// Cost returns what a wave would cost, by the planner that would run it.
+// Cost returns the estimated cost of a wave, computed by the planner that would run it.
 func (s source) Cost(pool tackid.Pool, action tackfleet.Action, maxParallel int) tackquery.Table {
-	plan := s.v.duties.planner.Cost(view{v: s.v, now: s.now}, pool, action, maxParallel, s.v.waveSettings(s.now))
+	plan := s.v.reconciler.planner.Cost(view{v: s.v, now: s.now}, pool, action, maxParallel, s.v.waveSettings(s.now))
 	return tackquery.Table{
 		Columns: []string{"vms", "left_out", "steps", "buffer_vms", "minutes", "moves", "binds", "problem", "lower_bound_minutes"},
 		Rows: [][]any{{
@@ -38,7 +39,7 @@
 	}
 }
 
-// Hints tells what holds a VM back, as far as this VM knows.
+// Hints returns what this VM knows about why a VM is being held back.
 func (s source) Hints(id tackid.VM) []string {
 	vm, ok := s.v.state.Fleet.VM(id)
 	if !ok {
@@ -48,7 +49,7 @@
 	if n := s.v.caller.InFlight(id); n > 0 {
 		hints = append(hints, fmt.Sprintf("%d requests in flight from %s", n, s.v.cfg.VM.ID))
 	}
-	for _, h := range s.v.duties.planner.Holds(vm.Wave) {
+	for _, h := range s.v.reconciler.planner.Holds(vm.Wave) {
 		if h.VM == id {
 			hints = append(hints, h.Reason)
 		}
@@ -56,7 +57,7 @@
 	return hints
 }
 
-// BackendServers returns the backend servers that announce themselves.
+// BackendServers returns the announced backend servers.
 func (s source) BackendServers() []tackquery.BackendServerRow {
 	s.v.directoryMu.Lock()
 	servers := s.v.directory.BackendServers()
@@ -79,7 +80,7 @@
 	return rows
 }
 
-// Workers returns the workers that announce themselves.
+// Workers returns the announced workers.
 func (s source) Workers() []tackquery.WorkerRow {
 	s.v.directoryMu.Lock()
 	workers := s.v.directory.Workers()
@@ -106,20 +107,20 @@
 	return health.String()
 }
 
-// Peers returns the VMs of the system. What a peer has applied and whether it
-// holds a lease is the leader's word; without it only this VM's own row tells.
+// Peers returns the VMs of the system. The applied revision and the lease of a peer come
+// from the leader; if it did not answer, only this VM's own row has them.
 func (s source) Peers() []tackquery.PeerRow {
 	status := s.v.status.Load()
-	heard := make(map[tackid.Peer]tackclock.Time)
+	lastHeard := make(map[tackid.Peer]tackclock.Time)
 	for _, l := range s.v.links.Status() {
-		heard[l.Peer] = l.LastHeard
+		lastHeard[l.Peer] = l.LastHeard
 	}
-	said := make(map[tackid.Peer]standing)
-	for _, x := range s.standings {
-		said[x.Peer] = x
+	known := make(map[tackid.Peer]memberStatus)
+	for _, x := range s.members {
+		known[x.Peer] = x
 	}
-	said[s.v.cfg.VM.ID] = standing{Peer: s.v.cfg.VM.ID, Applied: status.Applied, Leased: status.Leased}
-	heard[s.v.cfg.VM.ID] = s.now
+	known[s.v.cfg.VM.ID] = memberStatus{Peer: s.v.cfg.VM.ID, Applied: status.Applied, Leased: status.Leased}
+	lastHeard[s.v.cfg.VM.ID] = s.now
 	rows := make([]tackquery.PeerRow, 0, len(status.Members))
 	for _, m := range status.Members {
 		rows = append(rows, tackquery.PeerRow{
@@ -127,10 +128,10 @@
 			DataCentre:  m.DataCentre,
 			Voter:       m.Voter,
 			Role:        roleOf(m.Peer, status.Leader, m.Voter),
-			Applied:     said[m.Peer].Applied,
-			Leased:      said[m.Peer].Leased,
-			LastHeardMS: int64(s.now.Sub(heard[m.Peer])),
-			InForce:     said[m.Peer].Applied,
+			Applied:     known[m.Peer].Applied,
+			Leased:      known[m.Peer].Leased,
+			LastHeardMS: int64(s.now.Sub(lastHeard[m.Peer])),
+			InForce:     known[m.Peer].Applied,
 		})
 	}
 	return rows
@@ -147,7 +148,7 @@
 	}
 }
 
-// Health returns how this VM stands.
+// Health returns the status of this VM.
 func (v *VM) Health() tackoperator.Health {
 	s := v.status.Load()
 	h := tackoperator.Health{
@@ -166,7 +167,7 @@
 	return h
 }
 
-// Burn returns the account of service levels.
+// Burn returns the report on service-level objectives.
 func (v *VM) Burn() tackburn.Report {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
--- a/io/tackvm/routes.go
+++ b/io/tackvm/routes.go
@@ -13,47 +13,47 @@
 	"auburntack/io/tackoperator"
 )
 
-// takeOutLimit is within the time for which whoever announces itself waits, and a
-// small part of the seconds within which nothing new may be sent to it.
-const takeOutLimit = 500 * time.Millisecond
+// syncRoutesTimeout is shorter than the time for which the sender of an announcement
+// waits, and a small part of the seconds within which nothing new may be sent to it.
+const syncRoutesTimeout = 500 * time.Millisecond
 
-// routeInputs tells what the published routes were made from, so that they
-// are made anew only when something changed.
+// routeInputs identifies what the published routes were built from, so that they are
+// rebuilt only when something has changed.
 type routeInputs struct {
 	fleet     tackid.Revision
 	directory uint64
 	leased    bool
-	made      bool
+	valid     bool
 }
 
-// publishRoutes makes the table that callers' requests are routed by. It runs
-// before the log is told that an entry was applied: once this VM reports a
-// revision, no request it routes goes by an older one.
+// publishRoutes builds the table by which callers' requests are routed. It runs before
+// the log is told that an entry was applied: once this VM reports a revision, it routes
+// no request by an older one.
 func (v *VM) publishRoutes(now tackclock.Time) {
 	leased := v.node.Leased(now)
 	v.directoryMu.Lock()
 	version := v.directory.Version()
 	v.directoryMu.Unlock()
 	next := routeInputs{
-		fleet:     v.fleetAt,
+		fleet:     v.fleetRevision,
 		directory: version,
 		leased:    leased,
-		made:      true,
+		valid:     true,
 	}
-	if v.routedBy == next {
+	if v.publishedInputs == next {
 		return
 	}
-	if v.routedBy.made && v.routedBy.leased != leased {
+	if v.publishedInputs.valid && v.publishedInputs.leased != leased {
 		v.log.WithField("leased", leased).Info("lease changed")
 	}
-	v.routedBy = next
-	v.routes.Store(v.makeRoutes(leased))
+	v.publishedInputs = next
+	v.routes.Store(v.buildRoutes(leased))
 	if v.sharer.User != nil {
 		v.sharer.SetTable(now, v.routes.Load())
 	}
 }
 
-func (v *VM) makeRoutes(leased bool) *tackroute.Table {
+func (v *VM) buildRoutes(leased bool) *tackroute.Table {
 	v.directoryMu.Lock()
 	servers := v.directory.BackendServers()
 	v.directoryMu.Unlock()
@@ -78,15 +78,15 @@
 			v.addCandidate(table, &servers[i])
 		}
 	}
-	v.addUnheard(table, servers)
+	v.addFallbackCandidates(table, servers)
 	return table
 }
 
-// addUnheard gives the services that would have none the backend servers whose
-// peer cannot be heard. Such a peer may be dead and its backend servers well:
-// without them every request would be refused until they have announced
+// addFallbackCandidates adds backend servers of unreachable peers to the services that
+// have no other candidates. Such a peer may be down while its backend servers are
+// healthy; without them every request would be refused until they have announced
 // themselves to another peer.
-func (v *VM) addUnheard(table *tackroute.Table, servers []tackmember.BackendServerRecord) {
+func (v *VM) addFallbackCandidates(table *tackroute.Table, servers []tackmember.BackendServerRecord) {
 	none := make(map[tackid.Service]bool)
 	for service, candidates := range table.Services {
 		none[service] = len(candidates) == 0
@@ -98,9 +98,9 @@
 	}
 }
 
-// addCandidate adds the backend server to its service if it serves on a VM of
-// the pool that the service is placed on. A VM that moved away keeps its
-// backend servers for a while; nothing may be sent to them.
+// addCandidate adds the backend server to its service if it is serving on a VM of the
+// pool in which the service is placed. A VM that moved to another pool keeps its backend
+// servers for a while; nothing may be sent to them.
 func (v *VM) addCandidate(table *tackroute.Table, b *tackmember.BackendServerRecord) {
 	if b.State != tackmember.StateServing {
 		return
@@ -153,13 +153,13 @@
 	}
 }
 
-// Announce takes an announcement of a backend server or worker.
+// Announce processes an announcement of a backend server or worker.
 func (v *VM) Announce(a tackmember.Announcement) (tackmember.Reply, error) {
 	v.directoryMu.Lock()
 	reply, err := v.directory.Announce(v.clock.Now(), a)
 	v.directoryMu.Unlock()
 	if b := a.BackendServer; b != nil && b.State == tackmember.StateLeaving {
-		v.takeOut()
+		v.syncRoutes()
 	} else {
 		v.wake()
 	}
@@ -175,16 +175,16 @@
 	v.directoryMu.Lock()
 	ok := v.directory.Withdraw(v.clock.Now(), b, n)
 	v.directoryMu.Unlock()
-	v.takeOut()
+	v.syncRoutes()
 	return ok
 }
 
-// takeOut has what leaves taken out of the routes before its announcement is
-// answered, and the others told. A request that came right after the answer would
-// else still be sent to it, when the loop is slow. One that is stalled holds the
-// answer no longer than takeOutLimit.
-func (v *VM) takeOut() {
-	ctx, cancel := context.WithTimeout(context.Background(), takeOutLimit)
+// syncRoutes publishes routes without a leaving backend server, and tells the other
+// peers, before its announcement is answered. Otherwise, if the loop is slow, a request
+// right after the answer could still be sent to that backend server. If the loop is
+// stalled, syncRoutes gives up after syncRoutesTimeout.
+func (v *VM) syncRoutes() {
+	ctx, cancel := context.WithTimeout(context.Background(), syncRoutesTimeout)
 	defer cancel()
 	done := make(chan struct{})
 	v.loop.Post(ctx, func() {
@@ -196,13 +196,12 @@
 	select {
 	case <-done:
 	case <-ctx.Done():
-		v.log.WithField("limit_ms", takeOutLimit.Milliseconds()).Warn("announcement answered before the routes follow it")
+		v.log.WithField("limit_ms", syncRoutesTimeout.Milliseconds()).Warn("announcement answered before the routes were updated")
 	case <-v.loop.Ended():
 	}
 }
 
-// wake has the loop look at once at what changed, and send what the
-// directory has to say.
+// wake makes the loop process a change at once and send the directory's messages.
 func (v *VM) wake() {
 	v.loop.Post(context.Background(), func() { v.tickDirectory(v.clock.Now()) })
 }
--- a/io/tackvm/run.go
+++ b/io/tackvm/run.go
@@ -20,25 +20,25 @@
 )
 
 const (
-	// startLimit is how long a VM that has state from its disk waits for a
-	// leader before it serves what it can without a lease.
-	startLimit = 5 * tackclock.Second
-	// handOverLimit is how long a stopping leader waits for its successor.
-	handOverLimit = 2 * tackclock.Second
-	// brokenLimit is how long a VM that cannot go on lets requests finish.
-	brokenLimit = 2 * tackclock.Second
-	readyEvery  = 50 * time.Millisecond
+	// startTimeout is how long a VM that has state on its disk waits for a leader before
+	// it starts to serve without a lease.
+	startTimeout = 5 * tackclock.Second
+	// transferTimeout is how long a stopping leader waits for its successor.
+	transferTimeout = 2 * tackclock.Second
+	// failedStopTimeout is how long a VM that cannot continue lets requests finish.
+	failedStopTimeout = 2 * tackclock.Second
+	readyPollInterval = 50 * time.Millisecond
 )
 
-// listeners are the ports, taken before anything else so that a port in use
-// is told at once.
+// listeners holds the open ports. They are opened before anything else, so that a port
+// in use is reported at once.
 type listeners struct {
 	caller   net.Listener
 	operator net.Listener
 }
 
-// Run makes a VM and serves until ctx ends, then stops it in order. The error
-// is a *StoppedError where the VM could not start or go on.
+// Run creates a VM and serves until ctx is done, then stops it gracefully. The error is
+// a *StoppedError if the VM could not start or continue.
 func Run(ctx context.Context, cfg tacksettings.Settings, logger *logrus.Logger) error {
 	v, err := New(cfg, new(tackclock.Clock), logger)
 	if err != nil {
@@ -47,8 +47,8 @@
 	return v.Run(ctx)
 }
 
-// Run serves until ctx ends and then stops in order: not ready first, then
-// what runs is finished, leadership handed over, the disk synced and closed.
+// Run serves until ctx is done and then stops gracefully: the VM reports not ready,
+// finishes the requests in flight, transfers leadership, and closes the disk.
 func (v *VM) Run(ctx context.Context) error {
 	if v.disk != nil {
 		defer v.disk.Close()
@@ -69,22 +69,22 @@
 	go v.watchReady(serving)
 	select {
 	case err := <-ended:
-		v.stopBroken(caller)
-		return v.whyEnded(err)
-	case <-v.broken:
-		v.stopBroken(caller)
+		v.stopFailed(caller)
+		return v.endError(err)
+	case <-v.failedSignal:
+		v.stopFailed(caller)
 	case <-ctx.Done():
-		v.stopInOrder(caller)
+		v.stopGracefully(caller)
 	}
 	stop()
-	err = v.whyEnded(<-ended)
+	err = v.endError(<-ended)
 	v.log.Info("stopped")
 	return err
 }
 
 func (v *VM) listen(ctx context.Context, caller *tackhttp.Server) (listeners, error) {
 	var ports listeners
-	err := tryPeerPort(v.cfg.Listen.Peer)
+	err := checkPeerPort(v.cfg.Listen.Peer)
 	if err != nil {
 		return ports, err
 	}
@@ -98,9 +98,9 @@
 	return ports, nil
 }
 
-// tryPeerPort finds out whether the links will be able to listen. They would
-// try again for ever, and the VM would take part in nothing meanwhile.
-func tryPeerPort(address string) error {
+// checkPeerPort checks that the peer port can be opened. The links would otherwise retry
+// for ever without the VM taking part in the system.
+func checkPeerPort(address string) error {
 	port, err := net.Listen("tcp", address)
 	if err != nil {
 		return portError("peer", err)
@@ -129,8 +129,8 @@
 	return supervisor
 }
 
-// serveLoop runs the loop. Its state cannot be rebuilt without a restart, so
-// a failure or panic ends the process rather than the loop alone.
+// serveLoop runs the loop. Its state cannot be rebuilt without a restart, so a failure
+// or panic ends the whole process.
 func (v *VM) serveLoop(ctx context.Context) error {
 	defer func() {
 		if r := recover(); r != nil {
@@ -149,11 +149,11 @@
 		stopped = &StoppedError{What: "run", Advice: "see the log", Err: err}
 	}
 	if v.failed.CompareAndSwap(nil, stopped) {
-		close(v.broken)
+		close(v.failedSignal)
 	}
 }
 
-func (v *VM) whyEnded(err error) error {
+func (v *VM) endError(err error) error {
 	if stopped := v.failed.Load(); stopped != nil {
 		return stopped
 	}
@@ -163,8 +163,8 @@
 	return fmt.Errorf("vm: %w", err)
 }
 
-// serveCallers serves the callers' port. Shutdown ends it, which lets requests
-// finish; the end of ctx does not.
+// serveCallers serves the callers' port. Only Shutdown ends it, which lets requests
+// finish; it ignores the end of ctx.
 func serveCallers(server *tackhttp.Server, port net.Listener) func(context.Context) error {
 	return func(context.Context) error {
 		if err := server.Serve(port); err != nil {
@@ -174,7 +174,7 @@
 	}
 }
 
-// serveHTTP serves on a port that stays taken when the server is restarted.
+// serveHTTP serves on a listener that stays open when the server is restarted.
 func serveHTTP(server *http.Server, port net.Listener) func(context.Context) error {
 	return func(ctx context.Context) error {
 		ended := make(chan error, 1)
@@ -197,11 +197,10 @@
 	v.log.WithField("service", e.Map()["service_name"]).Warn(e.String())
 }
 
-// watchReady turns the VM ready once it knows what to serve by: it holds a
-// lease and knows the backend servers, or it has waited for that in vain and
-// goes on by what its disk held.
+// watchReady marks the VM ready once it holds a lease and knows the backend servers, or,
+// after startTimeout, if it has any applied state.
 func (v *VM) watchReady(ctx context.Context) {
-	ticker := time.NewTicker(readyEvery)
+	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
 	began := v.clock.Now()
 	for {
@@ -211,7 +210,7 @@
 		case <-ticker.C:
 		}
 		if v.mayServe(began) {
-			v.serves.Store(true)
+			v.serving.Store(true)
 			v.ready.Store(true)
 			v.log.WithField("revision", v.status.Load().Applied).Info("ready")
 			return
@@ -224,7 +223,7 @@
 	if s.Leased && v.directoryCaughtUp() {
 		return true
 	}
-	return s.Applied > 0 && v.clock.Now().Sub(began) > startLimit
+	return s.Applied > 0 && v.clock.Now().Sub(began) > startTimeout
 }
 
 func (v *VM) directoryCaughtUp() bool {
@@ -233,22 +232,22 @@
 	return v.directory.CaughtUp()
 }
 
-// stopBroken ends a VM that cannot go on. Requests under way get a moment to
-// finish; nothing else is worth waiting for.
-func (v *VM) stopBroken(caller *tackhttp.Server) {
+// stopFailed stops a VM that cannot continue. It waits only for requests in flight, up
+// to failedStopTimeout.
+func (v *VM) stopFailed(caller *tackhttp.Server) {
 	v.ready.Store(false)
-	v.serves.Store(false)
-	ctx, cancel := context.WithTimeout(context.Background(), brokenLimit.Std())
+	v.serving.Store(false)
+	ctx, cancel := context.WithTimeout(context.Background(), failedStopTimeout.Std())
 	defer cancel()
 	if err := caller.Shutdown(ctx); err != nil {
-		v.log.WithError(err).Warn("requests cut")
+		v.log.WithError(err).Warn("requests in flight were aborted")
 	}
 }
 
-// stopInOrder ends a VM so that nobody notices: the balancer sees that it is
-// not ready and has time to follow, requests that came are answered, another
-// replica leads, and the leader knows that nothing is left here.
-func (v *VM) stopInOrder(caller *tackhttp.Server) {
+// stopGracefully stops a VM without interrupting service: the load balancer sees that it
+// is not ready and has time to react, accepted requests are answered, another replica
+// becomes leader, and the leader learns that this VM has no work left.
+func (v *VM) stopGracefully(caller *tackhttp.Server) {
 	v.ready.Store(false)
 	v.log.Info("stopping")
 	limit := v.cfg.Stop.Deadline.Std()
@@ -258,18 +257,18 @@
 	tackloop.Sleep(ctx, v.cfg.Stop.Linger.Std())
 	if err := caller.Shutdown(ctx); err != nil {
 		v.fail(&StoppedError{
-			What:   "finish what runs",
+			What:   "finish the requests in flight",
 			Advice: "raise stop.deadline_ms if requests take longer",
 			Err:    err,
 		})
 	}
 	v.flushBurn(ctx, true)
-	v.sayStopped(ctx)
-	v.handOver(ctx)
+	v.reportStopped(ctx)
+	v.transferLeadership(ctx)
 }
 
-func (v *VM) sayStopped(ctx context.Context) {
-	v.duties.stopped.Store(true)
+func (v *VM) reportStopped(ctx context.Context) {
+	v.reconciler.stopped.Store(true)
 	v.loop.Post(ctx, func() {
 		for _, m := range v.status.Load().Members {
 			if m.Peer != v.cfg.VM.ID {
@@ -279,20 +278,20 @@
 	})
 }
 
-// handOver gives leadership to another replica, so that commands do not wait
-// for an election.
-func (v *VM) handOver(ctx context.Context) {
+// transferLeadership transfers leadership to another replica, so that commands need not
+// wait for an election.
+func (v *VM) transferLeadership(ctx context.Context) {
 	if len(v.status.Load().Members) == 1 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, handOverLimit.Std())
+	ctx, cancel := context.WithTimeout(ctx, transferTimeout.Std())
 	defer cancel()
 	for v.status.Load().Leader == v.cfg.VM.ID {
 		v.loop.Post(ctx, func() { v.node.Transfer(v.clock.Now(), "") })
-		tackloop.Sleep(ctx, readyEvery)
+		tackloop.Sleep(ctx, readyPollInterval)
 		if ctx.Err() != nil {
 			return
 		}
 	}
-	tackloop.Sleep(ctx, 2*readyEvery)
+	tackloop.Sleep(ctx, 2*readyPollInterval)
 }
--- a/io/tackvm/share.go
+++ b/io/tackvm/share.go
@@ -9,11 +9,11 @@
 	"auburntack/core/tackshare"
 )
 
-// shareEvery is how often the slots are shared anew while no request waits.
-const shareEvery = 100 * tackclock.Millisecond
+// shareInterval is how often slots are redistributed while no request is waiting.
+const shareInterval = 100 * tackclock.Millisecond
 
-// startSharing begins to share the slots of the backend servers and of the
-// quotas with the other peers. Only the loop touches the sharer from here on.
+// startSharing starts to share the slots of backend servers and the quotas with the
+// other peers. From then on only the loop accesses the sharer.
 func (v *VM) startSharing(now tackclock.Time, members []tackreplica.Member) {
 	v.sharer = tackshare.Sharer{
 		Self:  v.cfg.VM.ID,
@@ -21,11 +21,11 @@
 		Epoch: uint64(now),
 		User:  v.caller,
 	}
-	v.sharer.SetPeers(now, neighbours(members))
+	v.sharer.SetPeers(now, peerLocations(members))
 	v.sharer.SetTable(now, v.routes.Load())
 }
 
-func neighbours(members []tackreplica.Member) []tackshare.PeerLocation {
+func peerLocations(members []tackreplica.Member) []tackshare.PeerLocation {
 	list := make([]tackshare.PeerLocation, 0, len(members))
 	for _, m := range members {
 		list = append(list, tackshare.PeerLocation{Peer: m.Peer, DataCentre: m.DataCentre})
@@ -34,10 +34,10 @@
 }
 
 func (v *VM) tickShare(now tackclock.Time) {
-	if now.Sub(v.shared) < shareEvery && !v.caller.Waiting() {
+	if now.Sub(v.lastShareTick) < shareInterval && !v.caller.Waiting() {
 		return
 	}
-	v.shared = now
+	v.lastShareTick = now
 	v.sendShares(v.sharer.Tick(now))
 }
 
--- a/io/tackvm/tasks.go
+++ b/io/tackvm/tasks.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	// idleDecideEvery is how often the placer decides while there is no task.
-	idleDecideEvery = tackclock.Second
-	// usageEvery is how often the platform is asked about a worker's tasks.
-	usageEvery = 2 * tackclock.Second
-	// usageStarts bounds how many workers are asked about in one round. With
-	// more workers than that carries, each is asked less often.
-	usageStarts = 16
-	// idleStarts is how many of these may be workers that nothing is known
-	// to run on. At 2,300 workers, asking them as often as the others took
-	// more bytes than all other control, to learn nothing.
-	idleStarts = 2
-	// orderCalls and usageCalls bound the calls to the platform at one time.
-	// An order that finds no place is decided anew.
-	orderCalls = 64
-	usageCalls = 16
+	// idleDecideInterval is how often the placer runs while there are no tasks.
+	idleDecideInterval = tackclock.Second
+	// usagePollInterval is how often the platform is asked about the tasks of a worker.
+	usagePollInterval = 2 * tackclock.Second
+	// maxPolledWorkers bounds how many workers are polled in one round. If there are
+	// more, each is polled less often.
+	maxPolledWorkers = 16
+	// maxPolledIdleWorkers is how many of these may be workers without known tasks. With
+	// 2,300 workers, polling them as often as the others used more bytes than all other
+	// control traffic, for no information.
+	maxPolledIdleWorkers = 2
+	// maxOrderCalls and maxUsageCalls bound the concurrent calls to the platform. An
+	// order beyond the bound is not sent, and placement decides again.
+	maxOrderCalls = 64
+	maxUsageCalls = 16
 )
 
 var orderCounters = [...]string{
@@ -41,49 +41,49 @@
 	tackplace.OutcomeNotSent: "task_orders_not_sent",
 }
 
-// tasks are what the leader asks of workers about their tasks. The placer
-// belongs to the loop.
+// tasks is the leader's state for task placement. The loop alone accesses placer,
+// lastDecision and polledAt.
 type tasks struct {
 	placer tackplace.Placer
-	// decided is when the placer decided last.
-	decided tackclock.Time
-	asked   map[tackid.VM]tackclock.Time
+	// lastDecision is when the placer last ran.
+	lastDecision tackclock.Time
+	polledAt     map[tackid.VM]tackclock.Time
 
-	mu      sync.Mutex
-	reports []tackplace.Report
-	answers []tackplace.Answer
-	ordered int
-	polled  int
+	mu           sync.Mutex
+	reports      []tackplace.Report
+	answers      []tackplace.Answer
+	activeOrders int
+	activePolls  int
 }
 
-// decideTasks returns what placement wants proposed and asked. It is called
-// with the state locked for reading.
+// decideTasks returns the changes to propose and the orders to send for task placement.
+// The caller must hold the lock on the state for reading.
 func (v *VM) decideTasks(now tackclock.Time) tackplace.Decision {
 	if v.platform == nil {
 		return tackplace.Decision{}
 	}
-	// Looking at every worker five times a second for nothing took the leader
-	// a fifth of its processor time.
-	if now.Sub(v.duties.tasks.decided) < idleDecideEvery && len(v.state.Fleet.Tasks()) == 0 {
+	// Examining every worker five times per second without any tasks used a fifth of the
+	// leader's processor time.
+	if now.Sub(v.reconciler.tasks.lastDecision) < idleDecideInterval && len(v.state.Fleet.Tasks()) == 0 {
 		return tackplace.Decision{}
 	}
-	v.duties.tasks.decided = now
+	v.reconciler.tasks.lastDecision = now
 	s := v.status.Load()
-	reports, answers := v.duties.tasks.take()
-	return v.duties.tasks.placer.Decide(tackplace.View{
+	reports, answers := v.reconciler.tasks.takeResults()
+	return v.reconciler.tasks.placer.Decide(tackplace.View{
 		Now:     now,
 		Term:    uint64(s.Term),
 		Fleet:   &v.state.Fleet,
-		Pending: v.duties.term == s.Term && v.applied.Index < v.duties.until,
+		Pending: v.reconciler.proposedTerm == s.Term && v.applied.Index < v.reconciler.proposedIndex,
 		Reports: reports,
 		Answers: answers,
 	}, tackplace.Settings{})
 }
 
-// withoutLive takes the VMs on which a task may still run out of those that
-// join a pool: a cancelled task is gone from the fleet before its worker has
-// stopped it.
-func (v *VM) withoutLive(changes []tackfleet.Change) []tackfleet.Change {
+// withoutTaskVMs removes from the changes the VMs that would join a pool while a task
+// may still be running on them: a cancelled task is gone from the fleet before its
+// worker has stopped it.
+func (v *VM) withoutTaskVMs(changes []tackfleet.Change) []tackfleet.Change {
 	kept := changes[:0]
 	for _, c := range changes {
 		joins := len(c.Joined) > 0
@@ -96,16 +96,15 @@
 }
 
 func (v *VM) runsTasks(vm tackid.VM) bool {
-	return v.duties.tasks.placer.Live(vm) > 0
+	return v.reconciler.tasks.placer.Live(vm) > 0
 }
 
-// carryOutOrders asks workers for what placement decided, each order in a
-// goroutine of its own.
+// carryOutOrders sends the orders of a placement decision, each in its own goroutine.
 func (v *VM) carryOutOrders(orders []tackplace.Order) {
 	for _, o := range orders {
-		if !v.duties.tasks.beginOrder() {
+		if !v.reconciler.tasks.beginOrder() {
 			v.countOrder(tackplace.OutcomeNotSent)
-			v.duties.tasks.answer(o, tackplace.OutcomeNotSent, "too many calls under way")
+			v.reconciler.tasks.addAnswer(o, tackplace.OutcomeNotSent, "too many calls under way")
 			continue
 		}
 		go v.carryOutOrder(o)
@@ -114,12 +113,12 @@
 
 func (v *VM) carryOutOrder(o tackplace.Order) {
 	err := v.sendOrder(o)
-	v.duties.tasks.endOrder()
+	v.reconciler.tasks.endOrder()
 	outcome, reason := outcomeOf(err)
 	v.countOrder(outcome)
-	v.duties.tasks.answer(o, outcome, reason)
+	v.reconciler.tasks.addAnswer(o, outcome, reason)
 	if err != nil {
-		v.log.WithField("worker", o.Worker).WithField("task", o.Task).WithError(err).Debug("order not carried out")
+		v.log.WithField("worker", o.Worker).WithField("task", o.Task).WithError(err).Debug("order failed")
 	}
 }
 
@@ -144,8 +143,8 @@
 	return v.platform.Stop(ctx, o.Worker, o.Task, o.Token)
 }
 
-// outcomeOf says what became of an order. Only a call that surely never left
-// counts as not sent.
+// outcomeOf returns the outcome of an order and its reason. Only a call that definitely
+// never left this VM counts as not sent.
 func outcomeOf(err error) (tackplace.Outcome, string) {
 	var refused *tackplatform.RefusedError
 	var name *tackplatform.NameError
@@ -163,53 +162,53 @@
 	return tackplace.OutcomeUnknown, ""
 }
 
-// pollUsage asks the platform about the tasks of the workers that were asked
-// about longest ago.
+// pollUsage asks the platform about the tasks of the workers that were polled longest
+// ago.
 func (v *VM) pollUsage(now tackclock.Time) {
 	if v.platform == nil {
 		return
 	}
-	t := &v.duties.tasks
-	if t.asked == nil {
-		t.asked = make(map[tackid.VM]tackclock.Time)
+	t := &v.reconciler.tasks
+	if t.polledAt == nil {
+		t.polledAt = make(map[tackid.VM]tackclock.Time)
 	}
-	for _, vm := range t.due(now, &v.state.Fleet) {
+	for _, vm := range t.dueWorkers(now, &v.state.Fleet) {
 		if !t.beginPoll() {
 			return
 		}
-		t.asked[vm] = now
-		go v.askUsage(vm, now)
+		t.polledAt[vm] = now
+		go v.pollWorkerTasks(vm, now)
 	}
 }
 
-// due returns the workers to ask about: those that tasks run on, the longest
-// waiting first, and a few of the others.
-func (t *tasks) due(now tackclock.Time, f *tackfleet.State) []tackid.VM {
+// dueWorkers returns the workers to poll: those that run tasks, the least recently
+// polled first, and a few of the others.
+func (t *tasks) dueWorkers(now tackclock.Time, f *tackfleet.State) []tackid.VM {
 	var busy, idle []tackid.VM
 	for vm := range f.EachVM() {
 		switch {
-		case vm.Cores == 0 || now.Sub(t.asked[vm.ID]) < usageEvery:
+		case vm.Cores == 0 || now.Sub(t.polledAt[vm.ID]) < usagePollInterval:
 		case f.RunningOn(vm.ID) > 0 || t.placer.Live(vm.ID) > 0:
 			busy = append(busy, vm.ID)
 		default:
-			idle = t.keepOldest(append(idle, vm.ID), idleStarts)
+			idle = t.keepOldest(append(idle, vm.ID), maxPolledIdleWorkers)
 		}
 	}
-	return t.keepOldest(append(busy, idle...), usageStarts)
+	return t.keepOldest(append(busy, idle...), maxPolledWorkers)
 }
 
-// keepOldest returns at most n of the workers, those that were asked about
-// longest ago, in that order.
+// keepOldest returns at most n of the workers, the least recently polled ones, in that
+// order.
 func (t *tasks) keepOldest(vms []tackid.VM, n int) []tackid.VM {
-	slices.SortStableFunc(vms, func(a, b tackid.VM) int { return cmp.Compare(t.asked[a], t.asked[b]) })
+	slices.SortStableFunc(vms, func(a, b tackid.VM) int { return cmp.Compare(t.polledAt[a], t.polledAt[b]) })
 	return vms[:min(len(vms), n)]
 }
 
-func (v *VM) askUsage(vm tackid.VM, asked tackclock.Time) {
+func (v *VM) pollWorkerTasks(vm tackid.VM, asked tackclock.Time) {
 	list, err := v.platform.Tasks(context.Background(), vm)
-	v.duties.tasks.endPoll()
+	v.reconciler.tasks.endPoll()
 	if err != nil {
-		v.log.WithField("worker", vm).WithError(err).Debug("platform did not say what runs")
+		v.log.WithField("worker", vm).WithError(err).Debug("cannot read the worker's tasks from the platform")
 		return
 	}
 	r := tackplace.Report{Worker: vm, RequestedAt: asked}
@@ -219,11 +218,11 @@
 			Cores: u.Cores, MemoryMB: u.MemoryMB, Lag: u.LagMS,
 		})
 	}
-	v.duties.tasks.report(r)
+	v.reconciler.tasks.addReport(r)
 }
 
-// take returns what came since the last call.
-func (t *tasks) take() ([]tackplace.Report, []tackplace.Answer) {
+// takeResults returns the reports and answers received since the last call.
+func (t *tasks) takeResults() ([]tackplace.Report, []tackplace.Answer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	reports, answers := t.reports, t.answers
@@ -231,30 +230,30 @@
 	return reports, answers
 }
 
-func (t *tasks) report(r tackplace.Report) {
+func (t *tasks) addReport(r tackplace.Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.reports = append(t.reports, r)
 }
 
-func (t *tasks) answer(o tackplace.Order, outcome tackplace.Outcome, reason string) {
+func (t *tasks) addAnswer(o tackplace.Order, outcome tackplace.Outcome, reason string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.answers = append(t.answers, tackplace.Answer{Order: o, Outcome: outcome, Reason: reason})
 }
 
-func (t *tasks) beginOrder() bool { return t.begin(&t.ordered, orderCalls) }
+func (t *tasks) beginOrder() bool { return t.begin(&t.activeOrders, maxOrderCalls) }
 
-func (t *tasks) endOrder() { t.end(&t.ordered) }
+func (t *tasks) endOrder() { t.end(&t.activeOrders) }
 
-func (t *tasks) beginPoll() bool { return t.begin(&t.polled, usageCalls) }
+func (t *tasks) beginPoll() bool { return t.begin(&t.activePolls, maxUsageCalls) }
 
-func (t *tasks) endPoll() { t.end(&t.polled) }
+func (t *tasks) endPoll() { t.end(&t.activePolls) }
 
-func (t *tasks) begin(calls *int, most int) bool {
+func (t *tasks) begin(calls *int, limit int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if *calls >= most {
+	if *calls >= limit {
 		return false
 	}
 	*calls++
--- a/io/tackvm/tasks_test.go
+++ b/io/tackvm/tasks_test.go
@@ -11,7 +11,7 @@
 	"auburntack/core/tackid"
 )
 
-// fleetOfWorkers returns a fleet of n workers, with a task on the last.
+// fleetOfWorkers returns a fleet of n workers, with a task running on the last one.
 func fleetOfWorkers(t *testing.T, n int) (*tackfleet.State, tackid.VM) {
 	t.Helper()
 	f := new(tackfleet.State)
@@ -43,27 +43,25 @@
 	return f, last
 }
 
-// Symptom: the leader spends its bytes on workers that run nothing, while
-// what a task really uses is learnt late.
-// Sequence: many workers, a task on one of them; the leader asks round by
-// round.
-// Cause: all workers are asked as often.
+// With many workers and a task on only one of them, the busy worker must be polled in
+// each round and the idle ones less often. If all are polled equally often, the leader
+// uses its bandwidth on idle workers and learns late what a task uses.
 func TestIdleWorkersAreAskedLessOften(t *testing.T) {
 	const workers, rounds = 40, 30
 	f, busy := fleetOfWorkers(t, workers)
 	asked := make(map[tackid.VM]int)
-	tasks := tasks{asked: make(map[tackid.VM]tackclock.Time)}
+	tasks := tasks{polledAt: make(map[tackid.VM]tackclock.Time)}
 	now := tackclock.Time(tackclock.Minute)
 	for range rounds {
-		due := tasks.due(now, f)
-		if !slices.Contains(due, busy) || len(due) > 1+idleStarts {
-			t.Fatalf("asked %v, want %s and at most %d others", due, busy, idleStarts)
+		due := tasks.dueWorkers(now, f)
+		if !slices.Contains(due, busy) || len(due) > 1+maxPolledIdleWorkers {
+			t.Fatalf("asked %v, want %s and at most %d others", due, busy, maxPolledIdleWorkers)
 		}
 		for _, vm := range due {
-			tasks.asked[vm] = now
+			tasks.polledAt[vm] = now
 			asked[vm]++
 		}
-		now = now.Add(usageEvery)
+		now = now.Add(usagePollInterval)
 	}
 	if len(asked) != workers {
 		t.Errorf("%d of %d workers were ever asked", len(asked), workers)
--- a/io/tackvm/vm.go
+++ b/io/tackvm/vm.go
@@ -1,7 +1,6 @@
-// Package tackvm is one running VM of the system. It owns the replicated log
-// and the state it drives, links them to the disk, the other peers, the
-// callers' and the operators' ports and the platform, and stops them in
-// order.
+// Package tackvm runs one VM of the system. A VM owns the replicated log and the state
+// machine that applies it, connects them to the disk, to the other peers, to the ports
+// for callers and operators and to the platform, and shuts them down in order.
 package tackvm
 
 import (
@@ -32,15 +31,15 @@
 )
 
 const (
-	// eventQueue is how many events may wait for the loop before a sender
-	// waits too.
-	eventQueue = 1024
-	// snapshotEvery is how many entries are applied between two snapshots.
-	snapshotEvery = 1000
+	// eventQueueSize is how many events may be queued for the loop. If the queue is
+	// full, senders block.
+	eventQueueSize = 1024
+	// snapshotInterval is the number of entries applied between two snapshots.
+	snapshotInterval = 1000
 )
 
 type (
-	// VM is one VM of the system. Make it with New and run it with Run.
+	// VM is one VM of the system. It is created by New and started by Run.
 	VM struct {
 		cfg      tacksettings.Settings
 		clock    *tackclock.Clock
@@ -53,11 +52,11 @@
 		platform *tackplatform.Client
 		caller   *tackhttp.Handler
 
-		// events are run one at a time by the loop, which alone touches node.
-		loop   *tackloop.Loop
-		node   *tackreplica.Node
-		failed atomic.Pointer[StoppedError]
-		broken chan struct{} // closed once failed is set
+		// loop runs events one at a time. Only the loop accesses node.
+		loop         *tackloop.Loop
+		node         *tackreplica.Node
+		failed       atomic.Pointer[StoppedError]
+		failedSignal chan struct{} // closed once failed is set
 
 		// mu guards state and applied. Only the loop writes them.
 		mu      sync.RWMutex
@@ -67,30 +66,30 @@
 		directoryMu sync.Mutex
 		directory   tackmember.Directory
 
-		routes atomic.Pointer[tackroute.Table]
-		status atomic.Pointer[tackreplica.Status]
-		ready  atomic.Bool // for the balancer
-		serves atomic.Bool // for callers: ready, or lingering in a planned stop
-		meter  meter
-		duties duties
+		routes     atomic.Pointer[tackroute.Table]
+		status     atomic.Pointer[tackreplica.Status]
+		ready      atomic.Bool // reported to the load balancer
+		serving    atomic.Bool // for callers: ready, or lingering during a graceful stop
+		meter      meter
+		reconciler reconciler
 
-		// proposals and confirms are what callers on this VM wait for, asked
-		// what this VM, as the leader, has yet to answer.
-		proposals tackwait.Waiting[proposed]
-		confirms  tackwait.Waiting[confirmed]
-		asked     []askedConfirm
+		// proposals and confirms are the requests that callers on this VM wait for.
+		// pendingConfirms are the ones that this VM, as the leader, has yet to answer.
+		proposals       tackwait.Waiting[proposalResult]
+		confirms        tackwait.Waiting[confirmed]
+		pendingConfirms []pendingConfirm
 
-		sharer tackshare.Sharer
-		shared tackclock.Time
+		sharer        tackshare.Sharer
+		lastShareTick tackclock.Time
 
-		snapshotAt tackid.Revision
-		// fleetAt is the newest revision that changed the fleet, routedBy what
-		// the published routes were made from.
-		fleetAt  tackid.Revision
-		routedBy routeInputs
+		snapshotIndex tackid.Revision
+		// fleetRevision is the latest revision that changed the fleet. publishedInputs
+		// is what the published routes were built from.
+		fleetRevision   tackid.Revision
+		publishedInputs routeInputs
 	}
 
-	// StoppedError says that the VM cannot go on and what to do about it.
+	// StoppedError reports that the VM cannot continue, and what to do about it.
 	StoppedError struct {
 		What   string
 		Advice string
@@ -103,21 +102,21 @@
 	return fmt.Sprintf("%s: %v; %s", e.What, e.Err, e.Advice)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *StoppedError) Unwrap() error {
 	return e.Err
 }
 
-// New makes a VM by its settings and reads its data folder. Nothing runs and
-// no port is taken until Run.
+// New returns a VM with the given settings and reads its data folder. It starts nothing
+// and opens no port; Run does.
 func New(cfg tacksettings.Settings, clock *tackclock.Clock, logger *logrus.Logger) (*VM, error) {
 	v := &VM{
-		cfg:      cfg,
-		clock:    clock,
-		log:      logger.WithField("vm", string(cfg.VM.ID)),
-		registry: metrics.NewRegistry(),
-		loop:     tackloop.New(eventQueue),
-		broken:   make(chan struct{}),
+		cfg:          cfg,
+		clock:        clock,
+		log:          logger.WithField("vm", string(cfg.VM.ID)),
+		registry:     metrics.NewRegistry(),
+		loop:         tackloop.New(eventQueueSize),
+		failedSignal: make(chan struct{}),
 	}
 	v.gauges = newGauges(v.registry)
 	v.meter.clock = clock
@@ -129,14 +128,14 @@
 		return nil, err
 	}
 	v.connect(logger)
-	v.duties.planner = &tackwave.Planner{}
+	v.reconciler.planner = &tackwave.Planner{}
 	v.publishRoutes(clock.Now())
 	v.caller = v.newCaller(logger)
 	v.startSharing(clock.Now(), v.configuredMembers())
 	return v, nil
 }
 
-// Registry returns the VM's metrics.
+// Registry returns the registry of the VM's metrics.
 func (v *VM) Registry() metrics.Registry {
 	return v.registry
 }
@@ -157,9 +156,8 @@
 	return stored, nil
 }
 
-// restore rebuilds the state from what the disk held. Entries after the
-// snapshot are applied again by the loop once the log says that they are
-// committed.
+// restore rebuilds the state from what was read from the disk. The loop applies the
+// entries after the snapshot again once the log reports them committed.
 func (v *VM) restore(stored tackreplica.Stored) error {
 	if len(stored.Snapshot.Data) > 0 {
 		if err := v.state.Restore(stored.Snapshot.Data); err != nil {
@@ -174,7 +172,7 @@
 			Term:  stored.Snapshot.Term,
 			Time:  stored.Snapshot.Time,
 		}
-		v.snapshotAt = stored.Snapshot.Index
+		v.snapshotIndex = stored.Snapshot.Index
 	}
 	v.node = tackreplica.New(tackreplica.Config{
 		Self:      v.cfg.VM.ID,
@@ -188,10 +186,10 @@
 	return nil
 }
 
-// configuredMembers returns the members that the settings name. They have no
-// addresses: those are each VM's own settings, and the log holds one only for
-// a member that was added later. With the addresses in it, every VM would go
-// by those in the settings of whichever VM led first.
+// configuredMembers returns the members listed in the settings, without addresses.
+// Addresses belong to each VM's own settings; the log holds one only for a member that
+// was added later. If the log held them all, every VM would use the addresses in the
+// settings of the first leader.
 func (v *VM) configuredMembers() []tackreplica.Member {
 	members := []tackreplica.Member{{
 		Peer:       v.cfg.VM.ID,
@@ -232,8 +230,8 @@
 	}
 }
 
-// linkPeers returns the members other than this VM with their addresses: the
-// log's for one that was added, the settings' for the others.
+// linkPeers returns the other members with their addresses. The address of a member that
+// was added later comes from the log, that of the others from the settings.
 func (v *VM) linkPeers(members []tackreplica.Member) []tackpeer.Peer {
 	configured := make(map[tackid.Peer]string)
 	for _, p := range v.cfg.Peers {
--- a/io/tackvm/vm_test.go
+++ b/io/tackvm/vm_test.go
@@ -13,8 +13,7 @@
 	"go.uber.org/goleak"
 )
 
-// newVM makes a VM that is the only one of its system, on ports that the
-// kernel picks.
+// newVM returns a VM that is the only one of its system, on ports picked by the kernel.
 func newVM(t *testing.T) *VM {
 	t.Helper()
 	cfg := tacksettings.Default()
@@ -38,25 +37,23 @@
 		t.Fatalf("got %v, want a *StoppedError", err)
 	}
 	if stopped.Advice == "" {
-		t.Errorf("%v says nothing of what to do", stopped)
+		t.Errorf("%v contains no advice", stopped)
 	}
 }
 
-// Symptom: a VM answers its ports and takes part in nothing.
-// Sequence: the goroutine that owns the log panics.
-// Cause: a supervisor that starts only this service again, without the state
-// that it owned; Run must end so that the process does.
+// Run must return when the goroutine that owns the log panics, so that the process
+// exits. If the supervisor restarted only that goroutine, without its state, the VM
+// would serve its ports but take no part in the system.
 func TestPanicInTheLogEndsTheVM(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	v := newVM(t)
-	v.loop.Post(t.Context(), func() { panic("what must not happen") })
+	v.loop.Post(t.Context(), func() { panic("test") })
 	assertStopped(t, v.Run(context.Background()))
 }
 
-// Symptom: a VM whose disk fails goes on answering, and forgets what it
-// answered at the next start.
-// Sequence: the disk is closed under the VM, so that every write fails.
-// Cause: an error of the disk that is logged and passed over.
+// Run must return when the disk fails; here the disk is closed while the VM uses it, so
+// that every write fails. If disk errors were only logged, the VM would lose
+// acknowledged writes at the next start.
 func TestFailedDiskEndsTheVM(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	v := newVM(t)
@@ -64,9 +61,8 @@
 	assertStopped(t, v.Run(context.Background()))
 }
 
-// Symptom: a process that was asked to stop stays.
-// Sequence: Run is ended while it serves.
-// Cause: a goroutine that waits for another which is gone.
+// Run must end all its goroutines when ctx is done. A goroutine that waits for another
+// one which has already ended would keep a stopping process running.
 func TestStopLeavesNothingRunning(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	v := newVM(t)
