--- a/io/tackserve/advice.go
+++ b/io/tackserve/advice.go
@@ -5,9 +5,9 @@
 	"syscall"
 )
 
-// advices says what an operator can do about an error of the operating
-// system. Other errors say so themselves.
-var advices = []struct {
+// osAdvice lists what an operator can do about errors of the operating system. Other
+// errors contain their own advice.
+var osAdvice = []struct {
 	cause  error
 	advice string
 }{
@@ -19,9 +19,9 @@
 	{syscall.ENOTDIR, "give a folder as state.folder"},
 }
 
-// advice returns what to do about err, or the empty text where err says it.
+// advice returns what to do about err, or an empty string if err itself says so.
 func advice(err error) string {
-	for _, a := range advices {
+	for _, a := range osAdvice {
 		if errors.Is(err, a.cause) {
 			return a.advice
 		}
--- a/io/tackserve/serve.go
+++ b/io/tackserve/serve.go
@@ -1,5 +1,5 @@
-// Package tackserve is the daemon's command line: it checks the settings,
-// runs one VM of the system and turns signals into a graceful stop.
+// Package tackserve implements the daemon's command line. It checks the settings, runs
+// one VM of the system and stops it gracefully on signals.
 package tackserve
 
 import (
@@ -19,32 +19,31 @@
 )
 
 const (
-	exitDone  = 0
-	exitFail  = 1
-	exitUsage = 2
+	exitOK      = 0
+	exitFailure = 1
+	exitUsage   = 2
 )
 
 type (
-	// Run serves by cfg until ctx ends and then stops gracefully.
+	// Run serves with the settings cfg until ctx is done and then stops gracefully.
 	Run func(ctx context.Context, cfg tacksettings.Settings, log *logrus.Logger) error
 
-	// Daemon is the command line of auburntackd. Its fields are what it needs
-	// of the process; Stdout and Stderr must be set.
+	// Daemon is the command line of auburntackd. Its fields are the process's resources;
+	// Stdout and Stderr must be set.
 	Daemon struct {
 		Stdout  io.Writer
 		Stderr  io.Writer
-		Signals <-chan os.Signal // each asks to stop, the second at once
+		Signals <-chan os.Signal // the first one requests a graceful stop, the second an immediate one
 		Run     Run
-		// More are further commands, of programs that serve otherwise.
+		// More holds additional commands, such as other ways to serve.
 		More []*cobra.Command
 
-		// after returns a channel that gets a value after d; nil counts by
-		// the machine's clock.
+		// after returns a channel that receives a value after d; nil means time.After.
 		after func(d time.Duration) <-chan time.Time
 	}
 
-	// exitError carries an exit code out of a command that has already said
-	// what there is to say.
+	// exitError carries an exit code out of a command that has already printed its
+	// messages.
 	exitError struct {
 		code int
 	}
@@ -55,13 +54,13 @@
 	return fmt.Sprintf("exit code %d", e.code)
 }
 
-// Main runs the command that args name and returns the exit code.
+// Main runs the command given by args and returns the exit code.
 func (d *Daemon) Main(args []string) int {
 	root := d.command()
 	root.SetArgs(args)
 	err := root.ExecuteContext(context.Background())
 	if err == nil {
-		return exitDone
+		return exitOK
 	}
 	var exit *exitError
 	if errors.As(err, &exit) {
@@ -96,7 +95,7 @@
 		Args:    cobra.NoArgs,
 		RunE:    func(*cobra.Command, []string) error { return d.serve(file) },
 	}
-	requireConfig(c, &file)
+	addConfigFlag(c, &file)
 	return c
 }
 
@@ -113,7 +112,7 @@
 			return err
 		},
 	}
-	requireConfig(c, &file)
+	addConfigFlag(c, &file)
 	return c
 }
 
@@ -137,14 +136,14 @@
 	}
 }
 
-func requireConfig(c *cobra.Command, file *string) {
+func addConfigFlag(c *cobra.Command, file *string) {
 	c.Flags().StringVar(file, "config", "", "settings file (INI)")
 	if err := c.MarkFlagRequired("config"); err != nil {
-		panic(err) // the flag was defined on the line before
+		panic(err) // the flag is defined above
 	}
 }
 
-// load reads the settings and prints what is wrong with them to w.
+// load reads the settings and writes their problems to w.
 func (d *Daemon) load(file string, w io.Writer) (tacksettings.Settings, error) {
 	cfg, err := tacksettings.Load(file)
 	if err != nil {
@@ -166,7 +165,7 @@
 	go func() { ended <- d.Run(ctx, cfg, log) }()
 	select {
 	case err := <-ended:
-		return d.endedByItself(log, err)
+		return d.unexpectedEnd(log, err)
 	case s := <-d.Signals:
 		log.WithField("signal", s.String()).Info("stopping")
 		cancel()
@@ -174,23 +173,22 @@
 	return d.awaitStop(cfg, log, ended)
 }
 
-// endedByItself reports a Run that came back without being asked to.
-func (d *Daemon) endedByItself(log *logrus.Logger, err error) error {
+// unexpectedEnd logs that Run returned without a stop request.
+func (d *Daemon) unexpectedEnd(log *logrus.Logger, err error) error {
 	if err == nil {
-		err = errors.New("the daemon ended without being asked to")
+		err = errors.New("the daemon ended without a stop request")
 	}
 	entry := logrus.NewEntry(log)
 	if a := advice(err); a != "" {
 		entry = entry.WithField("advice", a)
 	}
-	entry.Errorf("cannot go on: %v", err)
-	return &exitError{code: exitFail}
+	entry.Errorf("cannot continue: %v", err)
+	return &exitError{code: exitFailure}
 }
 
-// awaitStop waits for the graceful stop. A stop that hangs, on a caller that
-// reads its answer too slowly or on a disk that no longer answers, would
-// keep the VM from being rebooted for ever; the deadline and the second
-// signal end it.
+// awaitStop waits for the graceful stop. A stop can hang on a caller that reads its
+// answer too slowly or on a disk that no longer responds, which would keep the VM from
+// ever being rebooted; so the deadline or a second signal ends it.
 func (d *Daemon) awaitStop(cfg tacksettings.Settings, log *logrus.Logger, ended <-chan error) error {
 	deadline := d.deadline(cfg.Stop.Deadline.Std())
 	select {
@@ -200,11 +198,11 @@
 		}
 		log.Errorf("stop failed: %v", err)
 	case s := <-d.Signals:
-		log.WithField("signal", s.String()).Error("stopped at once by a second signal; work may have been cut")
+		log.WithField("signal", s.String()).Error("stopped at once by a second signal; work may have been interrupted")
 	case <-deadline:
-		log.WithField("deadline", cfg.Stop.Deadline.String()).Error("stopped by the deadline; work may have been cut")
+		log.WithField("deadline", cfg.Stop.Deadline.String()).Error("stopped by the deadline; work may have been interrupted")
 	}
-	return &exitError{code: exitFail}
+	return &exitError{code: exitFailure}
 }
 
 func (d *Daemon) deadline(limit time.Duration) <-chan time.Time {
--- a/io/tackserve/serve_test.go
+++ b/io/tackserve/serve_test.go
@@ -27,8 +27,8 @@
 peer = 127.0.0.1:7002
 `
 
-// vm stands in for a running VM of the system: it serves until its context
-// ends, and then comes back with err once release is closed.
+// vm is a fake VM: its run method waits for the end of its context, then returns err
+// once release is closed.
 type vm struct {
 	stopping chan struct{}
 	release  chan struct{}
@@ -46,12 +46,10 @@
 	return v.err
 }
 
-// Symptom: the platform reboots a VM in the midst of requests, or waits for
-// one for ever.
-// Sequence: SIGTERM comes; the VM drains and ends well, ends badly, or hangs
-// until a second signal or the deadline.
-// Cause: a stop that reports success whatever became of the work, or one
-// that nothing bounds.
+// After SIGTERM the exit code must tell whether the VM drained, and a stop that hangs
+// must be ended by a second signal or the deadline. If a failed stop reports success,
+// the platform reboots the VM while requests are in flight; if nothing bounds a stop,
+// the platform waits for ever.
 func TestServeStops(t *testing.T) {
 	tests := []struct {
 		name    string
