--- a/io/tackoperator/server.go
+++ b/io/tackoperator/server.go
@@ -1,6 +1,6 @@
-// Package tackoperator serves the operators' port: queries and commands of
-// operators, announcements of backend servers and workers, health for the
-// balancer and metrics.
+// Package tackoperator serves the operators' port: queries and commands of operators,
+// announcements of backend servers and workers, health checks of the load balancer, and
+// metrics.
 package tackoperator
 
 import (
@@ -41,7 +41,7 @@
 )
 
 type (
-	// System is the VM behind the port.
+	// System is the VM that handles the requests of the port.
 	System interface {
 		Do(ctx context.Context, c Command) (Done, error)
 		Ask(ctx context.Context, text string) (Answer, error)
@@ -51,29 +51,30 @@
 		Burn() tackburn.Report
 	}
 
-	// Command is one command as an operator sent it.
+	// Command is a command as sent by an operator. An empty ID or a zero Expect means
+	// that the operator gave none.
 	Command struct {
 		Text   string
 		ID     tackid.CommandID
 		Expect tackid.Revision
 	}
 
-	// Done tells that a command was accepted at Revision and is in force,
-	// but on the peers that lost their lease before they took it up.
+	// Done is the result of a command that was accepted at Revision. It is in force on
+	// all peers but those in NotInForce, which lost their lease before they applied it.
 	Done struct {
 		Revision   tackid.Revision
 		NotInForce []tackid.Peer
 	}
 
-	// Answer is the answer to a query. Confirmed is false where the VM can't
-	// be sure that it knows the newest.
+	// Answer is the answer to a query. Confirmed is false if the VM cannot be sure that
+	// its state is up to date.
 	Answer struct {
 		Confirmed bool
 		Revision  tackid.Revision
 		Table     tackquery.Table
 	}
 
-	// Health is how the VM stands, for the balancer and for people.
+	// Health is the status of the VM, for the load balancer and for operators.
 	Health struct {
 		Ready    bool            `json:"ready"`
 		Leased   bool            `json:"leased"`
@@ -83,13 +84,13 @@
 		Reason   string          `json:"reason,omitempty"`
 	}
 
-	// NotRunError says that nothing was done and when to come again.
+	// NotRunError reports that nothing was done, and when to retry.
 	NotRunError struct {
 		Reason     string
 		RetryAfter tackclock.Duration
 	}
 
-	// UnknownError says that the command was sent and no outcome came back.
+	// UnknownError reports that the command was sent and no outcome arrived.
 	UnknownError struct {
 		Err error
 	}
@@ -149,12 +150,13 @@
 	return fmt.Sprintf("operator: outcome unknown: %v", e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *UnknownError) Unwrap() error {
 	return e.Err
 }
 
-// NewServer returns a server of the operators' port for the system.
+// NewServer returns an HTTP server of the operators' port that passes requests to
+// system.
 func NewServer(system System, registry metrics.Registry, log *logrus.Entry) *http.Server {
 	s := &server{system: system, registry: registry, log: log}
 	mux := http.NewServeMux()
@@ -301,7 +303,7 @@
 	return false
 }
 
-// jsonKind names in JSON's words what a field must be.
+// jsonKind returns the name of the JSON type that fits a Go kind.
 func jsonKind(k reflect.Kind) string {
 	switch k {
 	case reflect.String:
@@ -334,7 +336,8 @@
 	})
 }
 
-// writeFailure answers with the status that the contract gives for err.
+// writeFailure writes the response for err, with the status and the error code that the
+// HTTP API defines for it.
 func writeFailure(w http.ResponseWriter, err error) {
 	var syntax *tackcommand.SyntaxError
 	var missing *tackquery.NotFoundError
--- a/io/tackoperator/server_test.go
+++ b/io/tackoperator/server_test.go
@@ -22,7 +22,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// fakeSystem answers every command with err, or accepts it.
+// fakeSystem returns err for every command, or accepts it if err is nil.
 type fakeSystem struct {
 	err   error
 	got   Command
@@ -63,10 +63,9 @@
 	return httptest.NewRequest(http.MethodPost, path, strings.NewReader(body))
 }
 
-// Symptom: an operator sends a command again that was refused for good, or
-// gives up one that may have taken effect.
-// Sequence: the system fails in one of its ways.
-// Cause: an error that falls through to another status than its own.
+// Each way in which a command can fail must have its own status and code. If an error is
+// reported with the status of another, operators repeat a command that was refused for
+// good, or give up on one that may have been executed.
 func TestDoTellsFailuresApart(t *testing.T) {
 	_, syntax := tackcommand.Parse("crate pool p")
 	tests := []struct {
