--- a/io/tacksettings/nearest.go
+++ b/io/tacksettings/nearest.go
@@ -2,9 +2,9 @@
 
 import "strings"
 
-// nearest returns the one of names that is the fewest edits away from name,
-// if it is near enough to be what was meant: within a third of its length and
-// one edit. Upper and lower case are the same.
+// nearest returns the element of names with the smallest edit distance to name. The
+// distance must be at most a third of the length of name plus one; otherwise there is no
+// match. Case is ignored.
 func nearest(name string, names []string) (string, bool) {
 	best, found := "", false
 	least := len(name)/3 + 2
@@ -16,7 +16,7 @@
 	return best, found
 }
 
-// editDistance counts the bytes to insert, delete or replace to turn a into
+// editDistance returns the number of bytes to insert, delete or replace to turn a into
 // b.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
--- a/io/tacksettings/page.go
+++ b/io/tacksettings/page.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// pageHead opens the page of settings.
+// pageHead is the start of the page of settings.
 const pageHead = `# Settings
 
 Generated from the table in io/tacksettings by ` + "`go test ./io/tacksettings -update`" + `; don't edit by hand.
@@ -23,7 +23,7 @@
 even number tolerates no more losses than the odd one below it, and with 1 or 2 the loss of one stops every change.
 `
 
-// pageTail closes the page.
+// pageTail is the end of the page of settings.
 const pageTail = `
 ## What must fit together
 
@@ -35,8 +35,8 @@
 - ` + "`stop.linger_ms`" + ` is below ` + "`stop.deadline_ms`" + `.
 `
 
-// WritePage writes every setting with its unit, default and range, in
-// Markdown. docs/SETTINGS.md is this page.
+// WritePage writes all settings with unit, default and range in Markdown.
+// docs/SETTINGS.md is generated from it.
 func WritePage(w io.Writer) error {
 	var b strings.Builder
 	b.WriteString(pageHead)
@@ -45,7 +45,7 @@
 		e := &table[i]
 		if e.section != section {
 			section = e.section
-			fmt.Fprintf(&b, "\n## [%s]\n\n| key | unit | default | allowed | what it does |\n| --- | --- | --- | --- | --- |\n", title(section))
+			fmt.Fprintf(&b, "\n## [%s]\n\n| key | unit | default | allowed | what it does |\n| --- | --- | --- | --- | --- |\n", sectionTitle(section))
 		}
 		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", e.key, e.unit(), e.defaultText(), e.rangeText(), e.doc)
 	}
@@ -69,12 +69,12 @@
 
 func (e *entry) defaultText() string {
 	switch {
-	case e.must:
+	case e.required:
 		return "must be given"
-	case e.initial == "":
+	case e.defaultValue == "":
 		return "left out"
 	default:
-		return "`" + e.initial + "`"
+		return "`" + e.defaultValue + "`"
 	}
 }
 
--- a/io/tacksettings/problem.go
+++ b/io/tacksettings/problem.go
@@ -6,8 +6,8 @@
 )
 
 type (
-	// Problem is one thing wrong with a file of settings. Key is empty where
-	// a whole section is meant, Section too where the file is.
+	// Problem is one problem in a settings file. Key is empty if the problem concerns a
+	// whole section, Section as well if it concerns the whole file.
 	Problem struct {
 		Section string
 		Key     string
@@ -15,15 +15,14 @@
 		Allowed string
 	}
 
-	// ProblemsError lists everything that is wrong with File.
+	// ProblemsError lists all problems in File.
 	ProblemsError struct {
 		File     string
 		Problems []Problem
 	}
 )
 
-// String returns the problem as "section.key: what is wrong, what is
-// allowed".
+// String returns the problem as "section.key: problem, allowed values".
 func (p Problem) String() string {
 	text := p.Problem
 	if p.Allowed != "" {
@@ -39,7 +38,8 @@
 	}
 }
 
-// Error implements error, one line a problem, each headed by the file.
+// Error implements error. It returns one line per problem, each starting with the name
+// of the file.
 func (e *ProblemsError) Error() string {
 	lines := make([]string, len(e.Problems))
 	for i, p := range e.Problems {
--- a/io/tacksettings/reader.go
+++ b/io/tacksettings/reader.go
@@ -14,16 +14,18 @@
 )
 
 type (
-	// reader collects settings and the problems met on the way.
+	// reader collects the settings and the problems found while reading them.
 	reader struct {
 		settings Settings
 		problems []Problem
-		// only are the sections that the file may hold; empty is all.
-		only []string
+		// allowedSections lists the sections that the file may hold; if it is empty, all
+		// are allowed.
+		allowedSections []string
 	}
 
-	// member is what a section of a family gives, in the field of its family.
-	member struct {
+	// familySection holds the values of one section of a family, in the field for that
+	// family.
+	familySection struct {
 		peer   Peer
 		window Window
 	}
@@ -33,11 +35,11 @@
 	r.problems = append(r.problems, Problem{Section: section, Key: key, Problem: problem, Allowed: allowed})
 }
 
-// read parses file.
+// read reads and parses file.
 func (r *reader) read(file string) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		r.addUnreadable(err)
+		r.addReadError(err)
 		return
 	}
 	f, err := parseINI(data, false)
@@ -55,16 +57,16 @@
 		seen[s.Name()] = true
 		r.readSection(s)
 	}
-	if len(r.only) == 0 {
+	if len(r.allowedSections) == 0 {
 		r.addMissingSections(seen)
 	}
 }
 
-// parseINI parses data. The library by itself passes over a key given twice,
-// a section given twice and keys above the first section, and stops at the
-// first line without '='; a setting that an operator believes to be in force
-// would then not be. These options keep all of them to be reported. With
-// skipBare a line without '=' is left out instead of kept as a key.
+// parseINI parses data. By default, the library ignores repeated keys, repeated sections
+// and keys above the first section, and stops at the first line without '='; an operator
+// could then believe a setting to be in force that is not. The options used here keep
+// all of them, so that they can be reported. If skipBare is set, a line without '=' is
+// left out instead of being kept as a key.
 func parseINI(data []byte, skipBare bool) (*ini.File, error) {
 	return ini.LoadSources(ini.LoadOptions{
 		AllowBooleanKeys:           !skipBare,
@@ -79,8 +81,8 @@
 	}, data)
 }
 
-// addBareKeys reports the lines that have no '='. The library reads such a
-// key as true, so that "replica" alone would make a VM vote.
+// addBareKeys reports lines without '='. The library reads such a key as true, so that
+// "replica" alone would make a VM vote.
 func (r *reader) addBareKeys(f *ini.File, data []byte) {
 	without, err := parseINI(data, true)
 	if err != nil {
@@ -96,13 +98,13 @@
 	}
 }
 
-// hasOwnKey reports whether s itself has the key. The library's HasKey also
-// looks in the section whose name s continues.
+// hasOwnKey reports whether s itself has the key. The library's HasKey also searches the
+// parent sections of s.
 func hasOwnKey(s *ini.Section, key string) bool {
 	return slices.Contains(s.KeyStrings(), key)
 }
 
-// sectionName returns the name of s, empty for what stands above the first
+// sectionName returns the name of s, or an empty string for the keys above the first
 // section.
 func sectionName(s *ini.Section) string {
 	if s.Name() == ini.DefaultSection {
@@ -111,7 +113,7 @@
 	return s.Name()
 }
 
-func (r *reader) addUnreadable(err error) {
+func (r *reader) addReadError(err error) {
 	var path *fs.PathError
 	if errors.As(err, &path) {
 		err = path.Err
@@ -127,29 +129,29 @@
 		}
 		return
 	}
-	if len(r.only) > 0 && !slices.Contains(r.only, name) {
-		r.add(name, "", "the section has no place here", "allowed are "+strings.Join(r.only, ", "))
+	if len(r.allowedSections) > 0 && !slices.Contains(r.allowedSections, name) {
+		r.add(name, "", "the section has no place here", "allowed are "+strings.Join(r.allowedSections, ", "))
 		return
 	}
-	family, id, isMember := strings.Cut(name, ".")
-	if isMember && isFamily(family) {
-		r.readMember(s, family, id)
+	family, id, hasID := strings.Cut(name, ".")
+	if hasID && isFamily(family) {
+		r.readFamilySection(s, family, id)
 		return
 	}
-	if len(entriesOf(name)) == 0 || isFamily(name) {
+	if len(sectionEntries(name)) == 0 || isFamily(name) {
 		r.addUnknownSection(name)
 		return
 	}
 	r.readKeys(s, name, nil)
 }
 
-// readMember reads one of the sections of a family.
-func (r *reader) readMember(s *ini.Section, family, id string) {
+// readFamilySection reads a section of a family.
+func (r *reader) readFamilySection(s *ini.Section, family, id string) {
 	if err := checkName(id); err != nil {
 		e := entry{kind: kindName}
 		r.add(s.Name(), "", err.Error(), e.allowed())
 	}
-	m := member{peer: Peer{ID: tackid.Peer(id)}, window: Window{Label: id}}
+	m := familySection{peer: Peer{ID: tackid.Peer(id)}, window: Window{Label: id}}
 	r.readKeys(s, family, &m)
 	if family == familyPeer {
 		r.settings.Peers = append(r.settings.Peers, m.peer)
@@ -158,20 +160,20 @@
 	}
 }
 
-// fine reports whether no problem with the keys of section was met so far.
-func (r *reader) fine(section string, keys ...string) bool {
+// valid reports whether no problem was found with the keys of section so far.
+func (r *reader) valid(section string, keys ...string) bool {
 	return !slices.ContainsFunc(r.problems, func(p Problem) bool {
 		return p.Section == section && slices.Contains(keys, p.Key)
 	})
 }
 
-// readKeys reads the keys of s by the table's entries for section.
-func (r *reader) readKeys(s *ini.Section, section string, m *member) {
-	entries := entriesOf(section)
+// readKeys reads the keys of s as described by the table's entries for section.
+func (r *reader) readKeys(s *ini.Section, section string, m *familySection) {
+	entries := sectionEntries(section)
 	given := make(map[string]bool)
 	for _, k := range s.Keys() {
 		given[k.Name()] = true
-		e := find(entries, k.Name())
+		e := findEntry(entries, k.Name())
 		if e == nil {
 			r.addUnknownKey(s.Name(), k.Name(), entries)
 			continue
@@ -180,7 +182,7 @@
 			r.add(s.Name(), k.Name(), "the key is given twice", "allowed is once")
 			continue
 		}
-		if !r.fine(s.Name(), k.Name()) {
+		if !r.valid(s.Name(), k.Name()) {
 			continue
 		}
 		if err := e.parse(k.Value(), e.field(&r.settings, m)); err != nil {
@@ -188,7 +190,7 @@
 		}
 	}
 	for _, e := range entries {
-		if e.must && !given[e.key] {
+		if e.required && !given[e.key] {
 			r.add(s.Name(), e.key, "the key is missing", e.allowed())
 		}
 	}
@@ -202,10 +204,11 @@
 	r.add(name, "", problem, "allowed are "+strings.Join(sectionNames(), ", "))
 }
 
-// nearestSection compares the section of a family by the family's name alone.
+// nearestSection returns the known section whose name is nearest to name. The section of
+// a family is compared by the name of the family alone.
 func nearestSection(name string) (string, bool) {
-	family, id, isMember := strings.Cut(name, ".")
-	if !isMember {
+	family, id, hasID := strings.Cut(name, ".")
+	if !hasID {
 		return nearest(name, sectionNames())
 	}
 	near, ok := nearest(family, []string{familyPeer, familyWindow})
@@ -224,18 +227,17 @@
 	r.add(section, key, problem, "allowed are "+strings.Join(names, ", "))
 }
 
-// addMissingSections reports the keys that must be given of sections that
-// are not there at all.
+// addMissingSections reports the required keys of sections that are missing altogether.
 func (r *reader) addMissingSections(seen map[string]bool) {
 	for i := range table {
 		e := &table[i]
-		if e.must && !isFamily(e.section) && !seen[e.section] {
+		if e.required && !isFamily(e.section) && !seen[e.section] {
 			r.add(e.section, e.key, "the key is missing", e.allowed())
 		}
 	}
 }
 
-func entriesOf(section string) []*entry {
+func sectionEntries(section string) []*entry {
 	var es []*entry
 	for i := range table {
 		if table[i].section == section {
@@ -245,7 +247,7 @@
 	return es
 }
 
-func find(es []*entry, key string) *entry {
+func findEntry(es []*entry, key string) *entry {
 	for _, e := range es {
 		if e.key == key {
 			return e
@@ -254,19 +256,20 @@
 	return nil
 }
 
-// sectionNames returns the titles of the sections in the order of the table.
+// sectionNames returns the titles of all sections in the order of the table.
 func sectionNames() []string {
 	var names []string
 	for i := range table {
-		if name := title(table[i].section); !slices.Contains(names, name) {
+		if name := sectionTitle(table[i].section); !slices.Contains(names, name) {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// title returns the name of a section as the page and the problems show it.
-func title(section string) string {
+// sectionTitle returns the name of a section as shown in the documentation and in
+// problems.
+func sectionTitle(section string) string {
 	switch section {
 	case familyPeer:
 		return familyPeer + ".ID"
--- a/io/tacksettings/settings.go
+++ b/io/tacksettings/settings.go
@@ -1,6 +1,6 @@
-// Package tacksettings reads the settings of one VM of the system from an
-// INI file. Every setting is typed and checked before the daemon opens
-// anything, and every problem is reported at once.
+// Package tacksettings reads the settings of one VM of the system from an INI file. All
+// settings are typed and validated before the daemon opens anything, and all problems
+// are reported at once.
 package tacksettings
 
 import (
@@ -9,22 +9,22 @@
 )
 
 const (
-	// PreferBuffer makes waves save buffer VMs at the cost of time.
+	// PreferBuffer makes waves use few buffer VMs at the cost of time.
 	PreferBuffer Preference = "buffer"
-	// PreferTime makes waves end early at the cost of buffer VMs.
+	// PreferTime makes waves finish early at the cost of buffer VMs.
 	PreferTime Preference = "time"
 )
 
 const (
-	// LogText writes a log line as key=value pairs.
+	// LogText writes log lines as key=value pairs.
 	LogText LogFormat = "text"
-	// LogJSON writes a log line as a JSON object.
+	// LogJSON writes log lines as JSON objects.
 	LogJSON LogFormat = "json"
 )
 
 type (
-	// Settings is all that a daemon is told by its file. Durations are in
-	// milliseconds, sizes in bytes. Default returns it with every default.
+	// Settings holds the settings of a daemon. Durations are in milliseconds, sizes in
+	// bytes. Default returns the default settings.
 	Settings struct {
 		VM       VM
 		Listen   Listen
@@ -41,21 +41,21 @@
 		Move     Move
 	}
 
-	// VM says which VM of the system this one is.
+	// VM identifies this VM among the VMs of the system.
 	VM struct {
 		ID         tackid.Peer
 		DataCentre tackid.DataCentre
 	}
 
-	// Listen holds the addresses to listen on, each an IP number with a port.
+	// Listen holds the addresses to listen on, each an IP address with a port.
 	Listen struct {
 		Caller   string
 		Operator string
 		Peer     string
 	}
 
-	// State says where the VM keeps what must survive it. Folder is empty on
-	// a VM without a disk; Replica says that the VM votes, which needs one.
+	// State describes the persistent storage of the VM. Folder is empty on a VM without
+	// a disk. Replica makes the VM a voting member, which requires a folder.
 	State struct {
 		Folder  string
 		Replica bool
@@ -69,18 +69,18 @@
 		Replica    bool
 	}
 
-	// Platform says where the platform answers. With an empty Address,
-	// maintenance is recorded and not carried out.
+	// Platform holds the address of the platform. If it is empty, maintenance is
+	// recorded but not carried out.
 	Platform struct {
 		Address string
 	}
 
-	// Preference is what a wave saves first.
+	// Preference is what a wave saves first: buffer VMs or time.
 	Preference string
 
-	// Wave holds the tunables of maintenance waves. NightEnds is empty where
-	// no hour binds. MaxLost is 0 for one in 50 of a wave's VMs, and negative
-	// for none.
+	// Wave holds the tunables of maintenance waves. NightEnds is empty if waves need not
+	// end by a time of day. MaxLost is 0 for one in 50 of a wave's VMs, and negative for
+	// none.
 	Wave struct {
 		Settle         tackclock.Duration
 		DrainLimit     tackclock.Duration
@@ -92,31 +92,31 @@
 		MaxLost        int
 	}
 
-	// Stop holds the times of a graceful stop.
+	// Stop holds the timing of a graceful stop.
 	Stop struct {
 		Linger   tackclock.Duration
 		Deadline tackclock.Duration
 	}
 
-	// LogFormat is the form of a log line.
+	// LogFormat is the format of log lines.
 	LogFormat string
 
-	// Log says what is logged and how. Level is a logrus level's name.
+	// Log configures logging. Level is the name of a logrus level.
 	Log struct {
 		Level     string
 		Format    LogFormat
 		Profiling bool
 	}
 
-	// Replica holds the times of the replicated log.
+	// Replica holds the timing of the replicated log.
 	Replica struct {
 		Heartbeat tackclock.Duration
 		Election  tackclock.Duration
 		Lease     tackclock.Duration
 	}
 
-	// Caller bounds what one request and all requests together may take.
-	// Limits are in bytes, QueueLimit in requests a service.
+	// Caller limits the resources of one request and of all requests together. Limits
+	// are in bytes, except for QueueLimit, which is in requests per service.
 	Caller struct {
 		BodyLimit      int64
 		BufferLimit    int64
@@ -148,45 +148,45 @@
 		KeepPercent     int
 	}
 
-	// Burn holds the service-level objective, the percentage of requests
-	// that must be answered well and on time, and the windows for which
-	// requests are counted besides.
+	// Burn holds the service-level objective, which is the percentage of requests that
+	// must succeed on time, and the windows for which requests are also counted
+	// separately.
 	Burn struct {
 		Objective float64
 		Windows   []Window
 	}
 )
 
-// Default returns the settings with every default and nothing else.
+// Default returns settings that hold all defaults and nothing else.
 func Default() Settings {
 	var s Settings
 	for i := range table {
 		e := &table[i]
-		if !isFamily(e.section) && e.initial != "" {
-			_ = e.parse(e.initial, e.field(&s, nil)) // a test holds that every default parses
+		if !isFamily(e.section) && e.defaultValue != "" {
+			_ = e.parse(e.defaultValue, e.field(&s, nil)) // a test checks that every default parses
 		}
 	}
 	return s
 }
 
-// Load reads and checks file. The error is a *ProblemsError that lists every
-// problem found.
+// Load reads and validates file. The error is a *ProblemsError that lists every problem
+// found.
 func Load(file string) (Settings, error) {
 	r := reader{settings: Default()}
 	r.read(file)
-	r.checkTogether()
+	r.checkCombinations()
 	if len(r.problems) > 0 {
 		return Settings{}, &ProblemsError{File: file, Problems: r.problems}
 	}
 	return r.settings, nil
 }
 
-// LoadTunables reads a file that holds no more than the sections [job], [move]
-// and [log], for a VM that is told all else by its platform; an empty name is a
-// file with nothing in it. Log lines are JSON there unless it says otherwise. The
-// error is a *ProblemsError that lists every problem found.
+// LoadTunables reads a file that may hold only the sections [job], [move] and [log], for
+// a VM that gets all other settings from its platform. An empty file name stands for an
+// empty file. Log lines are JSON unless the file says otherwise. The error is a
+// *ProblemsError that lists every problem found.
 func LoadTunables(file string) (Settings, error) {
-	r := reader{settings: Default(), only: []string{"job", "move", "log"}}
+	r := reader{settings: Default(), allowedSections: []string{"job", "move", "log"}}
 	r.settings.Log.Format = LogJSON
 	if file == "" {
 		return r.settings, nil
--- a/io/tacksettings/settings_test.go
+++ b/io/tacksettings/settings_test.go
@@ -61,20 +61,19 @@
 func TestEveryDefaultIsAllowed(t *testing.T) {
 	for i := range table {
 		e := &table[i]
-		if e.initial == "" {
+		if e.defaultValue == "" {
 			continue
 		}
-		if err := e.parse(e.initial, e.field(new(Settings), new(member))); err != nil {
+		if err := e.parse(e.defaultValue, e.field(new(Settings), new(familySection))); err != nil {
 			t.Errorf("%s.%s: %v, %s", e.section, e.key, err, e.allowed())
 		}
 	}
 }
 
-// Symptom: an operator mends one setting, restarts, and learns of the next
-// mistake, once a night; or a key given twice is silently the other one.
-// Sequence: a file with a mistake of every kind is loaded.
-// Cause: a check that stops at the first problem, and an INI reader that
-// passes over what it does not understand.
+// Load must report all problems of a file at once; the file has a mistake of every kind.
+// If the check stops at the first problem, an operator who corrects one finds the next
+// only at the next restart. If the INI library ignores what it does not understand, such
+// as a repeated key, the wrong value is used silently.
 func TestLoadListsEveryProblemAtOnce(t *testing.T) {
 	text := strings.Join([]string{
 		"stray = 1",
@@ -161,13 +160,13 @@
 	}
 }
 
-// assertProblems checks that err lists problems that begin as want, in that
-// order and no others, each line headed by the file.
+// assertProblems checks that err lists exactly the problems that start with want, in
+// this order, each preceded by the name of the file.
 func assertProblems(t *testing.T, file string, err error, want ...string) {
 	t.Helper()
 	var problems *ProblemsError
 	if !errors.As(err, &problems) {
-		t.Fatalf("error %v is no *ProblemsError", err)
+		t.Fatalf("got error %v, want a *ProblemsError", err)
 	}
 	lines := strings.Split(err.Error(), "\n")
 	for i, line := range lines {
--- a/io/tacksettings/together.go
+++ b/io/tacksettings/together.go
@@ -7,9 +7,9 @@
 	"auburntack/core/tackid"
 )
 
-// checkTogether reports settings that are fine each and wrong together. What
-// is not fine by itself is left out, as its problem is listed already.
-func (r *reader) checkTogether() {
+// checkCombinations reports settings that are valid individually but not in combination.
+// Settings with problems of their own are skipped, since those are already reported.
+func (r *reader) checkCombinations() {
 	r.checkReplica()
 	r.checkPeers()
 	r.checkListen()
@@ -17,10 +17,10 @@
 	r.checkStop()
 }
 
-// checkReplica refuses a voter without a folder: it would forget its vote at
-// a restart and could vote twice in one term, which gives two leaders.
+// checkReplica rejects a voter without a data folder. It would forget its vote at a
+// restart and could vote twice in one term, which could give two leaders.
 func (r *reader) checkReplica() {
-	if r.fine("state", "folder", "replica") && r.settings.State.Replica && r.settings.State.Folder == "" {
+	if r.valid("state", "folder", "replica") && r.settings.State.Replica && r.settings.State.Folder == "" {
 		r.add("state", "replica", "a replica needs a folder", "allowed is false, or a state.folder")
 	}
 }
@@ -66,12 +66,12 @@
 	return x.Addr() == y.Addr() || x.Addr().IsUnspecified() || y.Addr().IsUnspecified()
 }
 
-// checkTimes refuses a lease that outlasts an election: a leader on the far
-// side of a partition would still answer reads by its lease after another
-// leader was elected, and operators would see a setting revert.
+// checkTimes rejects a lease that is not shorter than the election timeout: a leader on
+// the wrong side of a network partition could still answer reads under its lease after
+// another leader was elected, and operators would see a setting revert.
 func (r *reader) checkTimes() {
 	t := r.settings.Replica
-	if !r.fine("replica", "lease_ms", "election_ms", "heartbeat_ms") {
+	if !r.valid("replica", "lease_ms", "election_ms", "heartbeat_ms") {
 		return
 	}
 	if t.Lease >= t.Election {
@@ -86,7 +86,7 @@
 
 func (r *reader) checkStop() {
 	s := r.settings.Stop
-	if r.fine("stop", "linger_ms", "deadline_ms") && s.Linger >= s.Deadline {
+	if r.valid("stop", "linger_ms", "deadline_ms") && s.Linger >= s.Deadline {
 		r.add("stop", "linger_ms", fmt.Sprintf("%d is not below deadline_ms, which is %d", s.Linger, s.Deadline),
 			"allowed is less than deadline_ms")
 	}
--- a/io/tacksettings/value.go
+++ b/io/tacksettings/value.go
@@ -12,14 +12,14 @@
 	"auburntack/core/tackid"
 )
 
-// longestName bounds the names that settings give, in bytes.
-const longestName = 64
+// maxNameLength is the maximum length of names in settings, in bytes.
+const maxNameLength = 64
 
-// allowed returns the range of e's values in words.
+// allowed returns a description of the values that e accepts.
 func (e *entry) allowed() string {
 	switch e.kind {
 	case kindName:
-		return fmt.Sprintf("allowed is a name of letters, digits, '-', '_' and '.', at most %d long", longestName)
+		return fmt.Sprintf("allowed is a name of letters, digits, '-', '_' and '.', at most %d long", maxNameLength)
 	case kindAddress:
 		return "allowed is an IP number with a port, such as 127.0.0.1:7000 or [::1]:7000"
 	case kindFolder:
@@ -41,8 +41,7 @@
 	}
 }
 
-// parse sets the field at target to what text says. The error says what is
-// wrong with the text.
+// parse stores the value of text in target. The error describes what is wrong with text.
 func (e *entry) parse(text string, target any) error {
 	switch e.kind {
 	case kindMillis, kindBytes, kindCount:
@@ -74,7 +73,7 @@
 	case *int:
 		*t = int(n)
 	default:
-		return fmt.Errorf("no integer fits %T", target)
+		return fmt.Errorf("cannot store an integer in %T", target)
 	}
 	return nil
 }
@@ -89,7 +88,7 @@
 	}
 	t, ok := target.(*float64)
 	if !ok {
-		return fmt.Errorf("no percentage fits %T", target)
+		return fmt.Errorf("cannot store a percentage in %T", target)
 	}
 	*t = x
 	return nil
@@ -98,7 +97,7 @@
 func parseBool(text string, target any) error {
 	t, ok := target.(*bool)
 	if !ok {
-		return fmt.Errorf("no bool fits %T", target)
+		return fmt.Errorf("cannot store a bool in %T", target)
 	}
 	switch text {
 	case "true":
@@ -111,8 +110,8 @@
 	return nil
 }
 
-// checkText reports what is wrong with the text of a setting that is kept as
-// text.
+// checkText returns an error if text is not a valid value for a setting that is stored
+// as text.
 func (e *entry) checkText(text string) error {
 	switch e.kind {
 	case kindName:
@@ -152,7 +151,7 @@
 	case *LogFormat:
 		*t = LogFormat(text)
 	default:
-		return fmt.Errorf("no text fits %T", target)
+		return fmt.Errorf("cannot store text in %T", target)
 	}
 	return nil
 }
@@ -161,7 +160,7 @@
 	if text == "" {
 		return errors.New("the name is empty")
 	}
-	if len(text) > longestName {
+	if len(text) > maxNameLength {
 		return fmt.Errorf("the name is %d long", len(text))
 	}
 	for _, r := range text {
@@ -176,9 +175,9 @@
 	return r < unicode.MaxASCII && (unicode.IsLetter(r) || unicode.IsDigit(r)) || strings.ContainsRune("-_.", r)
 }
 
-// checkAddress refuses host names. A name would be looked up at a moment when
-// the resolver may be cut off, and a VM that restarts in a partition would
-// then not find peers that it can reach.
+// checkAddress rejects host names. They would have to be resolved while the resolver may
+// be unreachable, so that a VM restarted during a network partition would not find peers
+// that it can reach.
 func checkAddress(text string) error {
 	a, err := netip.ParseAddrPort(text)
 	if err == nil && a.Port() == 0 {
--- a/io/tacksettings/window.go
+++ b/io/tacksettings/window.go
@@ -8,11 +8,12 @@
 )
 
 type (
-	// TimeOfDay is a time of day in UTC as HH:MM. The empty text is no time.
+	// TimeOfDay is a time of day in UTC as HH:MM. An empty string means that no time is
+	// set.
 	TimeOfDay string
 
-	// Window is a part of each day for which a label is counted, such as a
-	// prayer or a batch run. An empty Service stands for all.
+	// Window is a daily time window whose requests are counted under a label, such as
+	// the time of a prayer or a batch run. An empty Service stands for all services.
 	Window struct {
 		Label   string
 		Service tackid.Service
@@ -21,24 +22,25 @@
 	}
 )
 
-// Label returns the label of the first window that holds now for service,
-// or the empty text where none does.
+// Label returns the label of the first window that applies to service at now, or an
+// empty string if there is none.
 func (b Burn) Label(service tackid.Service, now tackclock.Time) string {
 	for _, w := range b.Windows {
-		if (w.Service == "" || w.Service == service) && w.holds(now) {
+		if (w.Service == "" || w.Service == service) && w.contains(now) {
 			return w.Label
 		}
 	}
 	return ""
 }
 
-// holds reports whether now is in the window: it closes before it opens next.
-func (w Window) holds(now tackclock.Time) bool {
+// contains reports whether now is in the window, which is the case if the window closes
+// before it next opens.
+func (w Window) contains(now tackclock.Time) bool {
 	return w.To.After(now) < w.From.After(now)
 }
 
-// After returns the first moment later than t at which it is d, or 0 where d
-// is no time.
+// After returns the first moment later than t at which the time of day is d, or 0 if d
+// is no valid time.
 func (d TimeOfDay) After(t tackclock.Time) tackclock.Time {
 	of, ok := d.sinceMidnight()
 	if !ok {
--- a/io/tacksettings/window_test.go
+++ b/io/tacksettings/window_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// at returns the time of day on one day in 2026.
+// at returns the moment with the given time of day on a fixed day in 2026.
 func at(t *testing.T, clock string) tackclock.Time {
 	t.Helper()
 	moment, err := time.Parse("2006-01-02 15:04", "2026-12-02 "+clock)
