--- a/io/tackhttp/answer.go
+++ b/io/tackhttp/answer.go
@@ -34,24 +34,25 @@
 	codeCallerGone     Code = "caller_gone"
 )
 
-// noRetryAfter leaves the Retry-After header out.
+// noRetryAfter means that no Retry-After header is sent.
 const noRetryAfter tackclock.Duration = 0
 
 type (
-	// Code names the reason of an answer that auburntack itself makes.
+	// Code is the reason of an answer that auburntack itself generates.
 	Code string
 
-	// failure is an answer that auburntack itself makes.
+	// failure is an answer that auburntack itself generates, as opposed to one
+	// of a backend server.
 	failure struct {
-		status     int
-		code       Code
-		message    string
-		didNotRun  bool
-		retryAfter tackclock.Duration
-		broke      bool // the backend server broke off while it ran the request
+		status        int
+		code          Code
+		message       string
+		didNotRun     bool
+		retryAfter    tackclock.Duration
+		backendFailed bool // the backend server closed the connection or stopped responding while it ran the request
 	}
 
-	// failureBody is a failure as JSON.
+	// failureBody is the JSON form of a failure.
 	failureBody struct {
 		Error failureDetail `json:"error"`
 	}
@@ -68,17 +69,17 @@
 	return string(f.code) + ": " + f.message
 }
 
-// refusal returns a failure of a request that surely did not run.
+// refusal returns a failure of a request that certainly did not run.
 func refusal(status int, code Code, message string, retryAfter tackclock.Duration) *failure {
 	return &failure{status: status, code: code, message: message, didNotRun: true, retryAfter: retryAfter}
 }
 
-// unknown returns a failure of a request that may have run.
-func unknown(status int, code Code, message string) *failure {
+// unknownOutcome returns a failure of a request that may have run.
+func unknownOutcome(status int, code Code, message string) *failure {
 	return &failure{status: status, code: code, message: message}
 }
 
-// outcome returns what the failure says of the request.
+// outcome returns the outcome of the request that the failure implies.
 func (f *failure) outcome() tackledger.Outcome {
 	if f.didNotRun {
 		return tackledger.OutcomeDidNotRun
@@ -86,11 +87,11 @@
 	return tackledger.OutcomeUnknown
 }
 
-// write sends the failure to the caller.
+// write writes the failure to the caller.
 func (f *failure) write(w http.ResponseWriter) {
 	body, err := json.Marshal(failureBody{failureDetail{f.code, f.message, f.didNotRun}})
 	if err != nil {
-		panic(err) // the type always encodes
+		panic(err) // failureBody can always be marshaled
 	}
 	h := w.Header()
 	h["Content-Type"] = []string{"application/json"}
@@ -103,8 +104,8 @@
 	w.Write(body)
 }
 
-// retryAfterOrDefault is never zero for the answers that must say when to come
-// back.
+// retryAfterOrDefault returns the time to wait before a retry. It is never zero
+// for a 429 or a 503, which must carry Retry-After.
 func (f *failure) retryAfterOrDefault() tackclock.Duration {
 	if f.retryAfter == noRetryAfter && (f.status == http.StatusTooManyRequests || f.status == http.StatusServiceUnavailable) {
 		return tackclock.Second
--- a/io/tackhttp/answers_test.go
+++ b/io/tackhttp/answers_test.go
@@ -16,12 +16,12 @@
 	"auburntack/core/tackretry"
 )
 
-// say answers each request with the text that answers gives for its number on
-// the connection, and closes after the last.
-func say(answers ...string) func(*script, int, net.Conn, *bufio.Reader) {
-	return func(s *script, _ int, c net.Conn, r *bufio.Reader) {
+// answerWith returns a handler that answers the requests of a connection with
+// the given texts, in order, and then closes it.
+func answerWith(answers ...string) func(*scriptedBackend, int, net.Conn, *bufio.Reader) {
+	return func(s *scriptedBackend, _ int, c net.Conn, r *bufio.Reader) {
 		for _, text := range answers {
-			if _, _, err := s.take(r); err != nil {
+			if _, _, err := s.readRequest(r); err != nil {
 				return
 			}
 			io.WriteString(c, text)
@@ -29,16 +29,16 @@
 	}
 }
 
-// silence takes each request and never answers.
-func silence(s *script, _ int, c net.Conn, r *bufio.Reader) {
+// neverAnswer reads requests and never answers.
+func neverAnswer(s *scriptedBackend, _ int, c net.Conn, r *bufio.Reader) {
 	for {
-		if _, _, err := s.take(r); err != nil {
+		if _, _, err := s.readRequest(r); err != nil {
 			return
 		}
 	}
 }
 
-const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 func TestAnswersComeBackWhole(t *testing.T) {
 	for name, test := range map[string]struct {
@@ -46,9 +46,9 @@
 		want           []string
 		never          string
 	}{
-		"informational first": {"GET", "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n" + ok,
+		"informational first": {"GET", "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n" + okAnswer,
 			[]string{"HTTP/1.1 103 Early Hints\r\n", "Link: </x>\r\n", "HTTP/1.1 200 OK\r\n", "\r\n\r\nok"}, ""},
-		"continue unasked": {"POST", "HTTP/1.1 100 Continue\r\n\r\n" + ok, []string{"HTTP/1.1 200 OK\r\n", "\r\n\r\nok"}, "100"},
+		"continue unasked": {"POST", "HTTP/1.1 100 Continue\r\n\r\n" + okAnswer, []string{"HTTP/1.1 200 OK\r\n", "\r\n\r\nok"}, "100"},
 		"trailers": {"GET", "HTTP/1.1 200 OK\r\nTrailer: Sum\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nSum: 7\r\nAuburntack-Outcome: x\r\n\r\n",
 			[]string{"Trailer: Sum\r\n", "2\r\nok\r\n0\r\nSum: 7\r\n\r\n"}, "Outcome: x"},
 		"head":       {"HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n", []string{"HTTP/1.1 200 OK\r\n", "Content-Length: 99\r\n"}, "Content-Type"},
@@ -62,7 +62,7 @@
 		"ends by close": {"GET", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nok", []string{"HTTP/1.1 200 OK\r\n", "Connection: close\r\n", "\r\n\r\nok"}, "chunked"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			backend := newScript(t, say(test.answer))
+			backend := newScriptedBackend(t, answerWith(test.answer))
 			e := newEntry(t, Config{}, backend.address)
 			got := exchange(t, e.address, request(test.method, "/names", "Content-Length: 0"))
 			assertContains(t, got, test.want...)
@@ -73,10 +73,9 @@
 	}
 }
 
-// Symptom: a caller takes half of an answer for all of it.
-// Sequence: the backend server breaks off, or breaks the framing, after the
-// answer's head has been passed on.
-// Cause: the answer was ended as a whole one is.
+// If the backend server closes the connection or violates the framing in the
+// middle of an answer, the caller must not receive a part of the answer that
+// looks complete.
 func TestBrokenAnswerIsCut(t *testing.T) {
 	large := strings.Repeat("x", 2*bufferSize)
 	for name, answer := range map[string]string{
@@ -86,7 +85,7 @@
 		"half a line": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			backend := newScript(t, say(answer))
+			backend := newScriptedBackend(t, answerWith(answer))
 			e := newEntry(t, Config{}, backend.address)
 			c, err := net.Dial("tcp", e.address)
 			if err != nil {
@@ -108,63 +107,60 @@
 	}
 }
 
-// Symptom: a caller gets an error, or waits for its whole timeout, though
-// other backend servers are well.
-// Sequence: a backend server accepts and stays silent, stops midway through a
-// short answer, breaks the framing or hangs up.
-// Cause: no bound on the wait for progress, or no second try.
+// If a backend server doesn't answer, stops in the middle of a short answer,
+// violates the framing or closes the connection, an idempotent request must be
+// retried on another one. Otherwise the caller gets an error or waits for its
+// whole timeout although other backend servers work.
 func TestIdempotentWorkIsRepeatedElsewhere(t *testing.T) {
-	for name, play := range map[string]func(*script, int, net.Conn, *bufio.Reader){
-		"silent": silence,
-		"silent midway": func(s *script, n int, c net.Conn, r *bufio.Reader) {
-			say(ok[:len(ok)-1])(s, n, c, r)
+	for name, handle := range map[string]func(*scriptedBackend, int, net.Conn, *bufio.Reader){
+		"silent": neverAnswer,
+		"silent midway": func(s *scriptedBackend, n int, c net.Conn, r *bufio.Reader) {
+			answerWith(okAnswer[:len(okAnswer)-1])(s, n, c, r)
 			io.Copy(io.Discard, r)
 		},
-		"short":           say(ok[:len(ok)-1]),
-		"hangs up":        say(""),
-		"broken framing":  say("HTTP/1.1 200 OK\r\nContent-Length: 2, 3\r\n\r\nok"),
-		"not HTTP":        say("hello\r\n\r\n"),
-		"unasked upgrade": say("HTTP/1.1 101 Switching Protocols\r\n\r\n"),
-		"refuses":         say("HTTP/1.1 503 Busy\r\nAuburntack-Outcome: did_not_run\r\nContent-Length: 0\r\n\r\n"),
+		"short":           answerWith(okAnswer[:len(okAnswer)-1]),
+		"hangs up":        answerWith(""),
+		"broken framing":  answerWith("HTTP/1.1 200 OK\r\nContent-Length: 2, 3\r\n\r\nok"),
+		"not HTTP":        answerWith("hello\r\n\r\n"),
+		"unasked upgrade": answerWith("HTTP/1.1 101 Switching Protocols\r\n\r\n"),
+		"refuses":         answerWith("HTTP/1.1 503 Busy\r\nAuburntack-Outcome: did_not_run\r\nContent-Length: 0\r\n\r\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			bad := newScript(t, play)
-			good := newScript(t, echo)
-			e := newEntry(t, Config{Limits: quick()}, bad.address, good.address)
+			bad := newScriptedBackend(t, handle)
+			good := newScriptedBackend(t, echo)
+			e := newEntry(t, Config{Limits: shortLimits()}, bad.address, good.address)
 			e.fillBudget()
 			for range 2 {
 				got := exchange(t, e.address, request("GET", "/names/x"))
 				assertContains(t, got, "HTTP/1.1 200 OK\r\n", "\r\n\r\nGET /names/x ")
 			}
-			if bad.runs() == 0 {
+			if bad.executions() == 0 {
 				t.Error("the bad backend server was not asked")
 			}
 		})
 	}
 }
 
-// Symptom: requests wait and fail for a while after a firewall was restarted,
-// though new connections work at once.
-// Sequence: all open connections to the backend servers go silent for good.
-// Cause: the second try used an open connection too, and each request found
-// the next silent one.
+// A retry must use a new connection. After a restart of a firewall had killed
+// all open connections, retries on open connections met the next dead one, and
+// requests kept failing although new connections worked.
 func TestSecondTryUsesNewConnection(t *testing.T) {
 	var lost atomic.Bool
-	loses := func(s *script, n int, c net.Conn, r *bufio.Reader) {
+	loses := func(s *scriptedBackend, n int, c net.Conn, r *bufio.Reader) {
 		for opened := lost.Load(); ; {
-			if _, _, err := s.take(r); err != nil {
+			if _, _, err := s.readRequest(r); err != nil {
 				return
 			}
 			if lost.Load() == opened {
-				io.WriteString(c, ok)
+				io.WriteString(c, okAnswer)
 			}
 		}
 	}
 	var addresses []string
 	for range 4 {
-		addresses = append(addresses, newScript(t, loses).address)
+		addresses = append(addresses, newScriptedBackend(t, loses).address)
 	}
-	e := newEntry(t, Config{Limits: quick()}, addresses...)
+	e := newEntry(t, Config{Limits: shortLimits()}, addresses...)
 	for range 8 {
 		exchange(t, e.address, request("GET", "/names"))
 	}
@@ -178,19 +174,18 @@
 	}
 }
 
-// Symptom: work that takes long is never answered, though it is done in time.
-// Sequence: the backend servers need more than half of the caller's time.
-// Cause: the request was given up for another try, again and again.
+// A request that needs more than half of the caller's timeout must not be
+// abandoned for retries until none of them can succeed.
 func TestSlowAnswerIsAwaited(t *testing.T) {
-	slow := func(s *script, _ int, c net.Conn, r *bufio.Reader) {
-		s.take(r)
+	slow := func(s *scriptedBackend, _ int, c net.Conn, r *bufio.Reader) {
+		s.readRequest(r)
 		time.Sleep(2 * time.Second)
-		io.WriteString(c, ok)
+		io.WriteString(c, okAnswer)
 	}
 	for name, burst := range map[string]float64{"with a retry": 20, "without a budget": 0.5} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a, b := newScript(t, slow), newScript(t, slow)
+			a, b := newScriptedBackend(t, slow), newScriptedBackend(t, slow)
 			e := newEntry(t, Config{Retry: tackretry.Settings{Burst: burst}}, a.address, b.address)
 			got := exchange(t, e.address, request("GET", "/names", "Auburntack-Timeout-Ms: 3800"))
 			assertContains(t, got, "HTTP/1.1 200 OK\r\n", "\r\n\r\nok")
@@ -198,14 +193,12 @@
 	}
 }
 
-// Symptom: under overload goodput falls to half, though every backend server
-// is well.
-// Sequence: the queue is full, so requests start with little time left and end
-// without an answer.
-// Cause: each of them counted against its backend server, until all were taken
-// for broken.
+// Timeouts of requests that started with little time left must not count
+// against the backend server. Under overload the queue is full and requests
+// start late, and counting them caused all backend servers to be considered
+// broken, so that goodput fell to half.
 func TestShortTimeIsNotBlamedOnBackendServer(t *testing.T) {
-	backend := newScript(t, silence)
+	backend := newScriptedBackend(t, neverAnswer)
 	e := newEntry(t, Config{}, backend.address)
 	for range 30 {
 		got := exchange(t, e.address, request("GET", "/names", "Auburntack-Timeout-Ms: 10"))
@@ -218,30 +211,29 @@
 	}
 }
 
-// Symptom: a correction is printed twice.
-// Sequence: a request that is not idempotent is sent; the backend server runs
-// it and breaks off, stays silent or closes a connection that is used again.
-// Cause: it was sent a second time, by us or by the transport.
+// A request that is not idempotent must not be sent twice, neither by the
+// caller port nor by the transport, when the backend server runs it and then
+// closes the connection, doesn't answer, or closes a reused connection.
 func TestUnsafeWorkIsNeverRepeated(t *testing.T) {
-	closesSecond := func(s *script, n int, c net.Conn, r *bufio.Reader) {
-		s.take(r)
-		io.WriteString(c, ok)
-		s.take(r)
+	closesSecond := func(s *scriptedBackend, n int, c net.Conn, r *bufio.Reader) {
+		s.readRequest(r)
+		io.WriteString(c, okAnswer)
+		s.readRequest(r)
 	}
 	for name, test := range map[string]struct {
-		play func(*script, int, net.Conn, *bufio.Reader)
-		send []string
-		code Code
+		handle func(*scriptedBackend, int, net.Conn, *bufio.Reader)
+		send   []string
+		code   Code
 	}{
-		"silent":                     {silence, []string{"POST"}, codeNoAnswer},
-		"hangs up":                   {say(""), []string{"POST"}, codeBrokenAnswer},
-		"short":                      {say(ok[:len(ok)-1]), []string{"PATCH"}, codeBrokenAnswer},
+		"silent":                     {neverAnswer, []string{"POST"}, codeNoAnswer},
+		"hangs up":                   {answerWith(""), []string{"POST"}, codeBrokenAnswer},
+		"short":                      {answerWith(okAnswer[:len(okAnswer)-1]), []string{"PATCH"}, codeBrokenAnswer},
 		"closes reused":              {closesSecond, []string{"POST", "POST"}, codeBrokenAnswer},
 		"closes reused, foreign key": {closesSecond, []string{"POST", "POST\x00X-Idempotency-Key: 1"}, codeBrokenAnswer},
 	} {
 		t.Run(name, func(t *testing.T) {
-			bad := newScript(t, test.play)
-			e := newEntry(t, Config{Limits: quick()}, bad.address, bad.address)
+			bad := newScriptedBackend(t, test.handle)
+			e := newEntry(t, Config{Limits: shortLimits()}, bad.address, bad.address)
 			e.fillBudget()
 			var got string
 			for _, send := range test.send {
@@ -253,7 +245,7 @@
 				got = exchange(t, e.address, request(method, "/names", lines...))
 			}
 			assertUnknown(t, got, test.code)
-			if n := bad.runs(); n != len(test.send) {
+			if n := bad.executions(); n != len(test.send) {
 				t.Errorf("%d executions of %d requests", n, len(test.send))
 			}
 		})
@@ -269,24 +261,22 @@
 	assertOwn(t, got, status, code, tackledger.OutcomeUnknown)
 }
 
-// Symptom: a request is dispatched twice under one request id, and the
-// backend server's count of executions is above the dispatches.
-// Sequence: a connection that was used before breaks after the request was
-// written.
-// Cause: net/http's transport sends a GET, or anything with an
-// Idempotency-Key and no body, again on another connection by itself.
+// A request must run once per dispatch. If a reused connection breaks after a
+// request was written, the transport of net/http by itself resends a GET, or
+// any request with an Idempotency-Key and no body, on another connection, under
+// the same request id.
 func TestTransportSendsOnce(t *testing.T) {
-	second := func(s *script, n int, c net.Conn, r *bufio.Reader) {
-		s.take(r)
-		io.WriteString(c, ok)
-		s.take(r)
+	second := func(s *scriptedBackend, n int, c net.Conn, r *bufio.Reader) {
+		s.readRequest(r)
+		io.WriteString(c, okAnswer)
+		s.readRequest(r)
 	}
-	backend := newScript(t, second)
+	backend := newScriptedBackend(t, second)
 	e := newEntry(t, Config{}, backend.address)
 	for range 6 {
 		exchange(t, e.address, request("GET", "/names"))
 	}
-	if got, want := int64(backend.runs()), e.counter("dispatches"); got != want {
+	if got, want := int64(backend.executions()), e.counter("dispatches"); got != want {
 		t.Errorf("%d executions of %d dispatches", got, want)
 	}
 	for id, n := range backend.seen {
@@ -295,18 +285,17 @@
 		}
 	}
 	if e.counter("second_sends_prevented") == 0 {
-		t.Error("the transport never tried: the test shows nothing")
+		t.Error("the transport never tried to resend, so the test proves nothing")
 	}
 }
 
-// Symptom: a caller gets the answer to somebody else's request.
-// Sequence: a backend server sends an answer twice; the connection is used
-// again before the transport has looked at what came after the first.
-// Cause: the transport puts a connection back before it looks.
+// If a backend server sends an answer twice, the second one must not be
+// delivered as the answer to another request. The transport returns a
+// connection to its pool before it checks for data after the first answer.
 func TestSecondAnswerReachesNobody(t *testing.T) {
-	twice := func(s *script, _ int, c net.Conn, r *bufio.Reader) {
+	twice := func(s *scriptedBackend, _ int, c net.Conn, r *bufio.Reader) {
 		for {
-			_, body, err := s.take(r)
+			_, body, err := s.readRequest(r)
 			if err != nil {
 				return
 			}
@@ -314,13 +303,14 @@
 			io.WriteString(c, text+text)
 		}
 	}
-	backend := newScript(t, twice)
+	backend := newScriptedBackend(t, twice)
 	e := newEntry(t, Config{}, backend.address)
 	assertOwnBodies(t, e, 64, 40)
 }
 
-// assertOwnBodies has callers send requests with a body of their own each, and
-// checks that an answer is either their own or one of ours.
+// assertOwnBodies sends concurrent requests with distinct bodies to an echo
+// service, and checks that each answer from a backend server is the one to its
+// request.
 func assertOwnBodies(t *testing.T, e *entry, callers, each int) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
@@ -347,24 +337,24 @@
 }
 
 func TestAnswersAreNeverMixed(t *testing.T) {
-	own := func(s *script, _ int, c net.Conn, r *bufio.Reader) {
+	own := func(s *scriptedBackend, _ int, c net.Conn, r *bufio.Reader) {
 		for n := 0; ; n++ {
-			_, body, err := s.take(r)
+			_, body, err := s.readRequest(r)
 			if err != nil {
 				return
 			}
 			if n%7 == 6 {
-				time.Sleep(time.Millisecond) // late, so that answers overtake each other
+				time.Sleep(time.Millisecond) // delay some answers, so that they are reordered
 			}
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		}
 	}
-	a, b := newScript(t, own), newScript(t, own)
+	a, b := newScriptedBackend(t, own), newScriptedBackend(t, own)
 	e := newEntry(t, Config{}, a.address, b.address)
 	assertOwnBodies(t, e, 64, 40)
 }
 
-// fillBudget pays for the retries of a test.
+// fillBudget fills the retry budget.
 func (e *entry) fillBudget() {
 	s := e.service(&e.table, "names")
 	s.mu.Lock()
@@ -374,13 +364,11 @@
 	}
 }
 
-// Symptom: requests are refused though their backend server is well.
-// Sequence: a backend server closes connections after an answer without saying
-// so; a request takes one that is just being closed.
-// Cause: the transport gives up on a POST whose connection was closed before a
-// byte of it was written.
+// Requests must not be refused because they reuse a connection that the backend
+// server is just closing without having announced it. The transport doesn't
+// retry a POST whose connection was closed before a byte was written.
 func TestClosedIdleConnectionRefusesNothing(t *testing.T) {
-	backend := newScript(t, say(ok))
+	backend := newScriptedBackend(t, answerWith(okAnswer))
 	e := newEntry(t, Config{}, backend.address)
 	var running sync.WaitGroup
 	for range 8 {
--- a/io/tackhttp/aside.go
+++ b/io/tackhttp/aside.go
@@ -11,33 +11,32 @@
 	"auburntack/core/tackroute"
 )
 
-// asides keeps the jobs that bring down each backend server that they are
-// given to.
-type asides struct {
+// failingJobs holds the jobs that fail on every backend server that runs them.
+type failingJobs struct {
 	seed maphash.Seed
-	any  atomic.Bool // a job has failed: before, no request is looked up
+	any  atomic.Bool // set by the first failure; while unset, requests skip the lookup
 
-	mu    sync.Mutex
-	aside tackretry.FailingJobs
+	mu   sync.Mutex
+	jobs tackretry.FailingJobs
 }
 
-// SetAside returns the jobs that are refused for now, since each backend
-// server that ran them broke off.
-func (h *Handler) SetAside() []tackretry.SetAsideJob {
-	h.asides.mu.Lock()
-	defer h.asides.mu.Unlock()
-	return h.asides.aside.List(h.clock.Now())
+// SetAsideJobs returns the jobs that are currently refused because every
+// backend server that ran them failed.
+func (h *Handler) SetAsideJobs() []tackretry.SetAsideJob {
+	h.failing.mu.Lock()
+	defer h.failing.mu.Unlock()
+	return h.failing.jobs.List(h.clock.Now())
 }
 
-// checkAside refuses a request for a job that is set aside.
-func (c *call) checkAside() *failure {
-	a := &c.h.asides
+// checkSetAside refuses a request for a job that is set aside.
+func (c *call) checkSetAside() *failure {
+	a := &c.h.failing
 	if !a.any.Load() {
 		return nil
 	}
 	job := c.job()
 	a.mu.Lock()
-	wait := a.aside.Check(c.h.clock.Now(), job)
+	wait := a.jobs.Check(c.h.clock.Now(), job)
 	a.mu.Unlock()
 	if wait == 0 {
 		return nil
@@ -45,39 +44,40 @@
 	return refusal(http.StatusServiceUnavailable, codeSetAside, "this request broke several backend servers and is set aside", max(wait, tackclock.Second))
 }
 
-// failedOn notes that a backend server broke off while it ran the request.
-func (c *call) failedOn(candidate tackroute.Candidate) {
-	a := &c.h.asides
+// recordFailure records that a backend server failed while it ran the request.
+func (c *call) recordFailure(candidate tackroute.Candidate) {
+	a := &c.h.failing
 	job := c.job()
 	healthy := c.service.healthy(candidate)
 	a.any.Store(true)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.aside.RecordFailure(c.h.clock.Now(), tackretry.Failure{Job: job, BackendServer: candidate.BackendServer, Healthy: healthy}) {
+	if a.jobs.RecordFailure(c.h.clock.Now(), tackretry.Failure{Job: job, BackendServer: candidate.BackendServer, Healthy: healthy}) {
 		c.h.meters.setAside.Inc(1)
 	}
 }
 
-// ran notes that the request can run.
-func (c *call) ran() {
-	a := &c.h.asides
+// recordSuccess records that a backend server answered the request.
+func (c *call) recordSuccess() {
+	a := &c.h.failing
 	if !a.any.Load() {
 		return
 	}
 	job := c.job()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.aside.RecordSuccess(job)
+	a.jobs.RecordSuccess(job)
 }
 
-// job returns what the request is known by.
+// job returns what identifies the request among repetitions of it. A streamed
+// body is not hashed.
 func (c *call) job() tackretry.Job {
 	job := tackretry.Job{Service: c.service.name, Team: c.team, Key: c.key}
 	if c.streamed {
 		return job
 	}
 	var h maphash.Hash
-	h.SetSeed(c.h.asides.seed)
+	h.SetSeed(c.h.failing.seed)
 	h.WriteString(c.r.Method)
 	h.WriteByte(' ')
 	h.WriteString(c.r.RequestURI)
--- a/io/tackhttp/attempt.go
+++ b/io/tackhttp/attempt.go
@@ -23,32 +23,32 @@
 )
 
 var (
-	errNoProgress = errors.New("tackhttp: no progress in time")
-	errTimeUp     = errors.New("tackhttp: the caller's time is up")
-	errSilent     = error(syscall.ETIMEDOUT) // by TCP_USER_TIMEOUT
-	errTwoConns   = errors.New("tackhttp: the transport took a second connection")
+	errNoProgress  = errors.New("tackhttp: timed out waiting for progress")
+	errDeadline    = errors.New("tackhttp: caller's deadline exceeded")
+	errUserTimeout = error(syscall.ETIMEDOUT) // returned after TCP_USER_TIMEOUT
+	errSecondConn  = errors.New("tackhttp: transport tried to send on a second connection")
 )
 
 // attempt is one dispatch of a call to one backend server.
 type attempt struct {
 	dispatch
-	call      *call
-	candidate tackroute.Candidate
-	began     tackclock.Time
-	cancel    context.CancelCauseFunc
-	ctx       context.Context
-	watch     *time.Timer
-	begun     atomic.Bool // the answer has begun
-	reused    atomic.Bool // the connection carried a request before
-	early     atomic.Bool // the watch ends before the caller's time, to ask elsewhere
-	stream    *streamReader
-	trace     httptrace.ClientTrace
+	call         *call
+	candidate    tackroute.Candidate
+	began        tackclock.Time
+	cancel       context.CancelCauseFunc
+	ctx          context.Context
+	timer        *time.Timer
+	answerBegun  atomic.Bool // the header of the answer has arrived
+	reused       atomic.Bool // the connection has carried an earlier request
+	earlyTimeout atomic.Bool // the timer expires before the caller's deadline, to allow a retry
+	stream       *streamReader
+	trace        httptrace.ClientTrace
 
-	resp  *http.Response
-	buf   *[bufferSize]byte
-	head  []byte // of the body, in buf
-	whole bool   // head is all of the body
-	ended bool
+	resp     *http.Response
+	buf      *[bufferSize]byte
+	body     []byte // what was read of the answer's body, in buf
+	complete bool   // body is the whole body
+	ended    bool
 }
 
 func newAttempt(c *call, candidate tackroute.Candidate) *attempt {
@@ -60,24 +60,25 @@
 	return a
 }
 
-// run sends the request and waits for the answer to begin. After a failure the
-// attempt has ended; otherwise deliver ends it.
+// run sends the request and waits until the answer begins. If it returns a
+// failure, the attempt has ended; otherwise deliver ends it.
 func (a *attempt) run() *failure {
 	c := a.call
 	c.h.meters.dispatches.Inc(1)
-	a.watch = time.AfterFunc(c.h.limits.DialWait.Std()+c.h.limits.BodyWait.Std(), a.expire)
-	a.wait(c.h.limits.DialWait + c.h.limits.BodyWait)
+	a.timer = time.AfterFunc(c.h.limits.DialTimeout.Std()+c.h.limits.BodyWait.Std(), a.timerExpired)
+	a.resetTimer(c.h.limits.DialTimeout + c.h.limits.BodyWait)
 	resp, err := c.h.sender.transport(c).RoundTrip(a.request())
-	if err != nil && a.mayReopen() {
-		resp, err = c.h.sender.fresh.RoundTrip(a.request())
+	if err != nil && a.canReconnect() {
+		resp, err = c.h.sender.noReuse.RoundTrip(a.request())
 	}
 	if err != nil {
 		return a.failed(err)
 	}
 	a.resp = resp
-	a.begun.Store(true)
-	c.service.began(c.h.clock.Now().Sub(a.began))
-	// An answer that came before the request left is another one's.
+	a.answerBegun.Store(true)
+	c.service.recordFirstByte(c.h.clock.Now().Sub(a.began))
+	// An answer that arrives before the request was sent belongs to another
+	// request.
 	if !a.sent() {
 		c.h.meters.unsolicited.Inc(1)
 		return a.failed(errUnsolicited)
@@ -85,26 +86,27 @@
 	if f := a.checkAnswer(); f != nil {
 		return f
 	}
-	if err := a.readHead(); err != nil {
+	if err := a.readBodyStart(); err != nil {
 		return a.failed(err)
 	}
 	return nil
 }
 
-// mayReopen reports whether the dispatch may go on over a new connection. The
-// transport gives up on a request that is not idempotent if its connection was
-// closed while it took it, although no byte has left: a backend server that
-// closes idle connections would have requests refused that it could run.
-func (a *attempt) mayReopen() bool {
-	return a.reused.Load() && !a.sent() && a.ctx.Err() == nil && !a.call.touched.Load()
+// canReconnect reports whether the dispatch may continue on a new connection.
+// If a reused connection is closed before a byte was written to it, the
+// transport does not retry a request that is not idempotent. Requests would
+// then be refused although the backend server, which only closes idle
+// connections, could run them.
+func (a *attempt) canReconnect() bool {
+	return a.reused.Load() && !a.sent() && a.ctx.Err() == nil && !a.call.bodyRead.Load()
 }
 
-// request builds what is sent.
+// request returns the request to send to the backend server.
 func (a *attempt) request() *http.Request {
 	c := a.call
 	header := requestHeader(c.r.Header)
 	header[headerRequestID] = []string{string(c.dispatchID())}
-	header[headerTimeout] = []string{strconv.FormatInt(int64(max(c.left(), 1)), 10)}
+	header[headerTimeout] = []string{strconv.FormatInt(int64(max(c.timeLeft(), 1)), 10)}
 	req := new(http.Request).WithContext(httptrace.WithClientTrace(a.ctx, &a.trace))
 	req.Method = c.r.Method
 	req.URL = target(c.r, a.candidate.Address)
@@ -121,8 +123,8 @@
 	return req
 }
 
-// target returns the URL to ask for: the path and query as the caller wrote
-// them, at the backend server's address.
+// target returns the URL of the request at the backend server's address, with
+// the path and query exactly as the caller sent them.
 func target(r *http.Request, address string) *url.URL {
 	u := &url.URL{Scheme: "http", Host: address}
 	if strings.HasPrefix(r.RequestURI, "/") && !strings.HasPrefix(r.RequestURI, "//") {
@@ -137,16 +139,17 @@
 func (a *attempt) gotConn(info httptrace.GotConnInfo) {
 	conn, ok := info.Conn.(*backendConn)
 	if !ok {
-		a.cancel(fmt.Errorf("tackhttp: connection of type %T", info.Conn))
+		a.cancel(fmt.Errorf("tackhttp: unexpected connection type %T", info.Conn))
 		return
 	}
-	conn.held.Store(&a.dispatch)
+	conn.owner.Store(&a.dispatch)
 	a.reused.Store(info.Reused)
 	if a.sent() {
-		// The transport is about to send the request again. The connection
-		// would refuse the write; cancelling keeps it from trying them all.
+		// The transport is about to resend the request. The connection would
+		// refuse the write; cancelling keeps the transport from trying one
+		// connection after another.
 		a.call.h.meters.secondSends.Inc(1)
-		a.cancel(errTwoConns)
+		a.cancel(errSecondConn)
 	}
 }
 
@@ -156,81 +159,83 @@
 		return
 	}
 	c := a.call
-	if c.streamed && !c.explicit {
-		// A large body takes as long as it takes; the time for the answer
-		// counts from its end.
-		a.wait(c.h.limits.Timeout)
+	if c.streamed && !c.explicitDeadline {
+		// The upload of a large body may take any time, so the default timeout
+		// starts at its end.
+		a.resetTimer(c.h.limits.Timeout)
 		return
 	}
-	a.wait(a.firstByteWait())
+	a.resetTimer(a.firstByteWait())
 }
 
-// firstByteWait is how long the answer may take to begin before the request is
-// asked for elsewhere, or the time left if it is not.
+// firstByteWait returns how long the answer may take to begin before the
+// request is retried elsewhere, or the time until the deadline if it can't be
+// retried.
 func (a *attempt) firstByteWait() tackclock.Duration {
 	c := a.call
-	left := c.left()
-	if !c.repeatable() || c.tries >= c.h.tries() || c.tries >= len(c.table.Services[c.service.name]) {
+	left := c.timeLeft()
+	if !c.idempotent() || c.tries >= c.h.maxTries() || c.tries >= len(c.table.Services[c.service.name]) {
 		return left
 	}
-	early := c.service.earlyWait(left)
+	early := c.service.earlyRetryDelay(left)
 	if early >= left {
 		return left
 	}
-	a.early.Store(true)
+	a.earlyTimeout.Store(true)
 	return early
 }
 
-// gotInformational passes an informational answer on. What was passed on can't
-// be taken back, so there is no other try after it.
+// gotInformational passes an informational answer (1xx) on. An answer that was
+// passed on can't be withdrawn, so the request can't be retried after it.
 func (a *attempt) gotInformational(code int, header textproto.MIMEHeader) error {
-	a.wait(a.firstByteWait())
+	a.resetTimer(a.firstByteWait())
 	if code == http.StatusContinue || code == http.StatusSwitchingProtocols || a.call.key != "" {
 		return nil
 	}
 	if !a.sent() {
 		return errUnsolicited
 	}
-	a.inform(code, http.Header(header))
+	a.writeInformational(code, http.Header(header))
 	return nil
 }
 
-// wait allows d until the next sign of progress, and no more than the caller's
-// time.
-func (a *attempt) wait(d tackclock.Duration) {
+// resetTimer restarts the timer, which expires after d without progress. Until
+// the answer begins, it expires at the caller's deadline at the latest, except
+// that for a streamed body the default timeout does not apply.
+func (a *attempt) resetTimer(d tackclock.Duration) {
 	c := a.call
-	if left := c.left(); !a.begun.Load() && left < d && (!c.streamed || c.explicit) {
+	if left := c.timeLeft(); !a.answerBegun.Load() && left < d && (!c.streamed || c.explicitDeadline) {
 		d = left
 	}
-	a.watch.Reset(max(d.Std(), time.Millisecond))
+	a.timer.Reset(max(d.Std(), time.Millisecond))
 }
 
-// expire ends the attempt for lack of progress. An answer that is only later
-// than usual is awaited further unless another try is granted: the backend
-// servers may all be slow, and giving up on them would turn each late answer
-// into none.
-func (a *attempt) expire() {
+// timerExpired ends the attempt because of a lack of progress. If the answer is
+// merely later than usual and no retry is granted, the attempt continues: when
+// all backend servers are slow, abandoning requests would leave callers with no
+// answer instead of a late one.
+func (a *attempt) timerExpired() {
 	c := a.call
-	left := c.left()
+	left := c.timeLeft()
 	switch {
-	case left <= 0 && !a.begun.Load():
-		a.cancel(errTimeUp)
-	case !a.early.Swap(false) || a.begun.Load():
+	case left <= 0 && !a.answerBegun.Load():
+		a.cancel(errDeadline)
+	case !a.earlyTimeout.Swap(false) || a.answerBegun.Load():
 		a.cancel(errNoProgress)
 	case c.service.retry(tackretry.Attempt{Idempotent: true, Tries: c.tries, TimeLeft: left}):
-		c.granted.Store(true)
+		c.retryGranted.Store(true)
 		a.cancel(errNoProgress)
 	default:
-		a.wait(left)
+		a.resetTimer(left)
 	}
 }
 
-// checkAnswer looks at the answer's head. A backend server that says that it
-// did not run the request is believed.
+// checkAnswer checks the status and header of the answer. A backend server that
+// reports that it did not run the request is trusted.
 func (a *attempt) checkAnswer() *failure {
 	resp := a.resp
 	if resp.StatusCode == http.StatusSwitchingProtocols {
-		return a.failed(errors.New("the backend server switched protocols unasked"))
+		return a.failed(errors.New("backend server switched protocols without being asked"))
 	}
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get(headerOutcome) != didNotRun {
 		return nil
@@ -240,37 +245,39 @@
 		after = tackclock.Duration(seconds) * tackclock.Second
 	}
 	f := refusal(http.StatusServiceUnavailable, codeAllRefused, "the backend servers refused to run it", after)
-	// The few bytes of a refusal are read, so that the connection can be kept.
+	// Read the short body of the refusal, so that the connection can be reused.
 	io.CopyN(io.Discard, resp.Body, 4<<10)
 	a.end(tackroute.Refused)
 	return f
 }
 
-// readHead reads the beginning of the body. A short answer that is read whole
-// before its first byte is passed on can still be given up for another try.
-func (a *attempt) readHead() error {
+// readBodyStart reads the beginning of the body. A short answer is read
+// completely before its first byte is passed on, so that the request can still
+// be retried if the answer breaks off.
+func (a *attempt) readBodyStart() error {
 	resp := a.resp
 	if resp.ContentLength == 0 || a.call.r.Method == http.MethodHead {
-		a.whole = true
+		a.complete = true
 		return nil
 	}
 	a.buf = a.call.h.buffers.Get().(*[bufferSize]byte)
 	n, err := 0, error(nil)
 	for err == nil && n < bufferSize && (n == 0 || resp.ContentLength > int64(n) && resp.ContentLength <= bufferSize) {
-		a.wait(a.call.h.limits.BodyWait)
+		a.resetTimer(a.call.h.limits.BodyWait)
 		var m int
 		m, err = resp.Body.Read(a.buf[n:])
 		n += m
 	}
-	a.head = a.buf[:n]
+	a.body = a.buf[:n]
 	if errors.Is(err, io.EOF) || int64(n) == resp.ContentLength {
-		a.whole = true
+		a.complete = true
 		return nil
 	}
 	return err
 }
 
-// failed ends the attempt and says what is known of the request.
+// failed ends the attempt after an error and returns the failure to report to
+// the caller.
 func (a *attempt) failed(err error) *failure {
 	sent := a.seal()
 	if cause := context.Cause(a.ctx); cause != nil {
@@ -280,57 +287,61 @@
 	c.h.log.WithError(err).WithField("backend_server", string(a.candidate.BackendServer)).Debug("dispatch failed")
 	result, f := a.classify(err, sent)
 	if result == tackroute.Silent && a.reused.Load() {
-		c.h.sender.forgetIdle(c.h.clock.Now())
+		c.h.sender.closeIdle(c.h.clock.Now())
 	}
-	f.broke = f.code == codeBrokenAnswer || f.code == codeSilent && sent
+	f.backendFailed = f.code == codeBrokenAnswer || f.code == codeSilent && sent
 	a.end(result)
-	a.free()
+	a.releaseBuffer()
 	return f
 }
 
-// classify turns an error into what the chooser and the caller are told.
+// classify returns the result to report to the chooser and the failure to
+// report to the caller.
 func (a *attempt) classify(err error, sent bool) (tackroute.Result, *failure) {
 	c := a.call
 	switch {
 	case c.r.Context().Err() != nil:
-		c.gone = true
+		c.callerGone = true
 		c.h.meters.callersGone.Inc(1)
-		return tackroute.Cancelled, outcomeOf(sent, http.StatusServiceUnavailable, codeCallerGone, "the caller hung up")
-	case errors.Is(err, errTimeUp):
-		f := outcomeOf(sent, http.StatusGatewayTimeout, codeNoAnswer, "no answer came in time")
-		if c.h.clock.Now().Sub(a.began) < c.service.late() {
-			// There was too little time left for any backend server. If this
-			// one were blamed, a full queue, whose requests start late, would
-			// have all of them taken for broken.
+		return tackroute.Cancelled, newFailure(sent, http.StatusServiceUnavailable, codeCallerGone, "the caller hung up")
+	case errors.Is(err, errDeadline):
+		f := newFailure(sent, http.StatusGatewayTimeout, codeNoAnswer, "no answer came in time")
+		if c.h.clock.Now().Sub(a.began) < c.service.lateAfter() {
+			// There was too little time for any backend server to answer. If
+			// such timeouts counted against the backend server, a full queue,
+			// in which requests start late, would cause all backend servers to
+			// be considered broken.
 			return tackroute.Cancelled, f
 		}
 		c.h.meters.silent.Inc(1)
 		return tackroute.Silent, f
-	case errors.Is(err, errNoProgress) || errors.Is(err, errSilent):
+	case errors.Is(err, errNoProgress) || errors.Is(err, errUserTimeout):
 		c.h.meters.silent.Inc(1)
-		return tackroute.Silent, outcomeOf(sent, http.StatusGatewayTimeout, codeSilent, "the backend server went silent")
+		return tackroute.Silent, newFailure(sent, http.StatusGatewayTimeout, codeSilent, "the backend server went silent")
 	case !sent:
 		return tackroute.Failed, refusal(http.StatusServiceUnavailable, codeNoBackend, "the backend server can't be reached", tackclock.Second)
 	}
-	return tackroute.Failed, unknown(http.StatusBadGateway, codeBrokenAnswer, "the backend server broke off")
+	return tackroute.Failed, unknownOutcome(http.StatusBadGateway, codeBrokenAnswer, "the backend server broke off")
 }
 
-func outcomeOf(sent bool, status int, code Code, message string) *failure {
+// newFailure returns a refusal, or a failure with an unknown outcome if the
+// request was sent.
+func newFailure(sent bool, status int, code Code, message string) *failure {
 	if sent {
-		return unknown(status, code, message)
+		return unknownOutcome(status, code, message)
 	}
 	return refusal(http.StatusServiceUnavailable, code, message, tackclock.Second)
 }
 
-// end closes the attempt's connection unless its answer was read to the end,
-// and gives the slot back.
+// end releases the slot, and closes the connection unless the answer was read
+// to its end.
 func (a *attempt) end(result tackroute.Result) {
 	if a.ended {
 		return
 	}
 	a.ended = true
 	a.seal()
-	a.watch.Stop()
+	a.timer.Stop()
 	if a.resp != nil {
 		a.resp.Body.Close()
 	}
@@ -342,11 +353,11 @@
 	c.service.done(a.candidate, result, c.h.clock.Now().Sub(a.began))
 }
 
-// free gives the buffer back.
-func (a *attempt) free() {
+// releaseBuffer returns the buffer to the pool.
+func (a *attempt) releaseBuffer() {
 	if a.buf != nil {
 		a.call.h.buffers.Put(a.buf)
-		a.buf, a.head = nil, nil
+		a.buf, a.body = nil, nil
 	}
 }
 
--- a/io/tackhttp/bench_test.go
+++ b/io/tackhttp/bench_test.go
@@ -18,14 +18,14 @@
 	"auburntack/core/tackroute"
 )
 
-// relay is the baseline: the least that a relay over net/http does.
-type relay struct {
+// bareRelay is the baseline: a minimal reverse proxy over net/http.
+type bareRelay struct {
 	transport http.Transport
 	backends  []string
 	next      atomic.Uint64
 }
 
-func (p *relay) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *bareRelay) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	out := r.Clone(r.Context())
 	out.URL.Scheme = "http"
 	out.URL.Host = p.backends[p.next.Add(1)%uint64(len(p.backends))]
@@ -43,7 +43,7 @@
 	io.Copy(w, resp.Body)
 }
 
-// serve serves h on loopback until the benchmark ends.
+// serve serves h on loopback until the test or benchmark ends.
 func serve(b testing.TB, h http.Handler) string {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -56,19 +56,19 @@
 	return l.Addr().String()
 }
 
-// plain answers every request with 100 bytes.
-func plain(w http.ResponseWriter, r *http.Request) {
+// answer100Bytes answers every request with 100 bytes.
+func answer100Bytes(w http.ResponseWriter, r *http.Request) {
 	io.Copy(io.Discard, r.Body)
 	io.WriteString(w, strings.Repeat("x", 100))
 }
 
-// load is what callers measured.
-type load struct {
+// measurement holds the latencies of requests and the CPU time that they took.
+type measurement struct {
 	took []time.Duration
 	cpu  time.Duration // of the whole process
 }
 
-func (l *load) quantile(q float64) time.Duration {
+func (l *measurement) quantile(q float64) time.Duration {
 	slices.Sort(l.took)
 	return l.took[int(q*float64(len(l.took)-1))]
 }
@@ -79,8 +79,9 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// run sends n requests by callers, each with one request at a time.
-func (l *load) run(b testing.TB, client *http.Client, address string, callers, n int) {
+// run sends n requests from concurrent callers, each of which has one request
+// in flight at a time.
+func (l *measurement) run(b testing.TB, client *http.Client, address string, callers, n int) {
 	var running sync.WaitGroup
 	var mu sync.Mutex
 	before := cpuTime()
@@ -112,26 +113,25 @@
 }
 
 // BenchmarkAgainstRelay compares the caller port with a bare relay and with
-// direct calls, in rounds that take turns in one process. Callers, backend
-// servers and the tested process are one, so CPU counts as what is above the
-// direct calls.
+// direct calls, in alternating rounds. Callers, backend servers and the tested
+// code share one process, so the CPU time of the direct calls is subtracted.
 func BenchmarkAgainstRelay(b *testing.B) {
 	var backends []string
 	for range 10 {
-		backends = append(backends, serve(b, http.HandlerFunc(plain)))
+		backends = append(backends, serve(b, http.HandlerFunc(answer100Bytes)))
 	}
-	bare := &relay{backends: backends}
+	bare := &bareRelay{backends: backends}
 	bare.transport.MaxIdleConnsPerHost = 64
 	bare.transport.DisableCompression = true
 	b.Cleanup(bare.transport.CloseIdleConnections)
-	e := newEntry(b, Config{Limits: Limits{Idle: 128}}, backends...)
+	e := newEntry(b, Config{Limits: Limits{MaxIdleConns: 128}}, backends...)
 	addresses := []string{backends[0], serve(b, bare), e.address}
 	for _, callers := range []int{1, 64, 512} {
 		b.Run(fmt.Sprint(callers), func(b *testing.B) {
 			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers, DisableCompression: true}}
 			defer client.CloseIdleConnections()
-			loads := make([]load, len(addresses))
-			var discard load
+			loads := make([]measurement, len(addresses))
+			var discard measurement
 			for _, address := range addresses {
 				discard.run(b, client, address, callers, 4*callers)
 			}
@@ -148,7 +148,7 @@
 				b.ReportMetric(float64(added)/float64(relayed), fmt.Sprintf("p%v_added_ratio", q*100))
 				b.ReportMetric(float64(added.Microseconds()), fmt.Sprintf("p%v_added_us", q*100))
 			}
-			per := func(l *load) float64 { return float64(l.cpu.Microseconds()) / float64(len(l.took)) }
+			per := func(l *measurement) float64 { return float64(l.cpu.Microseconds()) / float64(len(l.took)) }
 			b.ReportMetric((per(own)-per(direct))/(per(other)-per(direct)), "cpu_added_ratio")
 			b.ReportMetric(per(own)-per(direct), "cpu_added_us")
 			b.ReportMetric(per(other)-per(direct), "relay_cpu_added_us")
@@ -156,21 +156,21 @@
 	}
 }
 
-// writer is an http.ResponseWriter that keeps nothing.
-type writer struct {
+// discardWriter is an http.ResponseWriter that discards the body.
+type discardWriter struct {
 	header http.Header
 	status int
 }
 
-func (w *writer) Header() http.Header         { return w.header }
-func (w *writer) Write(p []byte) (int, error) { return len(p), nil }
-func (w *writer) WriteHeader(status int)      { w.status = status }
+func (w *discardWriter) Header() http.Header         { return w.header }
+func (w *discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (w *discardWriter) WriteHeader(status int)      { w.status = status }
 
-// allocations returns what one GET costs with the given handler, backend
-// server and transport included.
+// allocations returns the number of allocations for one GET with the given
+// handler, including those of the backend server and the transport.
 func allocations(t testing.TB, h http.Handler) float64 {
 	t.Helper()
-	w := &writer{header: make(http.Header)}
+	w := &discardWriter{header: make(http.Header)}
 	return testing.AllocsPerRun(2000, func() {
 		clear(w.header)
 		r, err := http.NewRequest(http.MethodGet, "/names/kemper", nil)
@@ -185,11 +185,11 @@
 	})
 }
 
-// TestAllocations holds the allocations of one request under a bound, above
-// those of the bare relay, which change with the version of net/http.
+// TestAllocations limits the allocations per request relative to those of the
+// bare relay, which depend on the version of net/http.
 func TestAllocations(t *testing.T) {
-	backend := serve(t, http.HandlerFunc(plain))
-	bare := &relay{backends: []string{backend}}
+	backend := serve(t, http.HandlerFunc(answer100Bytes))
+	bare := &bareRelay{backends: []string{backend}}
 	t.Cleanup(bare.transport.CloseIdleConnections)
 	table := &tackroute.Table{Services: map[tackid.Service][]tackroute.Candidate{
 		"names": {{BackendServer: "names-1", Address: backend, Slots: 8}},
@@ -203,5 +203,6 @@
 	}
 }
 
-// maxExtraAllocations bounds the allocations of a request above a bare relay's.
+// maxExtraAllocations is the maximum number of allocations per request above
+// those of the bare relay.
 const maxExtraAllocations = 19
--- a/io/tackhttp/body.go
+++ b/io/tackhttp/body.go
@@ -12,8 +12,8 @@
 	"auburntack/core/tackclock"
 )
 
-// readBody reads the request's body where it is small enough to be held, and
-// refuses one that is too large before anything is sent.
+// readBody reads the request's body into memory if it is small enough. It
+// refuses a body that is too large before anything is sent.
 func (c *call) readBody() *failure {
 	length := c.r.ContentLength
 	limits := &c.h.limits
@@ -39,12 +39,12 @@
 		c.streamed = true
 		return nil
 	}
-	return c.holdBody(length)
+	return c.bufferBody(length)
 }
 
-// holdBody reads the body into memory. Length is -1 where it isn't known.
-func (c *call) holdBody(length int64) *failure {
-	src := &slowReader{call: c, rc: http.NewResponseController(c.w)}
+// bufferBody reads the body into memory. The length is -1 if it is unknown.
+func (c *call) bufferBody(length int64) *failure {
+	src := &deadlineReader{call: c, rc: http.NewResponseController(c.w)}
 	defer src.stop()
 	var err error
 	if length >= 0 {
@@ -72,10 +72,11 @@
 	return refusal(http.StatusRequestEntityTooLarge, codeTooLarge, message, noRetryAfter)
 }
 
-// reserve takes n bytes of what all held bodies may take together.
+// reserve reserves n bytes of the memory for buffered bodies, and reports
+// whether there were as many left.
 func (c *call) reserve(n int64) bool {
-	if c.h.held.Add(n) > c.h.limits.BufferTotal {
-		c.h.held.Add(-n)
+	if c.h.bufferedBytes.Add(n) > c.h.limits.BufferTotal {
+		c.h.bufferedBytes.Add(-n)
 		return false
 	}
 	c.reserved = n
@@ -83,53 +84,54 @@
 }
 
 func (c *call) releaseBody() {
-	c.h.held.Add(-c.reserved)
+	c.h.bufferedBytes.Add(-c.reserved)
 	c.reserved = 0
 }
 
-// slowReader reads the request's body and gives up on a caller that sends
-// nothing for too long, or that is not done by its deadline. A caller that
-// went silent would otherwise hold its memory for ever.
-type slowReader struct {
+// deadlineReader reads the request's body. A read fails if the caller sends
+// nothing for too long, or at the deadline of the request; otherwise a caller
+// that stops sending would hold its memory indefinitely.
+type deadlineReader struct {
 	call *call
 	rc   *http.ResponseController
 }
 
 // Read implements io.Reader.
-func (s *slowReader) Read(p []byte) (int, error) {
-	wait := min(s.call.h.limits.BodyWait, s.call.left())
+func (s *deadlineReader) Read(p []byte) (int, error) {
+	wait := min(s.call.h.limits.BodyWait, s.call.timeLeft())
 	s.rc.SetReadDeadline(time.Now().Add(wait.Std()))
 	return s.call.r.Body.Read(p)
 }
 
-// stop takes the deadline away, so that it doesn't end the watch for a caller
-// that hangs up.
-func (s *slowReader) stop() {
+// stop clears the read deadline, which would otherwise stop net/http from
+// detecting that the caller closes the connection.
+func (s *deadlineReader) stop() {
 	s.rc.SetReadDeadline(time.Time{})
 }
 
-// streamReader is a body that is passed on as it comes. The transport may read
-// it after the answer was delivered, when the caller's connection is used by
-// the next request already; end makes that impossible.
+// streamReader passes a request body on without buffering it. The transport may
+// still read it after the answer was delivered, when the caller's connection
+// already carries the next request; end prevents such reads.
 type streamReader struct {
 	mu      sync.Mutex
 	attempt *attempt
 	rc      *http.ResponseController
-	left    int64 // bytes to come
+	left    int64 // bytes still to be read
 	ended   bool
 }
 
-// newStreamReader returns the body of a's request. The answer may begin while
-// the body is still on its way. Without full duplex the server would then
-// close the body, the transport would take that for an error, close the
-// backend server's connection, and the answer would be cut.
+// newStreamReader returns the body of a's request. It enables full duplex,
+// since the answer may begin before the body was sent completely. Without full
+// duplex the server would then close the body, and the transport would treat
+// that as an error, close the connection to the backend server and truncate the
+// answer.
 func newStreamReader(a *attempt) *streamReader {
 	s := &streamReader{attempt: a, rc: http.NewResponseController(a.call.w), left: a.call.r.ContentLength}
 	s.rc.EnableFullDuplex()
 	return s
 }
 
-// Read implements io.Reader. Each part that was read counts as progress.
+// Read implements io.Reader. Each read counts as progress.
 func (s *streamReader) Read(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,9 +142,9 @@
 		return 0, io.EOF
 	}
 	c := s.attempt.call
-	c.touched.Store(true)
+	c.bodyRead.Store(true)
 	wait := c.h.limits.BodyWait
-	s.attempt.wait(2 * wait)
+	s.attempt.resetTimer(2 * wait)
 	s.rc.SetReadDeadline(time.Now().Add(wait.Std()))
 	n, err := c.r.Body.Read(p)
 	s.left -= int64(n)
@@ -156,16 +158,18 @@
 	return n, err
 }
 
-// Close implements io.Closer. The server closes the caller's body itself.
+// Close implements io.Closer. It does nothing, since the server closes the
+// caller's body.
 func (s *streamReader) Close() error {
 	return nil
 }
 
-// end makes every further Read fail and waits for one under way.
+// end makes all further Reads fail, and waits for one in progress.
 func (s *streamReader) end() {
 	if !s.mu.TryLock() {
-		// A deadline that has passed ends the Read. It is set in this case
-		// only: it would break the server's watch for a caller that hangs up.
+		// Interrupt the Read by a deadline in the past. It is set only in this
+		// case, since it would stop net/http from detecting that the caller
+		// closes the connection.
 		s.rc.SetReadDeadline(time.Unix(1, 0))
 		s.mu.Lock()
 		s.rc.SetReadDeadline(time.Time{})
--- a/io/tackhttp/call.go
+++ b/io/tackhttp/call.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	maxKey  = 255 // bytes of an idempotency key
-	maxName = 128 // bytes of a team's name
+	maxKeyLen  = 255 // of an idempotency key, in bytes
+	maxTeamLen = 128 // of a team's name, in bytes
 
-	maxReturns = 8 // to the queue, of a request that found no slot
+	maxRequeues = 8 // times that a request that found no free slot is queued again
 )
 
-// call is one request of a caller.
+// call is the state of one request of a caller.
 type call struct {
 	h *Handler
 	w http.ResponseWriter
 	r *http.Request
 
-	began    tackclock.Time
-	deadline tackclock.Time // for the answer to begin
-	explicit bool           // the caller gave the deadline
+	began            tackclock.Time
+	deadline         tackclock.Time // until which the answer must have begun
+	explicitDeadline bool           // the caller set the deadline
 
 	table   *tackroute.Table
 	service *service
@@ -39,44 +39,44 @@
 	class   tackid.Class
 	key     tackid.Key
 
-	body     []byte      // where it is held
-	streamed bool        // it is not held, and can be sent once only
-	touched  atomic.Bool // some of a streamed body was read
-	reserved int64       // bytes of the body that count in Handler.held
+	body     []byte      // unless it is streamed
+	streamed bool        // the body is not buffered, so the request can be sent only once
+	bodyRead atomic.Bool // some of a streamed body was read
+	reserved int64       // bytes of the body counted in Handler.bufferedBytes
 
-	granted atomic.Bool // another try was granted already
-	tries   int
-	tried   []tackid.BackendServer
+	retryGranted atomic.Bool // a retry was already granted
+	tries        int
+	tried        []tackid.BackendServer
 
-	hasLeft bool // the place of admission was given back
-	status  int  // of the answer, once it began
-	outcome tackledger.Outcome
-	gone    bool
+	released   bool // the place from admission was released
+	status     int  // of the answer, once it has begun
+	outcome    tackledger.Outcome
+	callerGone bool
 }
 
-// serve does all that the request asks for. A failure is returned where no
-// byte of an answer was written.
+// serve serves the request. It returns a failure only if no byte of an answer
+// was written.
 func (c *call) serve() *failure {
 	if f := c.parse(); f != nil {
 		return f
 	}
-	if f := c.find(); f != nil {
+	if f := c.findService(); f != nil {
 		return f
 	}
 	defer c.releaseBody()
 	if f := c.readBody(); f != nil {
 		return f
 	}
-	if f := c.checkAside(); f != nil {
+	if f := c.checkSetAside(); f != nil {
 		return f
 	}
 	if c.key != "" {
 		return c.serveKeyed()
 	}
-	if f := c.enter(); f != nil {
+	if f := c.admit(); f != nil {
 		return f
 	}
-	defer c.leave()
+	defer c.release()
 	a, f := c.dispatchAll()
 	if f != nil {
 		return f
@@ -84,9 +84,9 @@
 	return a.deliver(c)
 }
 
-// parse reads the request's own headers.
+// parse parses the header fields that are meant for auburntack.
 func (c *call) parse() *failure {
-	if f := c.checkShape(); f != nil {
+	if f := c.checkFraming(); f != nil {
 		return f
 	}
 	h := c.r.Header
@@ -99,20 +99,20 @@
 			return badRequest(name + " is given more than once")
 		}
 	}
-	class, err := tackid.ParseClass(first(h, headerClass))
+	class, err := tackid.ParseClass(firstValue(h, headerClass))
 	if err != nil {
 		return badRequest(headerClass + " must be urgent, normal or batch")
 	}
 	c.class = class
-	team, key := first(h, headerTeam), first(h, headerKey)
-	if len(team) > maxName || !printable(team) {
-		return badRequest(headerTeam + " must be printable ASCII of at most " + strconv.Itoa(maxName) + " bytes")
+	team, key := firstValue(h, headerTeam), firstValue(h, headerKey)
+	if len(team) > maxTeamLen || !printable(team) {
+		return badRequest(headerTeam + " must be printable ASCII of at most " + strconv.Itoa(maxTeamLen) + " bytes")
 	}
-	if len(key) > maxKey || !printable(key) || (key == "" && len(h[headerKey]) > 0) {
-		return badRequest(headerKey + " must be printable ASCII of 1 to " + strconv.Itoa(maxKey) + " bytes")
+	if len(key) > maxKeyLen || !printable(key) || (key == "" && len(h[headerKey]) > 0) {
+		return badRequest(headerKey + " must be printable ASCII of 1 to " + strconv.Itoa(maxKeyLen) + " bytes")
 	}
 	c.team, c.key = tackid.Team(team), tackid.Key(key)
-	return c.parseTimeout(first(h, headerTimeout))
+	return c.parseTimeout(firstValue(h, headerTimeout))
 }
 
 func (c *call) parseTimeout(text string) *failure {
@@ -124,27 +124,27 @@
 	if err != nil || ms == 0 {
 		return badRequest(headerTimeout + " must be a whole number of milliseconds above 0")
 	}
-	c.explicit = true
+	c.explicitDeadline = true
 	c.deadline = c.began.Add(min(tackclock.Duration(ms), maxTimeout))
 	return nil
 }
 
-// checkShape refuses what two servers could read in two ways. What net/http
-// refuses by itself (a doubled Host, lengths that differ, control characters
-// in names and values, spaces before a colon) doesn't come this far.
-func (c *call) checkShape() *failure {
+// checkFraming refuses requests that two servers could parse differently. Those
+// that net/http itself refuses (a repeated Host, conflicting lengths, control
+// characters in names and values, spaces before a colon) never get here.
+func (c *call) checkFraming() *failure {
 	if c.r.Method == http.MethodConnect {
 		return refusal(http.StatusMethodNotAllowed, codeBadRequest, "CONNECT is not served", noRetryAfter)
 	}
-	if len(c.r.TransferEncoding) > 0 && !singleLength(c.r) {
+	if len(c.r.TransferEncoding) > 0 && !lacksContentLength(c.r) {
 		c.w.Header()["Connection"] = []string{"close"}
 		return badRequest("a request may have a Content-Length or a Transfer-Encoding, not both")
 	}
 	return nil
 }
 
-// find looks the service up.
-func (c *call) find() *failure {
+// findService looks up the service that the request's path names.
+func (c *call) findService() *failure {
 	if c.h.cfg.Ready != nil && !c.h.cfg.Ready() {
 		return refusal(http.StatusServiceUnavailable, codeNotReady, "this VM takes no requests now", tackclock.Second)
 	}
@@ -166,9 +166,9 @@
 	return nil
 }
 
-// enter waits for admission.
-func (c *call) enter() *failure {
-	return c.service.enter(c.r.Context(), c.table, tacklimit.Request{
+// admit waits until the request is admitted.
+func (c *call) admit() *failure {
+	return c.service.admit(c.r.Context(), c.table, tacklimit.Request{
 		ID:       c.id,
 		Team:     c.team,
 		Class:    c.class,
@@ -176,23 +176,23 @@
 	})
 }
 
-// leave gives the place of admission back, once.
-func (c *call) leave() {
-	if !c.hasLeft {
-		c.hasLeft = true
-		c.service.leave(c.id)
+// release releases the place from admission. Further calls do nothing.
+func (c *call) release() {
+	if !c.released {
+		c.released = true
+		c.service.release(c.id)
 	}
 }
 
 // dispatchAll sends the request to one backend server after another until one
-// answers or no further try is allowed. The attempt that it returns has an
-// answer that has begun.
+// answers or no further retry is allowed. The answer of the returned attempt
+// has begun.
 func (c *call) dispatchAll() (*attempt, *failure) {
 	var last *failure
 	for {
 		candidate, ok := c.service.pick(c.tried)
 		if !ok && last == nil {
-			candidate, ok, last = c.pickAgain()
+			candidate, ok, last = c.requeue()
 		}
 		if !ok {
 			return nil, last
@@ -201,11 +201,11 @@
 		a := newAttempt(c, candidate)
 		f := a.run()
 		if f == nil {
-			c.ran()
+			c.recordSuccess()
 			return a, nil
 		}
-		if f.broke {
-			c.failedOn(candidate)
+		if f.backendFailed {
+			c.recordFailure(candidate)
 		}
 		last = f
 		c.tried = append(c.tried, candidate.BackendServer)
@@ -216,15 +216,16 @@
 	}
 }
 
-// pickAgain goes back into the queue when a request that was admitted finds no
-// slot: the share of this entry VM, or a backend server, went between the two.
-// Without it a caller is refused although slots are about to be free.
-func (c *call) pickAgain() (tackroute.Candidate, bool, *failure) {
-	for range maxReturns {
+// requeue returns to the queue a request that was admitted but found no free
+// slot, because this entry VM's share shrank or a backend server left in
+// between. Otherwise the caller would be refused although slots are about to
+// become free.
+func (c *call) requeue() (tackroute.Candidate, bool, *failure) {
+	for range maxRequeues {
 		c.table = c.h.table()
-		c.service.leave(c.id)
-		if f := c.enter(); f != nil {
-			c.hasLeft = true
+		c.service.release(c.id)
+		if f := c.admit(); f != nil {
+			c.released = true
 			return tackroute.Candidate{}, false, f
 		}
 		if candidate, ok := c.service.pick(c.tried); ok {
@@ -234,25 +235,25 @@
 	return tackroute.Candidate{}, false, refusal(http.StatusServiceUnavailable, codeNoBackend, "no backend server has a slot free", tackclock.Second)
 }
 
-// mayRetry reports whether the request may be sent once more.
+// mayRetry reports whether the request may be sent again.
 func (c *call) mayRetry(f *failure) bool {
-	if c.r.Context().Err() != nil || c.touched.Load() {
+	if c.r.Context().Err() != nil || c.bodyRead.Load() {
 		return false
 	}
-	if c.granted.Swap(false) {
+	if c.retryGranted.Swap(false) {
 		return true
 	}
 	return c.service.retry(tackretry.Attempt{
-		Idempotent: c.repeatable(),
+		Idempotent: c.idempotent(),
 		NotRun:     f.didNotRun,
 		Tries:      c.tries,
-		TimeLeft:   c.left(),
+		TimeLeft:   c.timeLeft(),
 	})
 }
 
-// repeatable reports whether the request may run twice. One with a key never
-// may, whatever its method.
-func (c *call) repeatable() bool {
+// idempotent reports whether the request may run more than once. One with an
+// idempotency key may not, whatever its method.
+func (c *call) idempotent() bool {
 	if c.key != "" || c.streamed {
 		return false
 	}
@@ -263,12 +264,12 @@
 	return false
 }
 
-// left returns the time until the answer must have begun.
-func (c *call) left() tackclock.Duration {
+// timeLeft returns the time until the deadline.
+func (c *call) timeLeft() tackclock.Duration {
 	return c.deadline.Sub(c.h.clock.Now())
 }
 
-// dispatchID names the dispatch under way.
+// dispatchID returns the id of the current dispatch.
 func (c *call) dispatchID() tackid.RequestID {
 	id := make([]byte, 0, 96)
 	id = append(id, c.h.prefix...)
@@ -277,20 +278,20 @@
 	return tackid.RequestID(strconv.AppendInt(id, int64(c.tries), 10))
 }
 
-// requestID names the request.
+// requestID returns the id of the request.
 func (c *call) requestID() tackid.RequestID {
 	return tackid.RequestID(c.h.prefix + strconv.FormatUint(c.id, 10))
 }
 
-// fail answers with a failure.
+// fail answers the request with a failure.
 func (c *call) fail(f *failure) {
 	c.status, c.outcome = f.status, f.outcome()
-	c.gone = c.gone || c.r.Context().Err() != nil
+	c.callerGone = c.callerGone || c.r.Context().Err() != nil
 	c.h.meters.failed(f)
 	f.write(c.w)
 }
 
-// count tells the meter how the request ended.
+// count records the end of the request in the metrics and the Meter.
 func (c *call) count() {
 	now := c.h.clock.Now()
 	took := now.Sub(c.began)
@@ -300,15 +301,15 @@
 		return
 	}
 	c.h.cfg.Meter.Count(Result{
-		Service:  c.service.name,
-		Team:     c.team,
-		Class:    c.class,
-		Outcome:  c.outcome,
-		Status:   c.status,
-		Late:     now.After(c.deadline),
-		Gone:     c.gone || c.r.Context().Err() != nil,
-		Took:     took,
-		Dispatch: c.tries,
+		Service:    c.service.name,
+		Team:       c.team,
+		Class:      c.class,
+		Outcome:    c.outcome,
+		Status:     c.status,
+		Late:       now.After(c.deadline),
+		Gone:       c.callerGone || c.r.Context().Err() != nil,
+		Took:       took,
+		Dispatches: c.tries,
 	})
 }
 
@@ -316,14 +317,14 @@
 	return refusal(http.StatusBadRequest, codeBadRequest, message, noRetryAfter)
 }
 
-func first(h http.Header, name string) string {
+func firstValue(h http.Header, name string) string {
 	if values := h[name]; len(values) > 0 {
 		return values[0]
 	}
 	return ""
 }
 
-// printable reports whether s is visible ASCII, with spaces inside allowed.
+// printable reports whether s consists of printable ASCII characters.
 func printable(s string) bool {
 	for i := range len(s) {
 		if s[i] < ' ' || s[i] > '~' {
--- a/io/tackhttp/callerconn.go
+++ b/io/tackhttp/callerconn.go
@@ -6,7 +6,8 @@
 	"net/http"
 )
 
-// maxHead is how much of a request's beginning is kept for singleLength.
+// maxHead is how many bytes of a request's head are kept for
+// lacksContentLength.
 const maxHead = 8 << 10
 
 type (
@@ -14,16 +15,16 @@
 		net.Listener
 	}
 
-	// callerConn keeps the first bytes of the request under way as they came.
-	// The server drops the Content-Length of a request with chunks before
-	// anyone can see that there were two lengths, the shape by which one
-	// request is smuggled inside another.
+	// callerConn keeps the first bytes of the current request as they were
+	// received. The server drops the Content-Length of a chunked request before
+	// a handler can see that the request had both, a form that is used for
+	// request smuggling.
 	callerConn struct {
 		net.Conn
-		head    []byte
-		inHead  bool
-		ahead   byte // read while the last request was being answered
-		isAhead bool
+		head        []byte
+		inHead      bool
+		nextByte    byte // of the next request, read while the current one was being answered
+		hasNextByte bool
 	}
 )
 
@@ -41,36 +42,37 @@
 	n, err := c.Conn.Read(p)
 	switch {
 	case n == 1 && len(p) == 1:
-		// The server's watch for a caller that hangs up has met the first
-		// byte of the next request.
-		c.ahead, c.isAhead = p[0], true
+		// net/http, which reads one byte in the background to detect that the
+		// caller closes the connection, got the first byte of the next request.
+		c.nextByte, c.hasNextByte = p[0], true
 	case c.inHead && len(c.head) < maxHead:
 		c.head = append(c.head, p[:min(n, maxHead-len(c.head))]...)
 	}
 	return n, err
 }
 
-// next begins the next request.
-func (c *callerConn) next() {
+// startRequest prepares for the next request.
+func (c *callerConn) startRequest() {
 	c.head = c.head[:0]
 	c.inHead = true
-	if c.isAhead {
-		c.head = append(c.head, c.ahead)
-		c.isAhead = false
+	if c.hasNextByte {
+		c.head = append(c.head, c.nextByte)
+		c.hasNextByte = false
 	}
 }
 
-// connState follows the requests of a connection.
+// connState is the server's ConnState hook: it detects the start of the next
+// request on a connection.
 func connState(conn net.Conn, state http.ConnState) {
 	if c, ok := conn.(*callerConn); ok && state == http.StateIdle {
-		c.next()
+		c.startRequest()
 	}
 }
 
-// singleLength reports whether a request with chunks surely came without a
-// Content-Length. One whose beginning wasn't seen, because it was sent before
-// the last one was answered, doesn't count as such.
-func singleLength(r *http.Request) bool {
+// lacksContentLength reports whether a chunked request certainly had no
+// Content-Length. It returns false if the start of the request was not
+// captured, because it was sent before the previous request was answered.
+func lacksContentLength(r *http.Request) bool {
 	c, ok := r.Context().Value(callerKey{}).(*callerConn)
 	if !ok {
 		return true
--- a/io/tackhttp/callers_test.go
+++ b/io/tackhttp/callers_test.go
@@ -22,29 +22,27 @@
 	"auburntack/core/tackroute"
 )
 
-// await waits until cond holds.
-func await(t *testing.T, what string, cond func() bool) {
+// waitUntil waits until cond holds, and fails the test if that takes too long.
+func waitUntil(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !cond(); {
 		if time.Now().After(end) {
-			t.Fatal("waited in vain: " + what)
+			t.Fatal("timed out waiting until " + what)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// Symptom: backend servers work for callers that have left, and the queue
-// holds places for them.
-// Sequence: callers hang up while their requests run or wait.
-// Cause: nothing told the dispatch or the queue.
+// When callers close their connections, their requests must be cancelled at the
+// backend server and removed from the queue.
 func TestCallerHangsUp(t *testing.T) {
 	closed := make(chan struct{}, 1)
-	backend := newScript(t, func(s *script, n int, c net.Conn, r *bufio.Reader) {
+	backend := newScriptedBackend(t, func(s *scriptedBackend, n int, c net.Conn, r *bufio.Reader) {
 		if n > 0 {
 			echo(s, n, c, r)
 			return
 		}
-		s.take(r)
+		s.readRequest(r)
 		r.ReadByte() // until the entry VM closes the connection
 		closed <- struct{}{}
 	})
@@ -59,7 +57,7 @@
 		io.WriteString(c, "POST /names HTTP/1.1\r\nHost: names\r\nContent-Length: 0\r\n\r\n")
 		callers = append(callers, c)
 		if len(callers) == 1 {
-			await(t, "the first runs", func() bool { return e.InFlight("w-0") == 1 })
+			waitUntil(t, "the first request runs", func() bool { return e.InFlight("w-0") == 1 })
 		}
 	}
 	s := e.service(&e.table, "names")
@@ -68,36 +66,35 @@
 		defer s.mu.Unlock()
 		return s.gate.Waiting()
 	}
-	await(t, "the others wait", func() bool { return waiting() == 39 })
+	waitUntil(t, "the others wait in the queue", func() bool { return waiting() == 39 })
 	for _, c := range callers[1:] {
 		c.Close()
 	}
-	await(t, "they left the queue", func() bool { return waiting() == 0 })
-	if n := backend.runs(); n != 1 {
+	waitUntil(t, "the queue is empty", func() bool { return waiting() == 0 })
+	if n := backend.executions(); n != 1 {
 		t.Errorf("%d executions, want 1", n)
 	}
 	callers[0].Close()
 	<-closed
-	await(t, "nothing is in flight", func() bool { return e.Idle("w-0") })
+	waitUntil(t, "nothing is in flight", func() bool { return e.Idle("w-0") })
 	assertContains(t, exchange(t, e.address, request("GET", "/names")), "HTTP/1.1 200 OK\r\n")
 }
 
-// Symptom: a backend server that is leaving gets new work.
-// Sequence: a request waits for a slot; the backend servers leave the table and
-// another one comes; the slot becomes free.
-// Cause: the request was sent by the table of its arrival.
+// A request that waited for a slot must be sent by the current routing table,
+// not by that of its arrival, which may contain backend servers that were
+// removed since.
 func TestQueuedRequestFollowsTable(t *testing.T) {
 	release := make(chan struct{})
-	old := newScript(t, func(s *script, _ int, c net.Conn, r *bufio.Reader) {
+	old := newScriptedBackend(t, func(s *scriptedBackend, _ int, c net.Conn, r *bufio.Reader) {
 		for {
-			if _, _, err := s.take(r); err != nil {
+			if _, _, err := s.readRequest(r); err != nil {
 				return
 			}
 			<-release
-			io.WriteString(c, ok)
+			io.WriteString(c, okAnswer)
 		}
 	})
-	fresh := newScript(t, echo)
+	fresh := newScriptedBackend(t, echo)
 	e := newEntry(t, Config{}, old.address)
 	e.table.Services["names"][0].Slots = 1
 	var table atomic.Pointer[tackroute.Table]
@@ -108,7 +105,7 @@
 		running.Go(func() { exchange(t, e.address, request("POST", "/names", "Content-Length: 0")) })
 	}
 	s := e.service(&e.table, "names")
-	await(t, "one runs and one waits", func() bool {
+	waitUntil(t, "one request runs and one waits", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.gate.Waiting() == 1 && s.chooser.InFlight("w-0") == 1
@@ -118,13 +115,13 @@
 	table.Store(&next)
 	close(release)
 	running.Wait()
-	if old.runs() != 1 || fresh.runs() != 1 {
-		t.Errorf("%d executions on the one that left, %d on the other, want 1 and 1", old.runs(), fresh.runs())
+	if old.executions() != 1 || fresh.executions() != 1 {
+		t.Errorf("%d executions on the removed backend server, %d on the new one, want 1 and 1", old.executions(), fresh.executions())
 	}
 }
 
 func TestExpectContinue(t *testing.T) {
-	backend := newScript(t, echo)
+	backend := newScriptedBackend(t, echo)
 	e := newEntry(t, Config{}, backend.address)
 	for name, test := range map[string]struct {
 		length int
@@ -158,12 +155,12 @@
 	}
 }
 
-// Symptom: an entry VM runs out of memory or connections.
-// Sequence: callers begin a header or a body and send no more.
-// Cause: nothing bounded the wait for the rest.
+// Callers that stop sending in the middle of a header or a body must be
+// disconnected. Otherwise they exhaust the memory and connections of the entry
+// VM.
 func TestSlowCallersAreCut(t *testing.T) {
-	backend := newScript(t, echo)
-	limits := quick()
+	backend := newScriptedBackend(t, echo)
+	limits := shortLimits()
 	limits.HeaderWait = 200 * tackclock.Millisecond
 	e := newEntry(t, Config{Limits: limits}, backend.address)
 	if got := exchange(t, e.address, "GET /names HTTP/1.1\r\nHost:"); strings.Contains(got, "200") {
@@ -171,19 +168,18 @@
 	}
 	got := exchange(t, e.address, request("POST", "/names", "Content-Length: 5")+"he")
 	assertOwn(t, got, http.StatusRequestTimeout, codeSlowBody, tackledger.OutcomeDidNotRun)
-	if n := backend.runs(); n != 0 {
+	if n := backend.executions(); n != 0 {
 		t.Errorf("%d executions", n)
 	}
 	streamed := exchange(t, e.address, request("POST", "/names", "Content-Length: 2000000")+"he")
-	if strings.Contains(streamed, "200 OK") || backend.runs() != 0 {
+	if strings.Contains(streamed, "200 OK") || backend.executions() != 0 {
 		t.Errorf("half a body got %q", streamed)
 	}
-	await(t, "nothing is in flight", func() bool { return e.Idle("w-0") })
+	waitUntil(t, "nothing is in flight", func() bool { return e.Idle("w-0") })
 }
 
-// Symptom: the memory of an entry VM grows with the size of what passes.
-// Sequence: large bodies are sent both ways.
-// Cause: a body was held instead of passed on.
+// Large bodies must be streamed in both directions, so that the memory of an
+// entry VM doesn't grow with their size.
 func TestStreamsAtFlatMemory(t *testing.T) {
 	const size = 256 << 20
 	if grown := streamed(t, size); grown > 4<<20 {
@@ -191,7 +187,7 @@
 	}
 }
 
-// BenchmarkStream sends 1 GiB both ways. Run it with -benchtime 1x.
+// BenchmarkStream sends 1 GiB in each direction. Run it with -benchtime 1x.
 func BenchmarkStream(b *testing.B) {
 	const size = 1 << 30
 	b.SetBytes(2 * size)
@@ -200,11 +196,11 @@
 	}
 }
 
-// streamed sends size bytes both ways and returns how many bytes were
+// streamed sends size bytes in each direction and returns how many bytes were
 // allocated meanwhile by callers, the entry VM and the backend server.
 func streamed(t testing.TB, size int64) uint64 {
 	t.Helper()
-	backend := newScript(t, func(_ *script, _ int, c net.Conn, r *bufio.Reader) {
+	backend := newScriptedBackend(t, func(_ *scriptedBackend, _ int, c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
@@ -235,14 +231,13 @@
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// Symptom: the answer to a large upload is cut or never begins.
-// Sequence: the backend server answers before it has read the whole body; the
-// caller sends the rest once it has seen the answer begin.
-// Cause: the server takes the rest of a request's body for itself once the
-// answer begins, and the backend server waits for it in vain.
+// If the backend server answers before it has read a large upload, the rest of
+// the upload must still reach it. By default the HTTP server discards the rest
+// of the request body once the answer begins, so the backend server waited for
+// it until the answer was truncated.
 func TestEarlyAnswerToUpload(t *testing.T) {
 	const size, rest = 2 << 20, 100 << 10
-	backend := newScript(t, func(_ *script, _ int, c net.Conn, r *bufio.Reader) {
+	backend := newScriptedBackend(t, func(_ *scriptedBackend, _ int, c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
@@ -279,16 +274,15 @@
 	return len(p), nil
 }
 
-// Symptom: a request that was accepted is cut by a planned stop.
-// Sequence: the entry VM is told to stop while requests run.
-// Cause: the stop did not wait for them.
+// A planned stop must wait for the requests in progress.
 func TestShutdownFinishesWhatRuns(t *testing.T) {
 	release := make(chan struct{})
-	backend := newScript(t, func(s *script, n int, c net.Conn, r *bufio.Reader) {
-		s.take(r)
+	backend := newScriptedBackend(t, func(s *scriptedBackend, n int, c net.Conn, r *bufio.Reader) {
+		s.readRequest(r)
 		<-release
-		// It closes the connection, and says so: otherwise a request that
-		// waits for one may take this one and rightly gets no answer.
+		// Announce that the connection will be closed. Otherwise a request that
+		// waits for a connection might reuse this one, and rightly get no
+		// answer.
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok")
 	})
 	h := newEntry(t, Config{}, backend.address)
@@ -305,13 +299,13 @@
 			assertContains(t, got, "HTTP/1.1 200 OK\r\n", "Connection: close\r\n", "\r\n\r\nok")
 		})
 	}
-	await(t, "they run", func() bool { return h.InFlight("w-0") == 8 })
+	waitUntil(t, "all requests run", func() bool { return h.InFlight("w-0") == 8 })
 	running.Go(func() {
 		if err := server.Shutdown(t.Context()); err != nil {
 			t.Error(err)
 		}
 	})
-	await(t, "the stop has begun", func() bool {
+	waitUntil(t, "the stop has begun", func() bool {
 		_, err := net.Dial("tcp", l.Addr().String())
 		return err != nil
 	})
@@ -319,16 +313,14 @@
 	running.Wait()
 }
 
-// Symptom: a line break that a caller sent forges a line of the log, or a body
-// is found there.
-// Sequence: callers send malformed and unusual requests.
-// Cause: what they sent was logged as it came.
+// Data that callers send must not be logged unquoted: a line break in it could
+// forge a line of the log. Bodies must not be logged at all.
 func TestNothingOfCallersIsLoggedRaw(t *testing.T) {
 	var out bytes.Buffer
 	logger := logrus.New()
 	logger.SetOutput(&out)
 	logger.SetLevel(logrus.DebugLevel)
-	backend := newScript(t, say(""))
+	backend := newScriptedBackend(t, answerWith(""))
 	e := newEntry(t, Config{Logger: logger}, backend.address)
 	for _, text := range []string{
 		"GET /names\x1b[31m HTTP/1.1\r\n\r\n",
--- a/io/tackhttp/conn.go
+++ b/io/tackhttp/conn.go
@@ -8,46 +8,47 @@
 )
 
 var (
-	errSealed       = errors.New("the dispatch was given up before a byte of it left")
-	errSecondSend   = errors.New("a dispatch may use one connection only")
-	errUnheld       = errors.New("write on a connection that no dispatch holds")
-	errUnsolicited  = errors.New("the backend server sent bytes that nobody asked for")
-	errClosedOnIdle = errors.New("the backend server closed the idle connection")
+	errSealed       = errors.New("dispatch was abandoned before a byte of it was sent")
+	errSecondSend   = errors.New("dispatch has already used another connection")
+	errNoOwner      = errors.New("write on a connection without a dispatch")
+	errUnsolicited  = errors.New("backend server sent unsolicited data")
+	errClosedOnIdle = errors.New("backend server closed the idle connection")
 )
 
 type (
 	// dispatch is one attempt to have a request run by a backend server. It
-	// knows for sure whether a byte of the request may have left.
+	// tracks whether a byte of the request may have been sent.
 	dispatch struct {
 		mu     sync.Mutex
-		conn   *backendConn // the one connection that it wrote to
+		conn   *backendConn // the only connection that may be written to; nil until the first write
 		sealed bool
 	}
 
 	// backendConn is a connection to a backend server. Every byte that
-	// http.Transport writes passes through it, so that it can hold back what
-	// must not leave:
+	// http.Transport sends is written through it, so that it can prevent three
+	// kinds of writes:
 	//
-	// The transport writes from a goroutine of its own, which may still run
-	// after RoundTrip has returned an error. A request that was reported as
-	// not run would then leave after all. A sealed dispatch lets nothing
-	// through.
+	// The transport writes in its own goroutine, which may still run after
+	// RoundTrip has returned an error. A request that was reported as not run
+	// would then be sent nevertheless. A sealed dispatch can't send its first
+	// byte.
 	//
-	// The transport sends a request again on another connection when a reused
-	// one breaks, for methods that it takes as idempotent and for any method
-	// with an Idempotency-Key and no body. The backend server would run it
-	// twice. A dispatch that has sent a byte is bound to its connection.
+	// If a reused connection breaks, the transport resends the request on
+	// another one if the method is idempotent, and for any method if the
+	// request has an Idempotency-Key and no body. The backend server would run
+	// the request twice. A dispatch that has sent a byte is bound to its
+	// connection.
 	//
-	// The transport puts a connection back into its pool before it looks
-	// whether the backend server sent more than one answer. A request that
-	// takes it in between is given the second answer, that of another caller.
-	// The first byte of a dispatch waits until the transport's reader is
-	// blocked in Read, which it is only with an empty buffer, and leaves only
-	// if the socket holds nothing either.
+	// The transport returns a connection to its pool before it checks whether
+	// the backend server sent more than one answer. A request that reuses the
+	// connection in between would receive the second answer, which belongs to
+	// another caller. The first byte of a dispatch is therefore held until the
+	// transport's reader blocks in Read, which it does only when its buffer is
+	// empty, and is sent only if the socket has no unread data either.
 	backendConn struct {
 		net.Conn
-		peeker *peeker // used by the one goroutine that writes
-		held   atomic.Pointer[dispatch]
+		peeker *peeker // used only by the goroutine that writes
+		owner  atomic.Pointer[dispatch]
 
 		mu      sync.Mutex
 		cond    sync.Cond
@@ -72,9 +73,9 @@
 
 // Write implements net.Conn.
 func (c *backendConn) Write(p []byte) (int, error) {
-	d := c.held.Load()
+	d := c.owner.Load()
 	if d == nil {
-		return 0, errUnheld
+		return 0, errNoOwner
 	}
 	first, err := d.send(c)
 	if err != nil {
@@ -105,8 +106,8 @@
 	c.mu.Unlock()
 }
 
-// ready waits until the reader has nothing left of an earlier answer, and
-// returns an error if the connection can't carry a request.
+// ready waits until the reader has consumed the previous answer. It returns an
+// error if the connection can't carry another request.
 func (c *backendConn) ready() error {
 	c.mu.Lock()
 	for !c.reading && !c.closed {
@@ -120,7 +121,8 @@
 	return c.peeker.pending()
 }
 
-// send asks to write to c. First is true for the first write of the dispatch.
+// send requests permission to write to c. It reports whether this is the first
+// write of the dispatch.
 func (d *dispatch) send(c *backendConn) (first bool, err error) {
 	d.mu.Lock()
 	holder := d.conn
@@ -144,15 +146,15 @@
 	return true, nil
 }
 
-// unsend takes back a first write of which the system took no byte.
+// unsend reverts a first write of which no byte was accepted by the kernel.
 func (d *dispatch) unsend() {
 	d.mu.Lock()
 	d.conn = nil
 	d.mu.Unlock()
 }
 
-// seal lets no first byte leave from now on. It reports whether one may have
-// left before.
+// seal forbids a first write from now on. It reports whether a byte may already
+// have been sent.
 func (d *dispatch) seal() (sent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -160,7 +162,7 @@
 	return d.conn != nil
 }
 
-// sent reports whether a byte of the dispatch may have left.
+// sent reports whether a byte of the dispatch may have been sent.
 func (d *dispatch) sent() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/io/tackhttp/conn_linux.go
+++ b/io/tackhttp/conn_linux.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// tcpUserTimeout is TCP_USER_TIMEOUT of tcp(7), which package syscall lacks.
+// tcpUserTimeout is TCP_USER_TIMEOUT of tcp(7), which package syscall does not
+// define.
 const tcpUserTimeout = 18
 
-// peeker looks at what a socket holds. It is made once for a connection,
+// peeker checks a socket for unread data. Each connection has one of its own,
 // since it is used for every request.
 type peeker struct {
-	raw  syscall.RawConn // nil where there is no socket
-	look func(fd uintptr)
+	raw  syscall.RawConn // nil if the connection is not a socket
+	peek func(fd uintptr)
 	n    int
 	err  error
 }
 
 func newPeeker(c net.Conn) *peeker {
 	p := new(peeker)
-	p.look = func(fd uintptr) {
+	p.peek = func(fd uintptr) {
 		var buf [1]byte
 		p.n, _, p.err = syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	}
@@ -32,13 +33,13 @@
 	return p
 }
 
-// pending returns an error if the socket holds bytes that were not read yet,
-// or its end. It doesn't block and takes nothing out.
+// pending returns an error if the socket has unread data or was closed by the
+// other end. It doesn't block and consumes nothing.
 func (p *peeker) pending() error {
 	if p.raw == nil {
 		return nil
 	}
-	err := p.raw.Control(p.look)
+	err := p.raw.Control(p.peek)
 	switch {
 	case err != nil:
 		return err
@@ -52,10 +53,10 @@
 	return errUnsolicited
 }
 
-// setUserTimeout makes the system break a connection on which sent bytes stay
-// unacknowledged for d. Without it a connection that something between the two
-// ends has lost track of looks alive until its retransmissions run out, which
-// takes a quarter of an hour.
+// setUserTimeout makes the kernel close a connection if sent data stays
+// unacknowledged for d. Otherwise a connection whose state was lost by a device
+// between the two ends, such as a firewall, appears to be alive until its
+// retransmissions are exhausted, which takes a quarter of an hour.
 func setUserTimeout(raw syscall.RawConn, d time.Duration) error {
 	var setErr error
 	err := raw.Control(func(fd uintptr) {
--- a/io/tackhttp/conn_other.go
+++ b/io/tackhttp/conn_other.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
-// peeker finds nothing on this system: a connection that the backend server
-// closed or misused is only found once the request has left.
+// peeker detects nothing on this system: a connection that the backend server
+// has closed, or on which it sent unsolicited data, is detected only after the
+// request was sent.
 type peeker struct{}
 
 func newPeeker(net.Conn) *peeker { return new(peeker) }
 
 func (*peeker) pending() error { return nil }
 
-// setUserTimeout does nothing on this system; the waits for progress apply.
+// setUserTimeout does nothing on this system; only the progress timeouts apply.
 func setUserTimeout(syscall.RawConn, time.Duration) error { return nil }
--- a/io/tackhttp/conn_test.go
+++ b/io/tackhttp/conn_test.go
@@ -9,8 +9,9 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-// pipe returns a backendConn whose reader counts as blocked, and its far end.
-func pipe(t *testing.T) (*backendConn, net.Conn) {
+// newBackendPair returns a backendConn that is ready for a request, and the
+// other end of the connection.
+func newBackendPair(t *testing.T) (*backendConn, net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,12 +35,10 @@
 	return c, far
 }
 
-// Symptom: a request that was reported as not run has run after all, or one
-// has run twice.
-// Sequence: the transport writes a request after the dispatch was given up, to
-// a second connection, or to one that the backend server has closed.
-// Cause: the transport writes from a goroutine of its own, and takes it upon
-// itself to send again.
+// No byte may be sent after the dispatch was sealed, on a second connection, or
+// on a connection that the backend server has closed. The transport writes from
+// its own goroutine and resends requests by itself, so a request that was
+// reported as not run could otherwise run, or one could run twice.
 func TestWritesAreHeldBack(t *testing.T) {
 	for name, test := range map[string]struct {
 		prepare func(d *dispatch, c *backendConn, far net.Conn)
@@ -48,7 +47,7 @@
 	}{
 		"free":     {func(*dispatch, *backendConn, net.Conn) {}, nil, true},
 		"sealed":   {func(d *dispatch, _ *backendConn, _ net.Conn) { d.seal() }, errSealed, false},
-		"not held": {func(_ *dispatch, c *backendConn, _ net.Conn) { c.held.Store(nil) }, errUnheld, false},
+		"not held": {func(_ *dispatch, c *backendConn, _ net.Conn) { c.owner.Store(nil) }, errNoOwner, false},
 		"second":   {func(d *dispatch, _ *backendConn, _ net.Conn) { d.conn = new(backendConn) }, errSecondSend, true},
 		"closed":   {func(_ *dispatch, _ *backendConn, far net.Conn) { far.Close() }, errClosedOnIdle, false},
 		"unasked":  {func(_ *dispatch, _ *backendConn, far net.Conn) { far.Write([]byte("x")) }, errUnsolicited, false},
@@ -59,9 +58,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			convey.Convey("A first write", t, func() {
-				c, far := pipe(t)
+				c, far := newBackendPair(t)
 				var d dispatch
-				c.held.Store(&d)
+				c.owner.Store(&d)
 				test.prepare(&d, c, far)
 				if test.want == errClosedOnIdle || test.want == errUnsolicited {
 					awaitPending(t, c)
@@ -74,7 +73,7 @@
 	}
 }
 
-// awaitPending waits until what the far end did has arrived.
+// awaitPending waits until data or the end of the connection has arrived.
 func awaitPending(t *testing.T, c *backendConn) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); c.peeker.pending() == nil; {
--- a/io/tackhttp/deliver.go
+++ b/io/tackhttp/deliver.go
@@ -11,32 +11,33 @@
 	"auburntack/core/tackroute"
 )
 
-var answered = []string{tackledger.OutcomeAnswered.String()}
+var answeredHeader = []string{tackledger.OutcomeAnswered.String()}
 
-// deliver passes the answer on to the caller, whole or cut, and ends the
-// attempt. An answer that breaks off panics with http.ErrAbortHandler, which
-// makes the server close the caller's connection without the answer's end: the
-// caller could otherwise take the part for the whole.
+// deliver passes the answer on to the caller and ends the attempt. If the
+// answer breaks off, it panics with http.ErrAbortHandler, so that the server
+// closes the caller's connection without completing the answer; otherwise the
+// caller could take a part of the answer for all of it.
 func (a *attempt) deliver(c *call) *failure {
-	defer a.free()
+	defer a.releaseBuffer()
 	result := tackroute.Answered
 	if a.resp.StatusCode >= http.StatusInternalServerError {
 		result = tackroute.Failed
 	}
-	if a.whole {
-		// The backend server has done its part; its slot doesn't wait for a
-		// caller that takes its answer slowly.
+	if a.complete {
+		// The backend server has finished: release its slot now rather than
+		// when a slow caller has received the answer.
 		a.end(result)
-		c.leave()
+		c.release()
 	}
 	c.status, c.outcome = a.resp.StatusCode, tackledger.OutcomeAnswered
-	c.begin(a.resp)
-	if !a.whole {
-		a.copyAll(c)
-	} else if len(a.head) > 0 {
-		// A short answer holds nothing but the caller's connection, on which
-		// TCP_USER_TIMEOUT finds a caller that takes nothing.
-		c.w.Write(a.head)
+	c.writeHeader(a.resp)
+	if !a.complete {
+		a.copyBody(c)
+	} else if len(a.body) > 0 {
+		// No deadline is needed: a short answer occupies only the caller's
+		// connection, on which TCP_USER_TIMEOUT detects a caller that receives
+		// nothing.
+		c.w.Write(a.body)
 	}
 	addTrailers(c.w.Header(), a.resp)
 	a.end(result)
@@ -44,55 +45,54 @@
 	return nil
 }
 
-// begin writes the answer's head.
-func (c *call) begin(resp *http.Response) {
+// writeHeader writes the status and header of the answer.
+func (c *call) writeHeader(resp *http.Response) {
 	h := c.w.Header()
 	copyAnswerHeader(h, resp.Header)
-	c.plainHeader(h)
+	c.markAnswered(h)
 	if len(resp.Trailer) > 0 {
 		for name := range resp.Trailer {
-			if passesBack(name) {
+			if passesToCaller(name) {
 				h.Add("Trailer", name)
 			}
 		}
 	}
-	if endsByClose(c.r, resp) {
-		// The backend server marks the end by closing, so nobody can tell
-		// whether the answer is whole. It is passed on in the same way;
-		// chunks would vouch for the end.
+	if closeDelimited(c.r, resp) {
+		// The answer ends when the backend server closes the connection, so it
+		// can't be known whether it is complete. It is passed on in the same
+		// form; chunked encoding would mark it as complete.
 		h["Transfer-Encoding"] = []string{"identity"}
 	}
 	c.w.WriteHeader(resp.StatusCode)
 }
 
-// plainHeader marks an answer as a backend server's, and keeps the server from
-// adding what that one didn't say.
-func (c *call) plainHeader(h http.Header) {
-	h[headerOutcome] = answered
+// markAnswered marks an answer as a backend server's, and keeps the server from
+// adding a Content-Type that the backend server did not send.
+func (c *call) markAnswered(h http.Header) {
+	h[headerOutcome] = answeredHeader
 	if _, ok := h["Content-Type"]; !ok {
 		h["Content-Type"] = nil
 	}
 }
 
-// endsByClose reports whether the end of the connection is the end of the
-// answer.
-func endsByClose(r *http.Request, resp *http.Response) bool {
+// closeDelimited reports whether the answer ends when the connection is closed.
+func closeDelimited(r *http.Request, resp *http.Response) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && r.Method != http.MethodHead
 }
 
-// write passes bytes on, and gives up on a caller that takes none for too
-// long.
+// write passes bytes on to the caller. It fails if the caller accepts none for
+// too long.
 func (c *call) write(p []byte) bool {
 	rc := http.NewResponseController(c.w)
-	rc.SetWriteDeadline(time.Now().Add(c.h.limits.CallerWait.Std()))
+	rc.SetWriteDeadline(time.Now().Add(c.h.limits.CallerWriteTimeout.Std()))
 	_, err := c.w.Write(p)
 	return err == nil
 }
 
-// copyAll passes on a body that is read as it comes.
-func (a *attempt) copyAll(c *call) {
-	if !c.write(a.head) {
-		a.cut(tackroute.Cancelled)
+// copyBody passes on a body that was not read completely.
+func (a *attempt) copyBody(c *call) {
+	if !c.write(a.body) {
+		a.abort(tackroute.Cancelled)
 	}
 	if a.buf == nil {
 		a.buf = c.h.buffers.Get().(*[bufferSize]byte)
@@ -101,42 +101,42 @@
 	rc := http.NewResponseController(c.w)
 	for {
 		if flush {
-			// What comes in pieces is passed on in pieces.
+			// The length is unknown: pass on each part as it arrives.
 			rc.Flush()
 		}
-		a.wait(c.h.limits.BodyWait)
+		a.resetTimer(c.h.limits.BodyWait)
 		n, err := a.resp.Body.Read(a.buf[:])
-		a.watch.Stop() // while the caller takes its time
+		a.timer.Stop() // while the caller receives
 		if n > 0 && !c.write(a.buf[:n]) {
 			c.h.meters.callersGone.Inc(1)
-			c.gone = true
-			a.cut(tackroute.Cancelled)
+			c.callerGone = true
+			a.abort(tackroute.Cancelled)
 		}
 		if errors.Is(err, io.EOF) {
 			return
 		}
 		if err != nil {
-			a.cutOff(c)
+			a.abortAfterError(c)
 		}
 	}
 }
 
-// cutOff ends an answer that broke off.
-func (a *attempt) cutOff(c *call) {
+// abortAfterError aborts an answer after an error reading its body.
+func (a *attempt) abortAfterError(c *call) {
 	if c.r.Context().Err() != nil {
-		c.gone = true
+		c.callerGone = true
 		c.h.meters.callersGone.Inc(1)
-		a.cut(tackroute.Cancelled)
+		a.abort(tackroute.Cancelled)
 	}
 	if a.ctx.Err() != nil {
 		c.h.meters.silent.Inc(1)
-		a.cut(tackroute.Silent)
+		a.abort(tackroute.Silent)
 	}
-	a.cut(tackroute.Failed)
+	a.abort(tackroute.Failed)
 }
 
-// cut closes the caller's connection in the middle of the answer.
-func (a *attempt) cut(result tackroute.Result) {
+// abort closes the caller's connection before the end of the answer.
+func (a *attempt) abort(result tackroute.Result) {
 	a.call.outcome = tackledger.OutcomeUnknown
 	a.call.h.meters.cut.Inc(1)
 	a.end(result)
@@ -147,7 +147,7 @@
 func addTrailers(h http.Header, resp *http.Response) {
 	announced := h["Trailer"]
 	for name, values := range resp.Trailer {
-		if !passesBack(name) {
+		if !passesToCaller(name) {
 			continue
 		}
 		if !contains(announced, name) {
@@ -157,14 +157,14 @@
 	}
 }
 
-// inform passes an informational answer on. The transport waits meanwhile, so
-// nothing else writes to the caller.
-func (a *attempt) inform(code int, header http.Header) {
+// writeInformational passes an informational answer on. The transport waits
+// until it returns, so there is no concurrent write to the caller.
+func (a *attempt) writeInformational(code int, header http.Header) {
 	c := a.call
 	h := c.w.Header()
 	var added []string
 	for name, values := range header {
-		if passesBack(name) && !strings.EqualFold(name, "Content-Length") {
+		if passesToCaller(name) && !strings.EqualFold(name, "Content-Length") {
 			h[name] = values
 			added = append(added, name)
 		}
--- a/io/tackhttp/handler.go
+++ b/io/tackhttp/handler.go
@@ -1,10 +1,11 @@
-// Package tackhttp is the caller port: it takes the requests of callers and
-// has each run by a backend server of the service that it names.
+// Package tackhttp implements the caller port: it accepts the requests of
+// callers and has each run by a backend server of the service that it names.
 //
-// A request passes admission, is sent over one connection and gets one answer,
-// whole or cut. What is sent again, and where, is decided in core; this
-// package knows for sure whether a byte of a request has left, and says
-// did_not_run of no other request.
+// A request passes admission control, is sent over one connection and gets one
+// answer, which is either complete or visibly truncated. Package tackretry
+// decides whether it is sent again and package tackroute where; this package
+// tracks whether a byte of a request may have been sent, and reports
+// did_not_run only if none was or the backend server refused to run it.
 package tackhttp
 
 import (
@@ -29,16 +30,16 @@
 )
 
 type (
-	// Ledger holds the records of idempotency keys. Claim returns once the
-	// record is durable on a majority; any error means that the claim may or
-	// may not be recorded, and the request is not dispatched.
+	// Ledger stores the records of idempotency keys. Claim returns once the
+	// record is durable on a majority. After an error the claim may or may not
+	// be recorded, and the request is not dispatched.
 	Ledger interface {
 		Claim(ctx context.Context, b tackledger.Begin) (tackledger.Claim, error)
 		Finish(ctx context.Context, f tackledger.Finish) error
 	}
 
-	// Lookuper is a Ledger that can look a record up without a write. The
-	// handler trusts Recorded and Mismatch only, which are final.
+	// Lookuper is a Ledger that can look up a record locally, without a write.
+	// Only the kinds Recorded and Mismatch are final.
 	Lookuper interface {
 		Lookup(id tackledger.ID, print tackledger.Fingerprint) tackledger.Claim
 	}
@@ -48,22 +49,22 @@
 		Count(r Result)
 	}
 
-	// Result is the end of one request, for a Meter. Took is from its arrival
-	// to the last byte of its answer.
+	// Result describes how one request ended, for a Meter. Took is the time
+	// from its arrival to the last byte of its answer.
 	Result struct {
-		Service  tackid.Service
-		Team     tackid.Team
-		Class    tackid.Class
-		Outcome  tackledger.Outcome
-		Status   int
-		Late     bool // ended after the caller's deadline
-		Gone     bool // the caller hung up first
-		Took     tackclock.Duration
-		Dispatch int // how many times it was sent to a backend server
+		Service    tackid.Service
+		Team       tackid.Team
+		Class      tackid.Class
+		Outcome    tackledger.Outcome
+		Status     int
+		Late       bool // ended after the caller's deadline
+		Gone       bool // the caller closed its connection before the end
+		Took       tackclock.Duration
+		Dispatches int // number of times it was sent to a backend server
 	}
 
-	// Config is what a Handler needs. Self, Routes and Ledger must be set; a
-	// nil Ledger refuses requests with a key.
+	// Config configures a Handler. Self and Routes must be set. Without a
+	// Ledger, requests with a key are refused.
 	Config struct {
 		Self     tackid.Peer
 		Home     tackid.DataCentre
@@ -74,42 +75,42 @@
 		Logger   logrus.FieldLogger
 		Registry metrics.Registry
 		Ledger   Ledger
-		// Routes returns the table to route by, nil while there is none.
+		// Routes returns the current routing table, or nil if there is none.
 		Routes func() *tackroute.Table
-		// Ready reports whether requests are taken at all; nil means always.
-		// It stays true while a planned stop lingers.
+		// Ready reports whether requests are accepted; nil means always. It
+		// stays true during the linger time of a planned stop.
 		Ready func() bool
 		Meter Meter
 	}
 
-	// Handler serves the caller port. Use New.
+	// Handler serves the caller port. It must be created by New.
 	Handler struct {
-		cfg     Config
-		limits  Limits
-		clock   *tackclock.Clock
-		log     logrus.FieldLogger
-		meters  meters
-		sender  sender
-		quotas  quotas
-		asides  asides
-		life    tackledger.InstanceID
-		prefix  string // of the request ids of this process
-		ids     atomic.Uint64
-		buffers sync.Pool
-		held    atomic.Int64 // bytes reserved for buffered bodies
-		leaving atomic.Bool
+		cfg           Config
+		limits        Limits
+		clock         *tackclock.Clock
+		log           logrus.FieldLogger
+		meters        meters
+		sender        sender
+		quotas        quotas
+		failing       failingJobs
+		instance      tackledger.InstanceID
+		prefix        string // of the request ids of this process
+		ids           atomic.Uint64
+		buffers       sync.Pool
+		bufferedBytes atomic.Int64 // bytes reserved for buffered request bodies
+		closeConns    atomic.Bool
 
 		mu       sync.RWMutex
 		services map[tackid.Service]*service
 		ticking  bool
 		stopped  bool
 
-		running sync.WaitGroup // requests and finishes under way
+		running sync.WaitGroup // requests, and outcomes being recorded
 		stop    chan struct{}
 	}
 )
 
-// New returns a Handler. Shutdown ends it.
+// New returns a Handler. Call Shutdown to stop it.
 func New(cfg Config) *Handler {
 	if cfg.Clock == nil {
 		cfg.Clock = new(tackclock.Clock)
@@ -122,19 +123,19 @@
 	if cfg.Registry == nil {
 		cfg.Registry = metrics.NewRegistry()
 	}
-	life := rand.Uint64()
+	instance := rand.Uint64()
 	h := &Handler{
 		cfg:      cfg,
 		limits:   cfg.Limits.withDefaults(),
 		clock:    cfg.Clock,
 		log:      cfg.Logger,
 		meters:   newMeters(cfg.Registry),
-		life:     tackledger.InstanceID(life),
-		prefix:   fmt.Sprintf("%s-%012x-", cfg.Self, life&(1<<48-1)),
+		instance: tackledger.InstanceID(instance),
+		prefix:   fmt.Sprintf("%s-%012x-", cfg.Self, instance&(1<<48-1)),
 		services: make(map[tackid.Service]*service),
 		stop:     make(chan struct{}),
 	}
-	h.asides.seed = maphash.MakeSeed()
+	h.failing.seed = maphash.MakeSeed()
 	h.buffers.New = func() any { return new([bufferSize]byte) }
 	h.sender.init(h.limits, &h.meters)
 	return h
@@ -145,7 +146,7 @@
 	h.running.Add(1)
 	defer h.running.Done()
 	c := &call{h: h, w: w, r: r, began: h.clock.Now()}
-	if h.leaving.Load() {
+	if h.closeConns.Load() {
 		w.Header()["Connection"] = []string{"close"}
 	}
 	defer c.count()
@@ -154,25 +155,25 @@
 	}
 }
 
-// InFlight returns how many requests are being run on a VM.
+// InFlight returns the number of requests in flight on a VM.
 func (h *Handler) InFlight(vm tackid.VM) int {
 	n := 0
-	for _, s := range h.all() {
+	for _, s := range h.allServices() {
 		n += s.inFlight(vm)
 	}
 	return n
 }
 
-// Idle reports whether nothing is being run on a VM.
+// Idle reports whether no request is in flight on a VM.
 func (h *Handler) Idle(vm tackid.VM) bool {
 	return h.InFlight(vm) == 0
 }
 
-// Loads returns for each service how many requests this entry VM has in flight
-// on each of its backend servers.
+// Loads returns, by service, the number of requests that this entry VM has in
+// flight on each backend server.
 func (h *Handler) Loads() map[tackid.Service][]tackroute.Load {
 	loads := make(map[tackid.Service][]tackroute.Load)
-	for _, s := range h.all() {
+	for _, s := range h.allServices() {
 		if l := s.loads(); len(l) > 0 {
 			loads[s.name] = l
 		}
@@ -180,15 +181,16 @@
 	return loads
 }
 
-// Leave makes every answer from now on ask its caller to close the connection,
-// so that callers come back by way of the balancer. Requests are still taken.
+// Leave makes every further answer ask its caller to close the connection, so
+// that callers reconnect through the load balancer. Requests are still
+// accepted.
 func (h *Handler) Leave() {
-	h.leaving.Store(true)
+	h.closeConns.Store(true)
 }
 
-// Shutdown waits for what runs and for the records of what ran, and closes the
-// connections to the backend servers. No request may come in after it was
-// called. It returns the context's error if that ends first.
+// Shutdown waits until all requests have ended and their outcomes are recorded,
+// and closes the idle connections to the backend servers. No request may arrive
+// after it was called. If ctx ends first, it returns the context's error.
 func (h *Handler) Shutdown(ctx context.Context) error {
 	h.mu.Lock()
 	if !h.stopped {
@@ -206,11 +208,12 @@
 	case <-done:
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("tackhttp: stopped with requests under way: %w", ctx.Err())
+		return fmt.Errorf("tackhttp: stopped with requests in progress: %w", ctx.Err())
 	}
 }
 
-// service returns the state of a service that the table knows, or nil.
+// service returns the state of a service, or nil if the table does not contain
+// the service.
 func (h *Handler) service(table *tackroute.Table, name tackid.Service) *service {
 	if _, known := table.Services[name]; !known {
 		return nil
@@ -233,7 +236,7 @@
 	return h.services[name]
 }
 
-func (h *Handler) all() []*service {
+func (h *Handler) allServices() []*service {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	all := make([]*service, 0, len(h.services))
@@ -243,15 +246,15 @@
 	return all
 }
 
-// tries returns how often a request may be dispatched.
-func (h *Handler) tries() int {
+// maxTries returns the maximum number of dispatches of one request.
+func (h *Handler) maxTries() int {
 	if h.cfg.Retry.MaxTries > 0 {
 		return h.cfg.Retry.MaxTries
 	}
 	return defaultTries
 }
 
-// table returns the table to route by, nil while there is none.
+// table returns the current routing table, or nil if there is none.
 func (h *Handler) table() *tackroute.Table {
 	if h.cfg.Routes == nil {
 		return nil
--- a/io/tackhttp/handler_test.go
+++ b/io/tackhttp/handler_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestPassesThrough(t *testing.T) {
-	backend := newScript(t, echo)
+	backend := newScriptedBackend(t, echo)
 	e := newEntry(t, Config{}, backend.address)
 	for name, test := range map[string]struct{ send, want string }{
 		"get":   {request("GET", "/names/a%2Fb?x=1&y"), "GET /names/a%2Fb?x=1&y "},
@@ -27,12 +27,12 @@
 	}
 }
 
-// Symptom: one request of a caller is seen as two by the next server on the
-// way, and the second is answered to somebody else.
-// Sequence: a request arrives whose length can be read in two ways.
-// Cause: net/http accepts Content-Length beside chunks and drops it unseen.
+// Requests whose length can be parsed in two ways must be refused. Otherwise
+// another server on the way could see one request as two. net/http accepts
+// Content-Length together with chunked encoding, and drops the length before
+// the handler can see it.
 func TestRefusesSmugglingShapes(t *testing.T) {
-	backend := newScript(t, echo)
+	backend := newScriptedBackend(t, echo)
 	e := newEntry(t, Config{}, backend.address)
 	chunks := "0\r\n\r\n"
 	for name, text := range map[string]string{
@@ -61,7 +61,7 @@
 			assertStatusBelow(t, got, "HTTP/1.1 4", "HTTP/1.1 501")
 		})
 	}
-	if n := backend.runs(); n != 0 {
+	if n := backend.executions(); n != 0 {
 		t.Errorf("%d of them reached the backend server", n)
 	}
 }
@@ -76,20 +76,18 @@
 	t.Errorf("not refused: %q", got)
 }
 
-// Symptom: a backend server takes one dispatch for another, or works on for a
-// caller whose time is over.
-// Sequence: a caller sends header fields of auburntack, or marks fields as
-// meant for one connection.
-// Cause: they were passed on as they came.
+// Header fields of auburntack that callers must not set, and hop-by-hop fields,
+// must not be passed on to a backend server. Otherwise it could confuse two
+// dispatches, or continue to work for a caller whose time is up.
 func TestRequestHeaderCannotBeForged(t *testing.T) {
 	seen := make(chan http.Header, 1)
-	backend := newScript(t, func(s *script, _ int, c net.Conn, r *bufio.Reader) {
-		req, _, err := s.take(r)
+	backend := newScriptedBackend(t, func(s *scriptedBackend, _ int, c net.Conn, r *bufio.Reader) {
+		req, _, err := s.readRequest(r)
 		if err != nil {
 			return
 		}
 		seen <- req.Header
-		io.WriteString(c, ok)
+		io.WriteString(c, okAnswer)
 	})
 	e := newEntry(t, Config{}, backend.address)
 	exchange(t, e.address, request("GET", "/names", "Auburntack-Request-Id: forged", "Auburntack-Outcome: did_not_run",
@@ -111,7 +109,7 @@
 }
 
 func TestOwnAnswers(t *testing.T) {
-	backend := newScript(t, echo)
+	backend := newScriptedBackend(t, echo)
 	e := newEntry(t, Config{}, backend.address)
 	none := newEntry(t, Config{})
 	dead := newEntry(t, Config{}, "127.0.0.1:1")
@@ -134,7 +132,7 @@
 			assertOwn(t, exchange(t, test.e.address, test.send), test.status, test.code, tackledger.OutcomeDidNotRun)
 		})
 	}
-	if n := backend.runs(); n != 0 {
+	if n := backend.executions(); n != 0 {
 		t.Errorf("%d refused requests ran", n)
 	}
 }
--- a/io/tackhttp/harness_test.go
+++ b/io/tackhttp/harness_test.go
@@ -30,17 +30,18 @@
 	goleak.VerifyTestMain(m)
 }
 
-// peers counts the entry VMs of all tests, so that each has a name of its own.
+// peers counts the entry VMs of all tests, so that each has a unique name.
 var peers atomic.Int64
 
-// entry is an entry VM on loopback with a table that a test sets.
+// entry is an entry VM on loopback whose routing table is set by the test.
 type entry struct {
 	*Handler
 	address string
 	table   tackroute.Table
 }
 
-// newEntry serves the service "names" by the given backend servers.
+// newEntry starts an entry VM that routes the service "names" to the given
+// backend servers.
 func newEntry(t testing.TB, cfg Config, backends ...string) *entry {
 	t.Helper()
 	e := &entry{table: tackroute.Table{Services: map[tackid.Service][]tackroute.Candidate{"names": nil}, Peers: 1}}
@@ -85,21 +86,21 @@
 	return c.Count()
 }
 
-// script is a backend server on raw sockets: for each connection it runs play
-// with the number of the connection, from 0.
-type script struct {
+// scriptedBackend is a backend server on raw sockets. It calls handle for each
+// connection, with the connection's number, from 0.
+type scriptedBackend struct {
 	address string
 	mu      sync.Mutex
 	seen    map[string]int // executions by request id
 }
 
-func newScript(t testing.TB, play func(s *script, n int, c net.Conn, r *bufio.Reader)) *script {
+func newScriptedBackend(t testing.TB, handle func(s *scriptedBackend, n int, c net.Conn, r *bufio.Reader)) *scriptedBackend {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &script{address: l.Addr().String(), seen: make(map[string]int)}
+	s := &scriptedBackend{address: l.Addr().String(), seen: make(map[string]int)}
 	var running sync.WaitGroup
 	var conns sync.Map
 	running.Go(func() {
@@ -111,7 +112,7 @@
 			conns.Store(c, true)
 			running.Go(func() {
 				defer c.Close()
-				play(s, n, c, bufio.NewReader(c))
+				handle(s, n, c, bufio.NewReader(c))
 			})
 		}
 	})
@@ -126,8 +127,8 @@
 	return s
 }
 
-// take reads a request whole and counts it as executed.
-func (s *script) take(r *bufio.Reader) (*http.Request, string, error) {
+// readRequest reads a complete request and counts it as executed.
+func (s *scriptedBackend) readRequest(r *bufio.Reader) (*http.Request, string, error) {
 	req, err := http.ReadRequest(r)
 	if err != nil {
 		return nil, "", err
@@ -142,8 +143,8 @@
 	return req, string(body), nil
 }
 
-// runs returns how many requests were executed.
-func (s *script) runs() int {
+// executions returns the number of requests executed.
+func (s *scriptedBackend) executions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -154,9 +155,9 @@
 }
 
 // echo answers each request with its method, target and body.
-func echo(s *script, _ int, c net.Conn, r *bufio.Reader) {
+func echo(s *scriptedBackend, _ int, c net.Conn, r *bufio.Reader) {
 	for {
-		req, body, err := s.take(r)
+		req, body, err := s.readRequest(r)
 		if err != nil {
 			return
 		}
@@ -168,8 +169,8 @@
 	}
 }
 
-// exchange sends text on a connection of its own and returns all that comes
-// back until the other end closes.
+// exchange sends text on a new connection and returns everything received until
+// the other end closes it.
 func exchange(t testing.TB, address, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -183,7 +184,7 @@
 	return string(got)
 }
 
-// get builds a request for exchange.
+// request builds a request for exchange.
 func request(method, target string, lines ...string) string {
 	all := append([]string{method + " " + target + " HTTP/1.1", "Host: names", "Connection: close"}, lines...)
 	return strings.Join(all, "\r\n") + "\r\n\r\n"
@@ -198,7 +199,7 @@
 	}
 }
 
-// assertOwn checks an answer that auburntack makes itself.
+// assertOwn checks an answer that auburntack itself generated.
 func assertOwn(t testing.TB, got string, status int, code Code, outcome tackledger.Outcome) {
 	t.Helper()
 	assertContains(t, got,
@@ -211,11 +212,11 @@
 	}
 }
 
-// quick are limits that let a test see a silent end soon.
-func quick() Limits {
+// shortLimits returns limits with short timeouts.
+func shortLimits() Limits {
 	return Limits{
-		BodyWait:  500 * tackclock.Millisecond,
-		FirstByte: 500 * tackclock.Millisecond,
-		DialWait:  500 * tackclock.Millisecond,
+		BodyWait:         500 * tackclock.Millisecond,
+		FirstByteTimeout: 500 * tackclock.Millisecond,
+		DialTimeout:      500 * tackclock.Millisecond,
 	}
 }
--- a/io/tackhttp/header.go
+++ b/io/tackhttp/header.go
@@ -18,8 +18,8 @@
 	ownPrefix = "Auburntack-"
 )
 
-// hopByHop reports whether a header field is for one connection only and is
-// never passed on.
+// hopByHop reports whether a header field is hop-by-hop, so that it is never
+// passed on.
 func hopByHop(name string) bool {
 	switch name {
 	case "Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
@@ -29,9 +29,9 @@
 	return false
 }
 
-// connectionNames returns the fields that Connection declares to be for one
-// connection only, in canonical form.
-func connectionNames(h http.Header) []string {
+// connectionOptions returns, in canonical form, the names of the fields that
+// Connection declares to be hop-by-hop.
+func connectionOptions(h http.Header) []string {
 	values := h["Connection"]
 	if len(values) == 0 {
 		return nil
@@ -45,7 +45,7 @@
 	return names
 }
 
-// contains reports whether names has name. The lists are short.
+// contains reports whether names contains name. The lists are short.
 func contains(names []string, name string) bool {
 	for _, n := range names {
 		if n == name {
@@ -55,43 +55,46 @@
 	return false
 }
 
-// requestHeader returns what of a caller's header goes to a backend server. Of
-// the fields of auburntack itself only those that the caller is to set pass; a
-// caller could otherwise give a dispatch the id of another.
+// requestHeader returns the part of a caller's header that is sent to a backend
+// server. Of the fields with ownPrefix only those that callers may set are
+// passed on; otherwise a caller could give its request the id of another
+// dispatch.
 func requestHeader(h http.Header) http.Header {
-	named := connectionNames(h)
+	named := connectionOptions(h)
 	out := make(http.Header, len(h)+2)
 	for name, values := range h {
 		switch {
 		case hopByHop(name) || contains(named, name):
 		case name == "Expect":
-			// The caller port has answered it or will; a backend server that
-			// answered it too would make two.
+			// The caller port itself sends 100 Continue. If the backend server
+			// did so too, the caller would get two.
 		case strings.HasPrefix(name, ownPrefix) && name != headerTeam && name != headerClass:
 		default:
 			out[name] = values
 		}
 	}
-	// The transport would add its own name where the caller gave none.
+	// The transport would add its own User-Agent if the caller sent none.
 	if _, ok := out["User-Agent"]; !ok {
 		out["User-Agent"] = []string{""}
 	}
 	return out
 }
 
-// copyAnswerHeader adds what of a backend server's header goes to the caller
-// to dst. Fields of auburntack itself are left out: a backend server could
-// otherwise say in our name that a request did not run.
+// copyAnswerHeader copies to dst the part of a backend server's header that is
+// passed on to the caller. Fields with ownPrefix are omitted; otherwise a
+// backend server could claim in the name of auburntack that a request did not
+// run.
 func copyAnswerHeader(dst, src http.Header) {
-	named := connectionNames(src)
+	named := connectionOptions(src)
 	for name, values := range src {
-		if passesBack(name) && !contains(named, name) {
+		if passesToCaller(name) && !contains(named, name) {
 			dst[name] = values
 		}
 	}
 }
 
-// passesBack reports whether a field of an answer may go to the caller.
-func passesBack(name string) bool {
+// passesToCaller reports whether a field of an answer may be passed on to the
+// caller.
+func passesToCaller(name string) bool {
 	return !hopByHop(name) && !strings.HasPrefix(name, ownPrefix)
 }
--- a/io/tackhttp/keyed.go
+++ b/io/tackhttp/keyed.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// claimMargin is added to the time within which a claimed request ends.
-	// It covers the wait for the record of its answer.
+	// claimMargin is added to the time after which a claim without an outcome
+	// becomes unknown. It covers the wait for the record of the answer.
 	claimMargin = 10 * tackclock.Second
 
 	firstFinishPause = 50 * time.Millisecond
 	maxFinishPause   = 2 * time.Second
 )
 
-// serveKeyed serves a request with an idempotency key: its work runs at most
-// once. The claim is durable before the first byte leaves. Its record is
-// settled before the answer goes out, so that a caller that has an answer gets
-// the same one again.
+// serveKeyed serves a request with an idempotency key, whose work runs at most
+// once. The claim is durable before the first byte of the request is sent. The
+// outcome is recorded before the answer is sent, so that a caller that has
+// received an answer gets the same one for a repeat.
 func (c *call) serveKeyed() *failure {
 	if c.h.cfg.Ledger == nil {
 		return refusal(http.StatusServiceUnavailable, codeNoLedger, "this VM keeps no records of keys", tackclock.Second)
@@ -34,34 +34,33 @@
 	print := tackledger.NewFingerprint(c.r.Method, c.r.RequestURI, c.body)
 	known := c.lookup(id, print)
 	if known.Kind == tackledger.Recorded || known.Kind == tackledger.Mismatch {
-		return c.repeat(known)
+		return c.answerRepeat(known)
 	}
-	if f := c.enter(); f != nil {
+	if f := c.admit(); f != nil {
 		return c.refuseKeyed(id, print, f)
 	}
-	defer c.leave()
+	defer c.release()
 	claim, f := c.claim(id, print)
 	if f != nil {
 		return c.refuseKeyed(id, print, f)
 	}
 	if claim.Kind != tackledger.Claimed {
-		return c.repeat(claim)
+		return c.answerRepeat(claim)
 	}
 	return c.runOnce(id)
 }
 
-// refuseKeyed returns the refusal f, unless it is known here that an earlier
-// request with the key may have run the work: the caller must not be told then
-// that it did not run. What other VMs know is not asked; f speaks of this
-// request.
+// refuseKeyed returns the refusal f, unless this VM knows that an earlier
+// request with the key may have run: then the caller must not be told that the
+// work did not run. Other VMs are not asked, as f concerns this request only.
 func (c *call) refuseKeyed(id tackledger.ID, print tackledger.Fingerprint, f *failure) *failure {
 	if known := c.lookup(id, print); known.Kind != tackledger.Claimed {
-		return c.repeat(known)
+		return c.answerRepeat(known)
 	}
 	return f
 }
 
-// lookup returns what this VM knows of the key, Mine where that is nothing.
+// lookup returns what this VM knows of the key, or Claimed if it knows nothing.
 func (c *call) lookup(id tackledger.ID, print tackledger.Fingerprint) tackledger.Claim {
 	if l, ok := c.h.cfg.Ledger.(Lookuper); ok {
 		return l.Lookup(id, print)
@@ -69,9 +68,9 @@
 	return tackledger.Claim{Kind: tackledger.Claimed}
 }
 
-// claim asks for the key.
+// claim claims the key for this request.
 func (c *call) claim(id tackledger.ID, print tackledger.Fingerprint) (tackledger.Claim, *failure) {
-	left := c.left()
+	left := c.timeLeft()
 	ctx, cancel := context.WithTimeout(c.r.Context(), left.Std())
 	defer cancel()
 	claim, err := c.h.cfg.Ledger.Claim(ctx, tackledger.Begin{
@@ -79,42 +78,42 @@
 		Fingerprint: print,
 		Request:     c.requestID(),
 		Peer:        c.h.cfg.Self,
-		Instance:    c.h.life,
+		Instance:    c.h.instance,
 		Timeout:     left + claimMargin,
 	})
 	if err == nil {
 		return claim, nil
 	}
-	// The claim may still be recorded later. Its release, which may overtake
-	// it, keeps the key from being stuck.
-	c.h.log.WithError(err).Debug("claim failed")
-	c.h.settleLater(c.finish(id, tackledger.OutcomeDidNotRun))
+	c.h.log.WithError(err).Debug("claiming an idempotency key failed")
+	// The claim may still be recorded later, even after its release. Without
+	// the release the key would be blocked.
+	c.h.recordFinishLater(c.finish(id, tackledger.OutcomeDidNotRun))
 	return claim, refusal(http.StatusServiceUnavailable, codeNoLedger, "the key's record can't be made durable", tackclock.Second)
 }
 
-// runOnce dispatches a request that holds its key.
+// runOnce dispatches a request that has claimed its key.
 func (c *call) runOnce(id tackledger.ID) *failure {
 	settled := false
 	defer func() {
-		// A panic on the way leaves the outcome open.
+		// After a panic the outcome is unknown.
 		if !settled {
-			c.h.settleLater(c.finish(id, tackledger.OutcomeUnknown))
+			c.h.recordFinishLater(c.finish(id, tackledger.OutcomeUnknown))
 		}
 	}()
 	a, f := c.dispatchAll()
 	if f == nil {
-		f = a.collect(c)
+		f = a.readRecordable(c)
 	}
 	if f != nil {
 		settled = true
-		c.h.settle(c.finish(id, f.outcome()))
+		c.h.recordFinish(c.finish(id, f.outcome()))
 		return f
 	}
 	a.stampDate()
 	finish := c.finish(id, tackledger.OutcomeAnswered)
 	finish.Answer = a.record(c)
 	settled = true
-	c.h.settle(finish)
+	c.h.recordFinish(finish)
 	return a.deliver(c)
 }
 
@@ -122,39 +121,41 @@
 	return tackledger.Finish{ID: id, Request: c.requestID(), Outcome: outcome}
 }
 
-// collect reads on until the body is whole or larger than what is kept.
-func (a *attempt) collect(c *call) *failure {
-	if a.whole {
+// readRecordable continues to read until the body is complete or exceeds the
+// size that can be recorded.
+func (a *attempt) readRecordable(c *call) *failure {
+	if a.complete {
 		return nil
 	}
-	body := slices.Clone(a.head)
+	collected := slices.Clone(a.body)
 	limit := c.h.limits.RecordBody
-	for len(body) <= limit {
-		a.wait(c.h.limits.BodyWait)
+	for len(collected) <= limit {
+		a.resetTimer(c.h.limits.BodyWait)
 		n, err := a.resp.Body.Read(a.buf[:])
-		body = append(body, a.buf[:n]...)
+		collected = append(collected, a.buf[:n]...)
 		if errors.Is(err, io.EOF) {
-			a.whole = true
+			a.complete = true
 			break
 		}
 		if err != nil {
 			return a.failed(err)
 		}
 	}
-	a.head = body
+	a.body = collected
 	return nil
 }
 
-// stampDate gives an answer that has no Date the time at which it came. The server
-// adds one to each answer that it writes, so without it a repeat would carry another
-// time than the first answer, which is when the work's answer was made.
+// stampDate sets the Date of an answer without one to the current time.
+// Otherwise the server would add the time of writing to each answer, and a
+// repeat would have a different Date than the first answer. The Date is the
+// time at which the answer was generated.
 func (a *attempt) stampDate() {
 	if a.resp.Header.Get("Date") == "" {
 		a.resp.Header.Set("Date", time.Now().UTC().Format(http.TimeFormat))
 	}
 }
 
-// record returns the answer as it is kept.
+// record returns the answer in the form in which it is recorded.
 func (a *attempt) record(c *call) tackledger.Answer {
 	header := make(http.Header, len(a.resp.Header))
 	copyAnswerHeader(header, a.resp.Header)
@@ -163,26 +164,26 @@
 		answer.Header = append(answer.Header, tackledger.Field{Name: name, Values: values})
 	}
 	slices.SortFunc(answer.Header, func(x, y tackledger.Field) int { return strings.Compare(x.Name, y.Name) })
-	if !a.whole || len(a.head) > c.h.limits.RecordBody || endsByClose(c.r, a.resp) {
+	if !a.complete || len(a.body) > c.h.limits.RecordBody || closeDelimited(c.r, a.resp) {
 		answer.Truncated = true
 		return answer
 	}
-	answer.Body = slices.Clone(a.head)
+	answer.Body = slices.Clone(a.body)
 	return answer
 }
 
-// repeat answers a request whose key was used before.
-func (c *call) repeat(claim tackledger.Claim) *failure {
+// answerRepeat answers a request whose key was used before.
+func (c *call) answerRepeat(claim tackledger.Claim) *failure {
 	c.h.meters.repeats.Inc(1)
 	switch claim.Kind {
 	case tackledger.Recorded:
 		if claim.Answer.Truncated {
-			return unknown(http.StatusGone, codeAnswerNotKept, "the work of this key ran; its answer was too large to keep")
+			return unknownOutcome(http.StatusGone, codeAnswerNotKept, "the work of this key ran; its answer was too large to keep")
 		}
 		c.replay(claim.Answer)
 		return nil
 	case tackledger.Running:
-		f := unknown(http.StatusConflict, codeKeyRunning, "the work of this key is running")
+		f := unknownOutcome(http.StatusConflict, codeKeyRunning, "the work of this key is running")
 		f.retryAfter = tackclock.Second
 		return f
 	case tackledger.Mismatch:
@@ -192,7 +193,7 @@
 	case tackledger.Full:
 		return refusal(http.StatusServiceUnavailable, codeLedgerFull, "no further key can be recorded now", tackclock.Minute)
 	}
-	return unknown(http.StatusGatewayTimeout, codeKeyUnknown, "the work of this key may have run, its outcome is unknown")
+	return unknownOutcome(http.StatusGatewayTimeout, codeKeyUnknown, "the work of this key may have run, its outcome is unknown")
 }
 
 // replay writes a recorded answer.
@@ -202,7 +203,7 @@
 	for _, f := range answer.Header {
 		h[f.Name] = f.Values
 	}
-	c.plainHeader(h)
+	c.markAnswered(h)
 	c.w.WriteHeader(answer.Status)
 	if len(answer.Body) > 0 {
 		c.write(answer.Body)
@@ -210,25 +211,26 @@
 	c.h.meters.answered.Inc(1)
 }
 
-// settle records an outcome. The answer waits for it, but not for long: where
-// no majority can be reached it is recorded in the background.
-func (h *Handler) settle(f tackledger.Finish) {
+// recordFinish records an outcome before the answer is sent. If that takes too
+// long because no majority can be reached, it is recorded in the background.
+func (h *Handler) recordFinish(f tackledger.Finish) {
 	if h.tryFinish(f) != nil {
-		h.settleLater(f)
+		h.recordFinishLater(f)
 	}
 }
 
-// settleLater records an outcome in the background. If it can't be recorded
-// within the bound, repeats of the key are told that its outcome is unknown.
-func (h *Handler) settleLater(f tackledger.Finish) {
+// recordFinishLater records an outcome in the background. If that fails for
+// longer than Limits.FinishRetryTimeout, repeats of the key are told that its
+// outcome is unknown.
+func (h *Handler) recordFinishLater(f tackledger.Finish) {
 	h.running.Add(1)
-	go h.keepFinishing(f)
+	go h.retryFinish(f)
 }
 
-func (h *Handler) keepFinishing(f tackledger.Finish) {
+func (h *Handler) retryFinish(f tackledger.Finish) {
 	defer h.running.Done()
 	pause := firstFinishPause
-	for end := time.Now().Add(h.limits.FinishRetry.Std()); time.Now().Before(end); {
+	for end := time.Now().Add(h.limits.FinishRetryTimeout.Std()); time.Now().Before(end); {
 		if h.tryFinish(f) == nil {
 			return
 		}
@@ -245,7 +247,7 @@
 }
 
 func (h *Handler) tryFinish(f tackledger.Finish) error {
-	ctx, cancel := context.WithTimeout(context.Background(), h.limits.FinishWait.Std())
+	ctx, cancel := context.WithTimeout(context.Background(), h.limits.FinishTimeout.Std())
 	defer cancel()
 	return h.cfg.Ledger.Finish(ctx, f)
 }
--- a/io/tackhttp/keyed_test.go
+++ b/io/tackhttp/keyed_test.go
@@ -19,32 +19,33 @@
 	"auburntack/core/tackledger"
 )
 
-var errLost = errors.New("no majority")
+var errNoMajority = errors.New("no majority")
 
-// majority is the replicated ledger, shared by the entry VMs of a test.
-type majority struct {
+// fakeLedger stands in for the replicated ledger; the entry VMs of a test share
+// it.
+type fakeLedger struct {
 	mu    sync.Mutex
 	state tackledger.State
 	rev   tackid.Revision
 	now   tackclock.Time
-	lose  func(c tackledger.Change) (late bool, err error)
+	drop  func(c tackledger.Change) (late bool, err error)
 	late  []tackledger.Change
 }
 
-func (m *majority) Claim(_ context.Context, b tackledger.Begin) (tackledger.Claim, error) {
+func (m *fakeLedger) Claim(_ context.Context, b tackledger.Begin) (tackledger.Claim, error) {
 	return m.propose(tackledger.Change{Begin: &b})
 }
 
-func (m *majority) Finish(_ context.Context, f tackledger.Finish) error {
+func (m *fakeLedger) Finish(_ context.Context, f tackledger.Finish) error {
 	_, err := m.propose(tackledger.Change{Finish: &f})
 	return err
 }
 
-func (m *majority) propose(c tackledger.Change) (tackledger.Claim, error) {
+func (m *fakeLedger) propose(c tackledger.Change) (tackledger.Claim, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.lose != nil {
-		if late, err := m.lose(c); err != nil {
+	if m.drop != nil {
+		if late, err := m.drop(c); err != nil {
 			if late {
 				m.late = append(m.late, c)
 			}
@@ -54,12 +55,12 @@
 	return m.apply(c), nil
 }
 
-func (m *majority) apply(c tackledger.Change) tackledger.Claim {
+func (m *fakeLedger) apply(c tackledger.Change) tackledger.Claim {
 	m.rev++
 	return m.state.Apply(m.rev, m.now, c)
 }
 
-func (m *majority) advance(d tackclock.Duration) {
+func (m *fakeLedger) advance(d tackclock.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.now = m.now.Add(d)
@@ -69,13 +70,11 @@
 	return request(method, "/names/x", "Idempotency-Key: "+key, fmt.Sprintf("Content-Length: %d", len(body))) + body
 }
 
-// Symptom: a Notice is sent twice.
-// Sequence: a caller repeats a request through several entry VMs at the same
-// moment and later.
-// Cause: each of them dispatched it.
+// A request with a key must run once, even if the caller repeats it through
+// several entry VMs, concurrently and later.
 func TestKeyRunsOnce(t *testing.T) {
-	backend := newScript(t, echo)
-	ledger := new(majority)
+	backend := newScriptedBackend(t, echo)
+	ledger := new(fakeLedger)
 	var entries []*entry
 	for range 3 {
 		entries = append(entries, newEntry(t, Config{Ledger: ledger}, backend.address))
@@ -91,7 +90,7 @@
 		})
 	}
 	running.Wait()
-	if n := backend.runs(); n != 5 {
+	if n := backend.executions(); n != 5 {
 		t.Errorf("%d executions of 5 keys", n)
 	}
 	if got := exchange(t, entries[2].address, keyed("POST", "first", "{}")); got != want {
@@ -101,14 +100,12 @@
 	assertOwn(t, got, http.StatusUnprocessableEntity, codeKeyMismatch, tackledger.OutcomeDidNotRun)
 }
 
-// Symptom: the repeat of an answer differs from it in one line, its Date.
-// Sequence: a backend server answers without a Date; the caller repeats the request
-// after the clock's second has changed.
-// Cause: the record lacked the Date that the first caller was sent, so each answer
-// got its own. An answer's Date is when it was made, and a repeat makes none.
+// A repeated answer must have the Date of the first one, which is when the
+// answer was generated, even if the backend server sent none. Each answer got
+// its own when the record lacked the Date that the first caller received.
 func TestRepeatKeepsTheDate(t *testing.T) {
-	backend := newScript(t, echo)
-	ledger := new(majority)
+	backend := newScriptedBackend(t, echo)
+	ledger := new(fakeLedger)
 	e := newEntry(t, Config{Ledger: ledger}, backend.address)
 	first := exchange(t, e.address, keyed("POST", "dated", "{}"))
 	id := tackledger.ID{Service: "names", Key: "dated"}
@@ -129,13 +126,12 @@
 	}
 }
 
-// Symptom: after an entry VM died, a repeat of what it was running runs again.
-// Sequence: it claims the key and dies, before or after the dispatch; the
-// caller repeats the request through another one, at once and later.
-// Cause: a claim without an end was taken for one that did not run.
+// If an entry VM dies after claiming a key, before or after the dispatch,
+// repeats through another one must not run the request again, neither at once
+// nor later: a claim without an outcome may have run.
 func TestKeyOfDeadEntryIsUnknown(t *testing.T) {
-	backend := newScript(t, echo)
-	ledger := new(majority)
+	backend := newScriptedBackend(t, echo)
+	ledger := new(fakeLedger)
 	e := newEntry(t, Config{Ledger: ledger}, backend.address)
 	ledger.Claim(t.Context(), tackledger.Begin{
 		ID:          tackledger.ID{Service: "names", Key: "k"},
@@ -147,39 +143,38 @@
 	ledger.advance(2 * tackclock.Minute)
 	got = exchange(t, e.address, keyed("POST", "k", "{}"))
 	assertOwn(t, got, http.StatusGatewayTimeout, codeKeyUnknown, tackledger.OutcomeUnknown)
-	if n := backend.runs(); n != 0 {
+	if n := backend.executions(); n != 0 {
 		t.Errorf("%d executions", n)
 	}
 }
 
-// Symptom: a request with a key runs twice, or is refused for a day though it
-// never ran.
-// Sequence: the dispatch breaks off, is refused, or never gets a connection.
-// Cause: the claim was released, or kept, against what is known of the run.
+// After a failed dispatch the key must be released if the request did not run,
+// and kept if it may have run. Otherwise the request runs twice, or is refused
+// for a day although it never ran.
 func TestKeyAfterFailedDispatch(t *testing.T) {
 	for name, test := range map[string]struct {
-		play  func(*script, int, net.Conn, *bufio.Reader)
-		again func(t *testing.T, got string)
-		runs  int
+		handle func(*scriptedBackend, int, net.Conn, *bufio.Reader)
+		again  func(t *testing.T, got string)
+		runs   int
 	}{
-		"hangs up, then well": {firstThen(say("")), func(t *testing.T, got string) {
+		"hangs up, then well": {firstThen(answerWith("")), func(t *testing.T, got string) {
 			assertOwn(t, got, http.StatusGatewayTimeout, codeKeyUnknown, tackledger.OutcomeUnknown)
 		}, 1},
-		"short, then well": {firstThen(say(ok[:len(ok)-1])), func(t *testing.T, got string) {
+		"short, then well": {firstThen(answerWith(okAnswer[:len(okAnswer)-1])), func(t *testing.T, got string) {
 			assertOwn(t, got, http.StatusGatewayTimeout, codeKeyUnknown, tackledger.OutcomeUnknown)
 		}, 1},
-		"refuses, then well": {firstThen(say("HTTP/1.1 503 Busy\r\nAuburntack-Outcome: did_not_run\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")), func(t *testing.T, got string) {
+		"refuses, then well": {firstThen(answerWith("HTTP/1.1 503 Busy\r\nAuburntack-Outcome: did_not_run\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")), func(t *testing.T, got string) {
 			assertContains(t, got, "HTTP/1.1 200 OK\r\n")
 		}, 2},
 	} {
 		for _, method := range []string{"POST", "GET", "PUT"} {
 			t.Run(name+" "+method, func(t *testing.T) {
-				backend := newScript(t, test.play)
-				e := newEntry(t, Config{Ledger: new(majority)}, backend.address, backend.address)
+				backend := newScriptedBackend(t, test.handle)
+				e := newEntry(t, Config{Ledger: new(fakeLedger)}, backend.address, backend.address)
 				e.fillBudget()
 				exchange(t, e.address, keyed(method, "k", "{}"))
 				test.again(t, exchange(t, e.address, keyed(method, "k", "{}")))
-				if n := backend.runs(); n != test.runs {
+				if n := backend.executions(); n != test.runs {
 					t.Errorf("%d executions, want %d", n, test.runs)
 				}
 			})
@@ -187,50 +182,49 @@
 	}
 }
 
-// firstThen plays the first connection by play and the others by echo.
-func firstThen(play func(*script, int, net.Conn, *bufio.Reader)) func(*script, int, net.Conn, *bufio.Reader) {
-	return func(s *script, n int, c net.Conn, r *bufio.Reader) {
+// firstThen returns a handler that uses handle for the first connection and
+// echo for the others.
+func firstThen(handle func(*scriptedBackend, int, net.Conn, *bufio.Reader)) func(*scriptedBackend, int, net.Conn, *bufio.Reader) {
+	return func(s *scriptedBackend, n int, c net.Conn, r *bufio.Reader) {
 		if n == 0 {
-			play(s, n, c, r)
+			handle(s, n, c, r)
 			return
 		}
 		echo(s, n, c, r)
 	}
 }
 
-// Symptom: a request is dispatched without a durable record, or its key is
-// stuck though its caller was told did_not_run.
-// Sequence: the claim finds no majority in time and is applied later.
-// Cause: an error of the ledger was taken for a yes, or the late claim had
-// nobody to end it.
+// A request whose claim could not be recorded in time must not be dispatched,
+// and the claim must be released even if it is recorded later. Otherwise the
+// key stays blocked although the caller was told did_not_run.
 func TestLostClaim(t *testing.T) {
 	convey.Convey("With a claim that is lost and applied later", t, func() {
-		backend := newScript(t, echo)
-		ledger := new(majority)
+		backend := newScriptedBackend(t, echo)
+		ledger := new(fakeLedger)
 		first := true
-		ledger.lose = func(c tackledger.Change) (bool, error) {
+		ledger.drop = func(c tackledger.Change) (bool, error) {
 			if c.Begin != nil && first {
 				first = false
-				return true, errLost
+				return true, errNoMajority
 			}
 			return false, nil
 		}
 		e := newEntry(t, Config{Ledger: ledger}, backend.address)
 		assertOwn(t, exchange(t, e.address, keyed("POST", "k", "{}")), http.StatusServiceUnavailable, codeNoLedger, tackledger.OutcomeDidNotRun)
-		convey.So(backend.runs(), convey.ShouldEqual, 0)
+		convey.So(backend.executions(), convey.ShouldEqual, 0)
 		convey.So(e.Handler.Shutdown(t.Context()), convey.ShouldBeNil) // the release is recorded
 		ledger.mu.Lock()
 		ledger.apply(ledger.late[0])
 		ledger.mu.Unlock()
 		assertContains(t, exchange(t, e.address, keyed("POST", "k", "{}")), "HTTP/1.1 200 OK\r\n")
-		convey.So(backend.runs(), convey.ShouldEqual, 1)
+		convey.So(backend.executions(), convey.ShouldEqual, 1)
 	})
 }
 
 func TestLargeAnswerIsNotKept(t *testing.T) {
 	body := strings.Repeat("x", 100)
-	backend := newScript(t, say(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n%s", body)))
-	e := newEntry(t, Config{Ledger: new(majority), Limits: Limits{RecordBody: 99}}, backend.address)
+	backend := newScriptedBackend(t, answerWith(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n%s", body)))
+	e := newEntry(t, Config{Ledger: new(fakeLedger), Limits: Limits{RecordBody: 99}}, backend.address)
 	assertContains(t, exchange(t, e.address, keyed("POST", "k", "{}")), body)
 	got := exchange(t, e.address, keyed("POST", "k", "{}"))
 	assertOwn(t, got, http.StatusGone, codeAnswerNotKept, tackledger.OutcomeUnknown)
@@ -238,18 +232,17 @@
 	assertOwn(t, got, http.StatusRequestEntityTooLarge, codeTooLarge, tackledger.OutcomeDidNotRun)
 }
 
-// Symptom: a caller that has its answer repeats the request and is told that
+// If the outcome of a request can't be recorded at first, it must be retried.
+// Otherwise a caller that has its answer and repeats the request is told that
 // it is still running.
-// Sequence: no majority is found for the record of the answer; it is later.
-// Cause: the record was tried once only.
 func TestFinishIsTriedAgain(t *testing.T) {
-	backend := newScript(t, echo)
-	ledger := new(majority)
+	backend := newScriptedBackend(t, echo)
+	ledger := new(fakeLedger)
 	lost := 0
-	ledger.lose = func(c tackledger.Change) (bool, error) {
+	ledger.drop = func(c tackledger.Change) (bool, error) {
 		if c.Finish != nil && lost < 3 {
 			lost++
-			return false, errLost
+			return false, errNoMajority
 		}
 		return false, nil
 	}
@@ -257,7 +250,7 @@
 	assertContains(t, exchange(t, e.address, keyed("POST", "k", "{}")), "HTTP/1.1 200 OK\r\n")
 	e.running.Wait()
 	assertContains(t, exchange(t, e.address, keyed("POST", "k", "{}")), "HTTP/1.1 200 OK\r\n")
-	if n := backend.runs(); n != 1 {
+	if n := backend.executions(); n != 1 {
 		t.Errorf("%d executions", n)
 	}
 }
--- a/io/tackhttp/metrics.go
+++ b/io/tackhttp/metrics.go
@@ -2,11 +2,11 @@
 
 import "github.com/rcrowley/go-metrics"
 
-// sampleSize is how many recent values a histogram is computed from.
+// sampleSize is the number of values from which a histogram is computed.
 const sampleSize = 1028
 
-// meters are the metrics of the caller port, as docs/metrics/caller.md lists
-// them.
+// meters holds the metrics of the caller port, which are documented in
+// docs/metrics/caller.md.
 type meters struct {
 	registry metrics.Registry
 
@@ -59,7 +59,7 @@
 	}
 }
 
-// failed counts an answer of auburntack's own by its outcome and code.
+// failed counts a failure by its outcome and code.
 func (m *meters) failed(f *failure) {
 	if f.didNotRun {
 		m.refused.Inc(1)
--- a/io/tackhttp/overload_test.go
+++ b/io/tackhttp/overload_test.go
@@ -12,55 +12,56 @@
 )
 
 const (
-	slotWork    = 20 * time.Millisecond // of one request in a slot
-	slotsEach   = 8
-	overServers = 4
-	patience    = time.Second
-	overSpan    = 3 * time.Second
-	urgentPart  = 20 // one request in so many is urgent
+	workTime         = 20 * time.Millisecond // time for which a request occupies a slot
+	slotsPerServer   = 8
+	overloadServers  = 4
+	callerTimeout    = time.Second
+	overloadDuration = 3 * time.Second
+	urgentEvery      = 20 // one in this many requests is urgent
 )
 
-// executor is a backend server with a few slots that works on what it was
-// given whether the caller is still there or not, as many do.
-func executor() http.HandlerFunc {
-	slots := make(chan struct{}, slotsEach)
+// slottedBackend returns a backend server with a fixed number of slots. Like
+// many real ones, it completes requests whose caller is gone.
+func slottedBackend() http.HandlerFunc {
+	slots := make(chan struct{}, slotsPerServer)
 	return func(w http.ResponseWriter, _ *http.Request) {
 		slots <- struct{}{}
-		time.Sleep(slotWork)
+		time.Sleep(workTime)
 		<-slots
 		io.WriteString(w, "done")
 	}
 }
 
-// offered is what came of a load that does not wait for answers.
-type offered struct {
+// loadResult counts the outcomes of an open-loop load, whose requests are sent
+// at fixed times without waiting for answers.
+type loadResult struct {
 	good, refused, late, urgent, urgentGood atomic.Int64
 	slowestUrgent                           atomic.Int64 // nanoseconds
 }
 
-// offer sends rate requests a second, evenly spaced, for overSpan.
-func (o *offered) offer(client *http.Client, address string, rate int) {
+// offer sends rate requests per second, evenly spaced, for overloadDuration.
+func (o *loadResult) offer(client *http.Client, address string, rate int) {
 	var running sync.WaitGroup
 	begin := time.Now()
 	for n := 0; ; n++ {
 		due := begin.Add(time.Duration(n) * time.Second / time.Duration(rate))
-		if due.Sub(begin) >= overSpan {
+		if due.Sub(begin) >= overloadDuration {
 			break
 		}
 		time.Sleep(time.Until(due))
-		running.Go(func() { o.send(client, address, n%urgentPart == 0) })
+		running.Go(func() { o.send(client, address, n%urgentEvery == 0) })
 	}
 	running.Wait()
 }
 
-func (o *offered) send(client *http.Client, address string, urgent bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (o *loadResult) send(client *http.Client, address string, urgent bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/names/x", nil)
 	if err != nil {
 		return
 	}
-	req.Header.Set(headerTimeout, fmt.Sprint(patience.Milliseconds()))
+	req.Header.Set(headerTimeout, fmt.Sprint(callerTimeout.Milliseconds()))
 	if urgent {
 		req.Header.Set(headerClass, "urgent")
 		o.urgent.Add(1)
@@ -88,7 +89,7 @@
 	}
 }
 
-// BenchmarkGoodput offers a multiple of what the backend servers can do, to
+// BenchmarkGoodput offers multiples of the capacity of the backend servers to
 // the caller port and to a bare relay. Run it with -benchtime 1x.
 func BenchmarkGoodput(b *testing.B) {
 	capacity := measureCapacity(b)
@@ -97,14 +98,14 @@
 		for _, target := range []string{"relay", "caller_port"} {
 			b.Run(fmt.Sprintf("%v_times/%s", times, target), func(b *testing.B) {
 				var backends []string
-				for range overServers {
-					backends = append(backends, serve(b, executor()))
+				for range overloadServers {
+					backends = append(backends, serve(b, slottedBackend()))
 				}
-				address := overTarget(b, target, backends)
+				address := overloadTarget(b, target, backends)
 				client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096, MaxIdleConns: 4096}}
 				defer client.CloseIdleConnections()
 				for range b.N {
-					var o offered
+					var o loadResult
 					begin := time.Now()
 					o.offer(client, address, int(times*float64(capacity)))
 					span := time.Since(begin).Seconds() * float64(capacity)
@@ -119,19 +120,19 @@
 	}
 }
 
-// measureCapacity returns how many requests a second the backend servers
+// measureCapacity returns how many requests per second the backend servers
 // answer when they are called directly with all slots in use.
 func measureCapacity(b *testing.B) int {
 	var done atomic.Int64
 	var running sync.WaitGroup
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2 * slotsEach}}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2 * slotsPerServer}}
 	defer client.CloseIdleConnections()
 	begin := time.Now()
-	for range overServers {
-		address := serve(b, executor())
-		for range 2 * slotsEach {
+	for range overloadServers {
+		address := serve(b, slottedBackend())
+		for range 2 * slotsPerServer {
 			running.Go(func() {
-				for time.Since(begin) < overSpan {
+				for time.Since(begin) < overloadDuration {
 					resp, err := client.Get("http://" + address)
 					if err != nil {
 						return
@@ -147,16 +148,16 @@
 	return int(float64(done.Load()) / time.Since(begin).Seconds())
 }
 
-func overTarget(b *testing.B, target string, backends []string) string {
+func overloadTarget(b *testing.B, target string, backends []string) string {
 	if target == "relay" {
-		bare := &relay{backends: backends}
+		bare := &bareRelay{backends: backends}
 		bare.transport.MaxIdleConnsPerHost = 64
 		b.Cleanup(bare.transport.CloseIdleConnections)
 		return serve(b, bare)
 	}
 	e := newEntry(b, Config{}, backends...)
 	for i := range e.table.Services["names"] {
-		e.table.Services["names"][i].Slots = slotsEach
+		e.table.Services["names"][i].Slots = slotsPerServer
 	}
 	return e.address
 }
--- a/io/tackhttp/record_bench_test.go
+++ b/io/tackhttp/record_bench_test.go
@@ -12,8 +12,8 @@
 	"auburntack/io/tackdisk"
 )
 
-// jobChanges returns the two changes of a job with a key, encoded as they
-// stand in the log. The answer has a body of 100 bytes and 4 header fields.
+// jobChanges returns the two changes of a job with a key, in their encoding in
+// the log. The answer has a body of 100 bytes and 4 header fields.
 func jobChanges(b testing.TB, n int) [2][]byte {
 	b.Helper()
 	id := tackledger.ID{Service: "names-api", Team: "post", Key: tackid.Key(fmt.Sprintf("%032x", n))}
@@ -40,8 +40,8 @@
 	return out
 }
 
-// BenchmarkRecordOnDisk writes the two records of a job to the log of one
-// replica, with as many jobs in one sync as are named.
+// BenchmarkRecordOnDisk appends the two records of each job to the log of one
+// replica, with several jobs per sync.
 func BenchmarkRecordOnDisk(b *testing.B) {
 	for _, jobs := range []int{1, 8, 64} {
 		b.Run(fmt.Sprintf("%d_jobs_a_sync", jobs), func(b *testing.B) {
--- a/io/tackhttp/sender.go
+++ b/io/tackhttp/sender.go
@@ -10,53 +10,56 @@
 	"auburntack/core/tackclock"
 )
 
-// freshIdle is how long a connection may have been idle to carry a request
-// that must not run twice.
-const freshIdle = tackclock.Second
+// nonRetryableIdle is how long a connection may have been idle before it
+// carries a request that must not run twice.
+const nonRetryableIdle = tackclock.Second
 
-// forgetEvery is how often idle connections are given up at most.
-const forgetEvery = tackclock.Second
+// closeIdleInterval is the minimum time between two closings of all idle
+// connections.
+const closeIdleInterval = tackclock.Second
 
 // sender sends requests to backend servers.
 type sender struct {
 	dialer net.Dialer
 	meters *meters
 
-	// often carries requests that may be sent again. Once carries the others:
-	// its idle connections are given up sooner, since a request that meets a
-	// connection that has gone silent ends with an unknown outcome. Fresh
-	// opens a connection for each request, and carries the second tries: what
-	// has lost track of one connection has often lost all that were open.
-	often, once, fresh http.Transport
+	// retryable carries requests that may be sent again. nonRetryable carries
+	// the others: it closes idle connections sooner, since a request that is
+	// sent on a dead connection ends with an unknown outcome. noReuse opens a
+	// connection for each request and carries the retries: an event that kills
+	// one connection, such as the restart of a firewall, often kills all open
+	// ones.
+	retryable, nonRetryable, noReuse http.Transport
 
-	forgot atomic.Int64 // when the idle connections were last given up
+	idleClosed atomic.Int64 // time at which the idle connections were last closed
 }
 
 func (s *sender) init(limits Limits, m *meters) {
 	s.meters = m
 	s.dialer = net.Dialer{
-		Timeout: limits.DialWait.Std(),
+		Timeout: limits.DialTimeout.Std(),
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
-			Idle:     limits.UserTimeout.Std(),
-			Interval: limits.UserTimeout.Std() / 3,
+			Idle:     limits.TCPUserTimeout.Std(),
+			Interval: limits.TCPUserTimeout.Std() / 3,
 			Count:    3,
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
-			return setUserTimeout(raw, limits.UserTimeout.Std())
+			return setUserTimeout(raw, limits.TCPUserTimeout.Std())
 		},
 	}
-	s.prepare(&s.often, limits, limits.IdleWait)
-	s.prepare(&s.once, limits, min(freshIdle, limits.IdleWait))
-	s.prepare(&s.fresh, limits, limits.IdleWait)
-	// Together they keep no more than the limit, or the entry VMs would hold
-	// more connections than a backend server accepts.
-	s.often.MaxIdleConnsPerHost = (limits.Idle + 1) / 2
-	s.once.MaxIdleConnsPerHost = max(1, limits.Idle/2)
-	s.fresh.DisableKeepAlives = true
+	s.initTransport(&s.retryable, limits, limits.IdleConnTimeout)
+	s.initTransport(&s.nonRetryable, limits, min(nonRetryableIdle, limits.IdleConnTimeout))
+	s.initTransport(&s.noReuse, limits, limits.IdleConnTimeout)
+	// Together the transports keep no more idle connections than the limit;
+	// otherwise the entry VMs would hold more connections than a backend server
+	// accepts.
+	s.retryable.MaxIdleConnsPerHost = (limits.MaxIdleConns + 1) / 2
+	s.nonRetryable.MaxIdleConnsPerHost = max(1, limits.MaxIdleConns/2)
+	s.noReuse.DisableKeepAlives = true
 }
 
-func (s *sender) prepare(t *http.Transport, limits Limits, idle tackclock.Duration) {
+func (s *sender) initTransport(t *http.Transport, limits Limits, idle tackclock.Duration) {
 	t.DialContext = s.dial
 	t.DisableCompression = true
 	t.MaxIdleConns = 0
@@ -77,30 +80,30 @@
 	return newBackendConn(conn), nil
 }
 
-// transport returns the transport for a call.
+// transport returns the transport for the next dispatch of a call.
 func (s *sender) transport(c *call) *http.Transport {
 	switch {
 	case c.tries > 1:
-		return &s.fresh
-	case c.repeatable():
-		return &s.often
+		return &s.noReuse
+	case c.idempotent():
+		return &s.retryable
 	}
-	return &s.once
+	return &s.nonRetryable
 }
 
-// forgetIdle gives up all idle connections after one was found silent. Each of
-// them could otherwise cost a request its wait. It does so once a second at
-// most: one backend server that hangs must not cost all others their
-// connections again and again.
-func (s *sender) forgetIdle(now tackclock.Time) {
-	last := s.forgot.Load()
-	if now.Sub(tackclock.Time(last)) < forgetEvery || !s.forgot.CompareAndSwap(last, int64(now)) {
+// closeIdle closes all idle connections after one did not respond, since each
+// of them might be dead too and cost a request its timeout. It does so at most
+// once per closeIdleInterval, so that a single backend server that hangs
+// doesn't keep closing the connections to all others.
+func (s *sender) closeIdle(now tackclock.Time) {
+	last := s.idleClosed.Load()
+	if now.Sub(tackclock.Time(last)) < closeIdleInterval || !s.idleClosed.CompareAndSwap(last, int64(now)) {
 		return
 	}
 	s.close()
 }
 
 func (s *sender) close() {
-	s.often.CloseIdleConnections()
-	s.once.CloseIdleConnections()
+	s.retryable.CloseIdleConnections()
+	s.nonRetryable.CloseIdleConnections()
 }
--- a/io/tackhttp/server.go
+++ b/io/tackhttp/server.go
@@ -16,9 +16,9 @@
 	"auburntack/core/tackclock"
 )
 
-// writeSlack is added to the longest timeout that a caller may ask for. It
-// bounds an answer as a whole only where nothing else does.
-const writeSlack = tackclock.Hour
+// writeMargin is added to maxTimeout for the server's write timeout, which
+// limits the total time of an answer and is only a last resort.
+const writeMargin = tackclock.Hour
 
 type (
 	// Server serves a Handler on the caller port.
@@ -27,20 +27,20 @@
 		http http.Server
 	}
 
-	// callerKey is the context key of a caller's connection.
+	// callerKey is the context key of the caller's connection.
 	callerKey struct{}
 )
 
-// NewServer returns a Server for h. Close it by Shutdown.
+// NewServer returns a Server for h. Call Shutdown to stop it.
 func NewServer(h *Handler) *Server {
 	s := &Server{h: h}
 	s.http = http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: h.limits.HeaderWait.Std(),
-		IdleTimeout:       h.limits.CallerIdle.Std(),
-		WriteTimeout:      (maxTimeout + writeSlack).Std(),
+		IdleTimeout:       h.limits.CallerIdleTimeout.Std(),
+		WriteTimeout:      (maxTimeout + writeMargin).Std(),
 		MaxHeaderBytes:    h.limits.HeaderBytes,
-		ErrorLog:          log.New(quoted{h.log}, "", 0),
+		ErrorLog:          log.New(errorLogWriter{h.log}, "", 0),
 		ConnState:         connState,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, callerKey{}, c)
@@ -49,7 +49,7 @@
 	return s
 }
 
-// Listen listens on an address of the caller port.
+// Listen listens on an address for callers.
 func (s *Server) Listen(ctx context.Context, address string) (net.Listener, error) {
 	config := net.ListenConfig{
 		KeepAliveConfig: net.KeepAliveConfig{
@@ -59,7 +59,7 @@
 			Count:    3,
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
-			return setUserTimeout(raw, s.h.limits.CallerWait.Std())
+			return setUserTimeout(raw, s.h.limits.CallerWriteTimeout.Std())
 		},
 	}
 	l, err := config.Listen(ctx, "tcp", address)
@@ -69,7 +69,8 @@
 	return l, nil
 }
 
-// Serve takes connections from l until Shutdown, and then returns nil.
+// Serve accepts connections from l until Shutdown is called, and then returns
+// nil.
 func (s *Server) Serve(l net.Listener) error {
 	err := s.http.Serve(callerListener{l})
 	if errors.Is(err, http.ErrServerClosed) {
@@ -78,8 +79,8 @@
 	return fmt.Errorf("tackhttp: serve callers: %w", err)
 }
 
-// Shutdown stops taking connections and waits for the requests under way.
-// What still runs when the context ends is cut.
+// Shutdown stops accepting connections and waits for the requests in progress.
+// Those that are not done when ctx ends are aborted.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.h.Leave()
 	err := s.http.Shutdown(ctx)
@@ -90,15 +91,15 @@
 	return errors.Join(err, s.h.Shutdown(ctx))
 }
 
-// quoted writes the HTTP server's own complaints to the log. They may hold
-// what a caller sent, so they are escaped and of a level that is off by
-// default.
-type quoted struct {
+// errorLogWriter writes the error log of the HTTP server. The messages may
+// contain data that a caller sent, so they are quoted and logged at debug
+// level, which is off by default.
+type errorLogWriter struct {
 	log logrus.FieldLogger
 }
 
 // Write implements io.Writer.
-func (q quoted) Write(p []byte) (int, error) {
+func (q errorLogWriter) Write(p []byte) (int, error) {
 	q.log.Debugf("caller port: %q", strings.TrimSpace(string(p)))
 	return len(p), nil
 }
--- a/io/tackhttp/service.go
+++ b/io/tackhttp/service.go
@@ -16,19 +16,21 @@
 const (
 	// minFirstByte is the least time that an answer is given to begin.
 	minFirstByte = 250 * tackclock.Millisecond
-	// lateFactor is how many times as long as the slowest recent answer one
-	// takes that is late.
-	lateFactor = 4
-	// slowestDecay is how many answers it takes, about, until a slow one is
-	// forgotten.
+	// slowFactor is how many times as long as the slowest recent answer an
+	// answer takes to be considered late.
+	slowFactor = 4
+	// slowestDecay is approximately the number of answers after which a slow
+	// one no longer counts.
 	slowestDecay = 64
-	// earlyPart is the part of the time left after which a request may be
-	// asked for elsewhere. Three tries leave the last one more than half of
-	// the time, so work that takes long is still answered.
-	earlyPart = 4
+	// earlyDivisor divides the time left to get the longest time after which a
+	// request is retried elsewhere. With three tries, more than half of the
+	// time is left for the last one, so that long-running requests are answered
+	// too.
+	earlyDivisor = 4
 )
 
-// tickInterval is how often queues are looked at while any request waits.
+// tickInterval is the interval at which the queues are checked while any
+// request waits.
 const tickInterval = 10 * time.Millisecond
 
 type (
@@ -38,16 +40,16 @@
 		name tackid.Service
 
 		mu      sync.Mutex
-		table   *tackroute.Table // that chooser and gate follow
+		table   *tackroute.Table // used by chooser and gate
 		chooser tackroute.Chooser
 		gate    tacklimit.Gate
 		budget  tackretry.Budget
 		waiters map[uint64]chan admission
 
-		slowest tackclock.Duration // to the first byte, of the recent answers
+		slowest tackclock.Duration // time to the first byte of the slowest recent answer, decaying
 	}
 
-	// admission is what a request that waits is told.
+	// admission is the result of waiting in the queue.
 	admission uint8
 )
 
@@ -64,26 +66,26 @@
 	return s
 }
 
-// follow brings chooser and gate up to the table. The caller holds s.mu.
-func (s *service) follow(now tackclock.Time, table *tackroute.Table) {
+// setTable updates chooser and gate from the table. The caller must hold s.mu.
+func (s *service) setTable(now tackclock.Time, table *tackroute.Table) {
 	if s.table != table {
 		s.table = table
 		s.chooser.SetCandidates(table.Services[s.name])
-		s.h.quotas.follow(table)
+		s.h.quotas.setTable(table)
 	}
-	s.gate.SetCapacity(s.chooser.Capacity(now, s.ask()))
+	s.gate.SetCapacity(s.chooser.Capacity(now, s.constraints()))
 }
 
-func (s *service) ask() tackroute.Constraints {
+func (s *service) constraints() tackroute.Constraints {
 	return tackroute.Constraints{Home: s.h.cfg.Home, HomeOnly: s.table.HomeOnly}
 }
 
-// enter admits a request, after a wait in the queue if need be. A nil failure
-// means that it may run and must leave again.
-func (s *service) enter(ctx context.Context, table *tackroute.Table, r tacklimit.Request) *failure {
+// admit admits a request, which may wait in the queue before. If it returns
+// nil, the request may run and must be released afterwards.
+func (s *service) admit(ctx context.Context, table *tackroute.Table, r tacklimit.Request) *failure {
 	now := s.h.clock.Now()
 	s.mu.Lock()
-	s.follow(now, table)
+	s.setTable(now, table)
 	if len(table.Services[s.name]) == 0 {
 		s.mu.Unlock()
 		return refusal(http.StatusServiceUnavailable, codeNoBackend, "no backend server serves here", tackclock.Second)
@@ -96,7 +98,7 @@
 		return nil
 	case tacklimit.Refused:
 		s.mu.Unlock()
-		return refused(verdict.Refusal)
+		return admissionFailure(verdict.Refusal)
 	}
 	waiter := make(chan admission, 1)
 	s.waiters[r.ID] = waiter
@@ -105,14 +107,15 @@
 	return s.wait(ctx, r, waiter)
 }
 
-// wait waits in the queue.
+// wait waits in the queue until the request is started or expires, or its
+// caller is gone.
 func (s *service) wait(ctx context.Context, r tacklimit.Request, waiter chan admission) *failure {
 	s.h.meters.queued.Inc(1)
-	s.h.quotas.wait(r.Team, 1)
-	defer s.h.quotas.wait(r.Team, -1)
+	s.h.quotas.addWaiting(r.Team, 1)
+	defer s.h.quotas.addWaiting(r.Team, -1)
 	select {
 	case a := <-waiter:
-		return s.admitted(a, r)
+		return s.admissionResult(a, r)
 	case <-ctx.Done():
 	}
 	s.mu.Lock()
@@ -120,11 +123,11 @@
 	delete(s.waiters, r.ID)
 	s.mu.Unlock()
 	if !queued {
-		// It may have been started at the same moment.
+		// The request may have been started in the meantime.
 		select {
 		case a := <-waiter:
 			if a == started {
-				s.leave(r.ID)
+				s.release(r.ID)
 			}
 		default:
 		}
@@ -132,7 +135,7 @@
 	return refusal(http.StatusServiceUnavailable, codeCallerGone, "the caller left the queue", noRetryAfter)
 }
 
-func (s *service) admitted(a admission, r tacklimit.Request) *failure {
+func (s *service) admissionResult(a admission, r tacklimit.Request) *failure {
 	now := s.h.clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,18 +143,18 @@
 		s.budget.Record(now)
 		return nil
 	}
-	return refused(tacklimit.RefusedError{Code: tacklimit.CodeTooLate, RetryAfter: s.gate.RetryAfter(now, r)})
+	return admissionFailure(tacklimit.RefusedError{Code: tacklimit.CodeTooLate, RetryAfter: s.gate.RetryAfter(now, r)})
 }
 
-// leave gives the request's place back and starts those that follow.
-func (s *service) leave(id uint64) {
+// release releases the place of a request and starts the next ones.
+func (s *service) release(id uint64) {
 	now := s.h.clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wake(s.gate.Release(now, id), started)
+	s.notify(s.gate.Release(now, id), started)
 }
 
-// tick lets the queue go on and reports whether any request still waits.
+// tick starts and expires waiting requests, and reports whether any are left.
 func (s *service) tick(now tackclock.Time) (waiting bool) {
 	table := s.h.table()
 	s.mu.Lock()
@@ -160,16 +163,16 @@
 		return false
 	}
 	if table != nil {
-		s.follow(now, table)
+		s.setTable(now, table)
 	}
 	begun, late := s.gate.Tick(now)
-	s.wake(begun, started)
-	s.wake(late, expired)
+	s.notify(begun, started)
+	s.notify(late, expired)
 	return len(s.waiters) > 0
 }
 
-// wake tells the waiting requests. The caller holds s.mu.
-func (s *service) wake(ids []uint64, a admission) {
+// notify sends waiting requests their result. The caller must hold s.mu.
+func (s *service) notify(ids []uint64, a admission) {
 	for _, id := range ids {
 		if waiter := s.waiters[id]; waiter != nil {
 			waiter <- a
@@ -178,22 +181,22 @@
 	}
 }
 
-// pick chooses a backend server and takes a slot there.
+// pick chooses a backend server and takes one of its slots.
 func (s *service) pick(exclude []tackid.BackendServer) (tackroute.Candidate, bool) {
 	now := s.h.clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// The table is followed again: a request that waited in the queue must
-	// not go to a backend server that left in the meantime.
+	// Use the current table: a request that waited in the queue must not be
+	// sent to a backend server that was removed in the meantime.
 	if table := s.h.table(); table != nil {
-		s.follow(now, table)
+		s.setTable(now, table)
 	}
-	ask := s.ask()
+	ask := s.constraints()
 	ask.Exclude = exclude
 	return s.chooser.Pick(now, ask)
 }
 
-// done gives the slot back.
+// done releases the slot.
 func (s *service) done(c tackroute.Candidate, result tackroute.Result, latency tackclock.Duration) {
 	now := s.h.clock.Now()
 	s.mu.Lock()
@@ -201,11 +204,11 @@
 	s.chooser.Done(now, c, tackroute.Outcome{Result: result, Latency: latency})
 }
 
-// began learns how long an answer took to begin.
-func (s *service) began(took tackclock.Duration) {
+// recordFirstByte records how long an answer took to begin.
+func (s *service) recordFirstByte(took tackclock.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	took = max(took, tackclock.Millisecond) // zero means that there was none
+	took = max(took, tackclock.Millisecond) // zero means that no answer was recorded
 	if took >= s.slowest {
 		s.slowest = took
 		return
@@ -213,22 +216,22 @@
 	s.slowest -= (s.slowest - took) / slowestDecay
 }
 
-// earlyWait returns after how long a request that may run twice is asked for
-// elsewhere. A connection that went silent for good looks like a slow answer;
-// the recent answers tell what is slow.
-func (s *service) earlyWait(left tackclock.Duration) tackclock.Duration {
-	return max(minFirstByte, min(s.late(), left/earlyPart))
+// earlyRetryDelay returns how long to wait for an answer before an idempotent
+// request is retried elsewhere. A dead connection can't be told from a slow
+// answer, so the delay is derived from the recent answers.
+func (s *service) earlyRetryDelay(left tackclock.Duration) tackclock.Duration {
+	return max(minFirstByte, min(s.lateAfter(), left/earlyDivisor))
 }
 
-// late returns after how long an answer that has not begun is late, by the
-// recent ones.
-func (s *service) late() tackclock.Duration {
+// lateAfter returns how long an answer may take to begin, judged by the recent
+// ones, before it is considered late.
+func (s *service) lateAfter() tackclock.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.slowest == 0 {
-		return s.h.limits.FirstByte
+		return s.h.limits.FirstByteTimeout
 	}
-	return min(s.h.limits.FirstByte, max(minFirstByte, lateFactor*s.slowest))
+	return min(s.h.limits.FirstByteTimeout, max(minFirstByte, slowFactor*s.slowest))
 }
 
 func (s *service) healthy(c tackroute.Candidate) bool {
@@ -237,7 +240,8 @@
 	return s.chooser.Healthy(c.BackendServer)
 }
 
-// retry asks whether a failed attempt may be followed by another.
+// retry reports whether a failed attempt may be retried, and takes the retry
+// from the budget if so.
 func (s *service) retry(a tackretry.Attempt) bool {
 	now := s.h.clock.Now()
 	s.mu.Lock()
@@ -257,9 +261,9 @@
 	return s.chooser.Loads()
 }
 
-// refused turns a refusal of admission into an answer. A team that sends too
-// much is told 429; where the service has no room it is 503.
-func refused(e tacklimit.RefusedError) *failure {
+// admissionFailure returns the failure for a refusal by admission control: 429
+// if a team sends too much, and 503 if the service has no capacity.
+func admissionFailure(e tacklimit.RefusedError) *failure {
 	status := http.StatusServiceUnavailable
 	if e.Code == tacklimit.CodeQueueFull {
 		status = http.StatusTooManyRequests
@@ -267,7 +271,7 @@
 	return refusal(status, Code(e.Code), "not admitted: "+string(e.Code), max(e.RetryAfter, tackclock.Second))
 }
 
-// startTicking has the queues looked at until none holds a request.
+// startTicking starts checking the queues, until no request waits.
 func (h *Handler) startTicking() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -290,10 +294,10 @@
 	}
 }
 
-// tickAll looks at every queue once, and ends the ticking if all are empty.
+// tickAll checks every queue once, and stops the ticking if all are empty.
 func (h *Handler) tickAll() (waiting bool) {
 	now := h.clock.Now()
-	for _, s := range h.all() {
+	for _, s := range h.allServices() {
 		waiting = s.tick(now) || waiting
 	}
 	if waiting {
@@ -301,8 +305,9 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	// A request that began to wait after its queue was looked at has found
-	// the ticking still on, so the queues are looked at once more.
+	// A request that began to wait after its queue was checked has not started
+	// another ticker, as ticking was still set. Therefore check the queues
+	// again.
 	for _, s := range h.services {
 		s.mu.Lock()
 		waiting = waiting || len(s.waiters) > 0
--- a/io/tackhttp/share.go
+++ b/io/tackhttp/share.go
@@ -11,22 +11,22 @@
 	"auburntack/core/tackshare"
 )
 
-// quotas bounds the teams over all services of this entry VM.
+// quotas limits the slots of each team over all services of this entry VM.
 type quotas struct {
 	tacklimit.Quotas
 
 	mu      sync.Mutex
-	table   *tackroute.Table    // that bounds follow
-	shares  map[tackid.Team]int // granted by a Sharer
-	waiting map[tackid.Team]int // requests that wait in a queue
+	table   *tackroute.Table    // from which the limits are derived
+	shares  map[tackid.Team]int // assigned by a tackshare.Sharer
+	waiting map[tackid.Team]int // number of requests in the queues
 }
 
 var _ tackshare.Consumer = (*Handler)(nil)
 
-// SetShares implements tackshare.User.
+// SetShares implements tackshare.Consumer.
 func (h *Handler) SetShares(now tackclock.Time, group tackshare.Group, bound int, shares []tackroute.Share) {
 	if group.Team != "" {
-		h.quotas.share(group.Team, bound, shares)
+		h.quotas.setShare(group.Team, bound, shares)
 		return
 	}
 	s := h.serviceNamed(group.Service)
@@ -36,7 +36,7 @@
 	s.tick(now)
 }
 
-// Usage implements tackshare.User.
+// Usage implements tackshare.Consumer.
 func (h *Handler) Usage(_ tackclock.Time, subject tackshare.Subject) tackshare.Usage {
 	if subject.Team != "" {
 		return h.quotas.usage(subject.Team)
@@ -52,20 +52,20 @@
 	return usage
 }
 
-// follow takes over the bounds of a table. A team whose quota is shared among
-// the entry VMs keeps its share.
-func (q *quotas) follow(table *tackroute.Table) {
+// setTable takes the quotas from a table. If a team's quota is divided among
+// the entry VMs, its share remains in effect.
+func (q *quotas) setTable(table *tackroute.Table) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.table == table {
 		return
 	}
 	q.table = table
-	q.set()
+	q.update()
 }
 
-// share sets the part of a team's quota that this entry VM may fill.
-func (q *quotas) share(team tackid.Team, bound int, shares []tackroute.Share) {
+// setShare sets the share of a team's quota that this entry VM may use.
+func (q *quotas) setShare(team tackid.Team, bound int, shares []tackroute.Share) {
 	slots := 0
 	for _, share := range shares {
 		slots += share.Slots
@@ -76,12 +76,12 @@
 		q.shares = make(map[tackid.Team]int)
 	}
 	q.shares[team] = min(bound, slots)
-	q.set()
+	q.update()
 }
 
-// set works the bounds out. A quota of zero slots is none, whereas a share of
-// zero lets nothing start. The caller holds q.mu.
-func (q *quotas) set() {
+// update recomputes the limits. A quota of zero slots means no limit, whereas
+// with a share of zero no request starts. The caller must hold q.mu.
+func (q *quotas) update() {
 	if q.table == nil {
 		return
 	}
@@ -105,9 +105,9 @@
 	return usage
 }
 
-// wait counts requests of a team that began to wait, or ended if n is below
-// zero.
-func (q *quotas) wait(team tackid.Team, n int) {
+// addWaiting adds n, which may be negative, to the number of waiting requests
+// of a team.
+func (q *quotas) addWaiting(team tackid.Team, n int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.waiting == nil {
--- a/io/tackhttp/share_test.go
+++ b/io/tackhttp/share_test.go
@@ -12,14 +12,13 @@
 	"auburntack/core/tackshare"
 )
 
-// Symptom: every request of a team waits until its deadline.
-// Sequence: the team is given a quota of cores and none of slots, which stands in
-// the table as zero.
-// Cause: a quota of zero was taken for a share of zero.
+// A quota of zero slots, as a team has that was given a quota of cores only,
+// must mean no limit. When it was treated as a share of zero, every request of
+// the team waited until its deadline.
 func TestQuotaOfZeroBindsNothing(t *testing.T) {
 	convey.Convey("With a quota of zero slots", t, func() {
 		var q quotas
-		q.follow(&tackroute.Table{Quotas: map[tackid.Team]int{"clerks": 0, "imams": 1}})
+		q.setTable(&tackroute.Table{Quotas: map[tackid.Team]int{"clerks": 0, "imams": 1}})
 		g := tacklimit.Gate{Quotas: &q.Quotas}
 		g.SetCapacity(8)
 		convey.So(g.Offer(0, tacklimit.Request{ID: 1, Team: "clerks"}).Decision, convey.ShouldEqual, tacklimit.Admitted)
@@ -29,10 +28,9 @@
 	})
 }
 
-// Symptom: a request with a key is refused for want of a slot after it was
-// admitted.
-// Sequence: while its key is being recorded its slot is given to another peer.
-// Cause: the usage told only of requests that were sent.
+// The usage must include requests that were admitted but not sent yet.
+// Otherwise the slot of a request whose key is being recorded can be given to
+// another peer, and the request is then refused for lack of a slot.
 func TestUsageTellsOfAdmittedRequests(t *testing.T) {
 	convey.Convey("With two requests admitted of which one was sent", t, func() {
 		h := New(Config{Self: "rennes-a-1"})
--- a/io/tackhttp/stdlog.go
+++ b/io/tackhttp/stdlog.go
@@ -7,21 +7,21 @@
 	"github.com/sirupsen/logrus"
 )
 
-// DivertStandardLog sends what package log prints to l, at debug level and cut
-// after the first words. The HTTP client of net/http prints the first bytes of
-// an answer that nobody asked for through it, which would put a caller's data
-// into the log of the process. A daemon calls it once before it serves.
+// DivertStandardLog redirects the output of the standard logger to l, at debug
+// level and truncated. The HTTP client of net/http logs the first bytes of an
+// unsolicited answer, which could contain a caller's data. A daemon calls it
+// once before it serves requests.
 func DivertStandardLog(l logrus.FieldLogger) {
 	log.SetFlags(0)
-	log.SetOutput(diverted{l})
+	log.SetOutput(standardLogWriter{l})
 }
 
-type diverted struct {
+type standardLogWriter struct {
 	log logrus.FieldLogger
 }
 
 // Write implements io.Writer.
-func (d diverted) Write(p []byte) (int, error) {
+func (d standardLogWriter) Write(p []byte) (int, error) {
 	text, _, _ := bytes.Cut(p, []byte("starting with"))
 	text, _, _ = bytes.Cut(text, []byte{'"'})
 	d.log.Debugf("standard log: %q", bytes.TrimSpace(text))
--- a/io/tackhttp/waiting.go
+++ b/io/tackhttp/waiting.go
@@ -1,9 +1,9 @@
 package tackhttp
 
-// Waiting reports whether requests wait for a slot, so that shares are asked
-// for at once rather than at the next turn.
+// Waiting reports whether any request waits for a slot. If so, shares are
+// requested immediately instead of at the next interval.
 func (h *Handler) Waiting() bool {
-	for _, s := range h.all() {
+	for _, s := range h.allServices() {
 		s.mu.Lock()
 		waiting := s.gate.Waiting() > 0
 		s.mu.Unlock()
