--- a/io/tackclient/call.go
+++ b/io/tackclient/call.go
@@ -23,44 +23,45 @@
 
 	outcomeUnknown = "unknown"
 
-	// longestAnswer bounds what is read of one answer, in bytes.
-	longestAnswer = 64 << 20
+	// maxAnswerSize limits how much of an answer is read, in bytes.
+	maxAnswerSize = 64 << 20
 )
 
 const (
-	// fateAnswered ends the call: the answer is final.
-	fateAnswered fate = iota
-	// fateNotRun leads to another try: nothing was done.
-	fateNotRun
-	// fateUnknown leads to another try, and only a final answer to one of
-	// those settles what became of this one.
-	fateUnknown
+	// kindFinal means that the answer is final.
+	kindFinal outcomeKind = iota
+	// kindNotRun means that the request certainly had no effect, so it is sent
+	// again.
+	kindNotRun
+	// kindUnknown means that the request may have had an effect. It is sent
+	// again, and only a final answer tells what became of it.
+	kindUnknown
 )
 
 type (
-	// call is one HTTP request, sent as often as it takes.
+	// call is one HTTP request, which may be sent several times.
 	call struct {
 		method string
 		path   string
 		body   string
 		header http.Header
-		id     tackid.CommandID // empty for what changes nothing
+		id     tackid.CommandID // empty if the request changes nothing
 	}
 
-	// fate is what a try came to.
-	fate int
+	// outcomeKind is the kind of outcome of one try.
+	outcomeKind int
 
-	// outcome is a fate with its particulars.
+	// outcome is the outcome of one try.
 	outcome struct {
-		fate       fate
+		kind       outcomeKind
 		body       []byte
 		err        error
 		answered   bool
 		retryAfter tackclock.Duration
 	}
 
-	// refusal is the JSON form of an answer that is not a success.
-	refusal struct {
+	// errorBody is the JSON body of an answer with an error status.
+	errorBody struct {
 		Error struct {
 			Code      string          `json:"code"`
 			Message   string          `json:"message"`
@@ -72,8 +73,8 @@
 		} `json:"error"`
 	}
 
-	// tally remembers what the tries so far came to.
-	tally struct {
+	// triesSummary summarizes the outcomes of the tries so far.
+	triesSummary struct {
 		unknown  error
 		notRun   error
 		answered bool
@@ -89,37 +90,38 @@
 	return call{method: http.MethodPost, path: "/do", body: cmd.Text, header: h, id: cmd.ID}
 }
 
-// run sends q to one entry after the other, in rounds, until take is content
-// with an answer or one is final.
-func (c *Client) run(ctx context.Context, q call, take func(body []byte) (bool, error)) error {
+// run sends q to the entries in turn, in rounds, until accept accepts an answer
+// or an entry returns a final error.
+func (c *Client) run(ctx context.Context, q call, accept func(body []byte) (bool, error)) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout())
 	defer cancel()
-	var t tally
+	var t triesSummary
 	for round := range c.rounds() {
-		wait, done, err := c.round(ctx, q, &t, take)
+		wait, done, err := c.round(ctx, q, &t, accept)
 		if done {
 			return err
 		}
-		if round+1 < c.rounds() && c.wait(ctx, wait) != nil {
+		if round+1 < c.rounds() && c.pauseRound(ctx, wait) != nil {
 			break
 		}
 	}
-	return t.verdict(q)
+	return t.result(q)
 }
 
-// round tries every entry once. wait is how long to wait before the next.
-func (c *Client) round(ctx context.Context, q call, t *tally, take func([]byte) (bool, error)) (wait tackclock.Duration, done bool, err error) {
+// round tries every entry once. It returns how long to wait before the next
+// round.
+func (c *Client) round(ctx context.Context, q call, t *triesSummary, accept func([]byte) (bool, error)) (wait tackclock.Duration, done bool, err error) {
 	for _, entry := range c.Entries {
 		o := c.try(ctx, entry, q)
-		if o.fate == fateAnswered && o.err != nil {
+		if o.kind == kindFinal && o.err != nil {
 			return 0, true, o.err
 		}
-		if o.fate == fateAnswered {
-			content, err := take(o.body)
-			if err == nil && content {
+		if o.kind == kindFinal {
+			accepted, err := accept(o.body)
+			if err == nil && accepted {
 				return 0, true, nil
 			}
-			o = outcome{fate: fateUnknown, answered: true, err: err}
+			o = outcome{kind: kindUnknown, answered: true, err: err}
 		}
 		t.add(o)
 		wait = max(wait, o.retryAfter)
@@ -133,7 +135,7 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, q.method, "http://"+entry+q.path, strings.NewReader(q.body))
 	if err != nil {
-		return outcome{fate: fateNotRun, err: err}
+		return outcome{kind: kindNotRun, err: err}
 	}
 	if q.header != nil {
 		req.Header = q.header.Clone()
@@ -141,32 +143,32 @@
 	req.Header.Set("Content-Type", "text/plain")
 	res, err := c.http().Do(req)
 	if err != nil {
-		return outcome{fate: fateOfFailure(err), err: err}
+		return outcome{kind: kindOfError(err), err: err}
 	}
 	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, longestAnswer))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerSize))
 	if err != nil {
-		return outcome{fate: fateUnknown, answered: true, err: fmt.Errorf("%s broke off its answer: %w", entry, err)}
+		return outcome{kind: kindUnknown, answered: true, err: fmt.Errorf("%s broke off its answer: %w", entry, err)}
 	}
-	return judge(entry, res, body)
+	return classify(entry, res, body)
 }
 
-// fateOfFailure tells a connection that was never made, over which nothing
-// can have been sent, from one that failed later.
-func fateOfFailure(err error) fate {
+// kindOfError returns the kind of outcome of a try that failed with err. If no
+// connection was established, nothing can have been sent.
+func kindOfError(err error) outcomeKind {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return fateNotRun
+		return kindNotRun
 	}
-	return fateUnknown
+	return kindUnknown
 }
 
-// judge says what an answer means.
-func judge(entry string, res *http.Response, body []byte) outcome {
+// classify returns the outcome that an answer represents.
+func classify(entry string, res *http.Response, body []byte) outcome {
 	if res.StatusCode == http.StatusOK {
-		return outcome{fate: fateAnswered, body: body, answered: true}
+		return outcome{kind: kindFinal, body: body, answered: true}
 	}
-	var r refusal
+	var r errorBody
 	if err := json.Unmarshal(body, &r); err != nil {
 		r.Error.Message = strings.TrimSpace(string(body))
 	}
@@ -175,10 +177,10 @@
 	case res.StatusCode == http.StatusBadRequest:
 		o.err = r.syntax()
 	case res.StatusCode == http.StatusServiceUnavailable && res.Header.Get(headerOutcome) != outcomeUnknown:
-		o.fate = fateNotRun
+		o.kind = kindNotRun
 		o.err = fmt.Errorf("%s: %s", entry, r.text(res.Status))
 	case res.StatusCode >= http.StatusInternalServerError:
-		o.fate = fateUnknown
+		o.kind = kindUnknown
 		o.err = fmt.Errorf("%s: %s", entry, r.text(res.Status))
 	default:
 		o.err = &RefusedError{Code: orDefault(r.Error.Code, res.Status), Message: r.text(res.Status)}
@@ -186,21 +188,21 @@
 	return o
 }
 
-func (r *refusal) text(status string) string {
+func (r *errorBody) text(status string) string {
 	return orDefault(r.Error.Message, orDefault(r.Error.Reason, status))
 }
 
-// syntax returns the error of a text that cannot be read. What was expected
-// comes as a string or as a list of them.
-func (r *refusal) syntax() *SyntaxError {
+// syntax returns the error for a text that can't be parsed. The expected tokens
+// are either a string or a list of strings.
+func (r *errorBody) syntax() *SyntaxError {
 	e := &SyntaxError{Line: r.Error.Line, Column: r.Error.Column, Message: r.text("bad request")}
-	e.Message = strings.TrimPrefix(e.Message, e.place())
+	e.Message = strings.TrimPrefix(e.Message, e.position())
 	var one string
 	var many []string
 	if json.Unmarshal(r.Error.Expected, &one) == nil {
 		many = []string{one}
 	} else {
-		_ = json.Unmarshal(r.Error.Expected, &many) // neither form: the message stands alone
+		_ = json.Unmarshal(r.Error.Expected, &many) // if it is neither, only the message is reported
 	}
 	expected := strings.Join(many, " or ")
 	if expected != "" && !strings.Contains(e.Message, expected) {
@@ -217,18 +219,19 @@
 	return tackclock.Duration(n) * tackclock.Second
 }
 
-func (t *tally) add(o outcome) {
+func (t *triesSummary) add(o outcome) {
 	t.answered = t.answered || o.answered
-	if o.fate == fateUnknown {
+	if o.kind == kindUnknown {
 		t.unknown = o.err
 		return
 	}
 	t.notRun = o.err
 }
 
-// verdict says what it comes to when no try was final. One lost answer among
-// any number of sure refusals leaves the outcome unknown.
-func (t *tally) verdict(q call) error {
+// result returns the error to report if no try was final. If the outcome of one
+// try is unknown, the outcome of the command is unknown, whatever the other
+// tries returned.
+func (t *triesSummary) result(q call) error {
 	if t.unknown != nil && q.id != "" {
 		return &UnknownOutcomeError{ID: q.id, Message: t.unknown.Error()}
 	}
@@ -242,8 +245,8 @@
 	return &UnavailableError{Answered: t.answered, Message: err.Error()}
 }
 
-func (c *Client) wait(ctx context.Context, d tackclock.Duration) error {
-	d = max(d, pauseBetweenRounds)
+func (c *Client) pauseRound(ctx context.Context, d tackclock.Duration) error {
+	d = max(d, minRoundPause)
 	if c.pause != nil {
 		return c.pause(ctx, d)
 	}
@@ -261,5 +264,5 @@
 	if c.HTTP != nil {
 		return c.HTTP
 	}
-	return direct
+	return defaultHTTP
 }
--- a/io/tackclient/client.go
+++ b/io/tackclient/client.go
@@ -1,6 +1,7 @@
-// Package tackclient asks and commands the system through the operator ports
-// of its VMs. A command whose answer was lost is sent again with the same id
-// through the next VM, so it takes effect once however often it is sent.
+// Package tackclient sends queries and commands to the system through the
+// operator ports of its VMs. If the answer to a command is lost, the command is
+// sent again with the same id through the next VM, so that it takes effect only
+// once.
 package tackclient
 
 import (
@@ -16,30 +17,32 @@
 )
 
 const (
-	// DefaultTimeout bounds one call, over all entries and tries.
+	// DefaultTimeout limits the duration of one call, over all entries and
+	// tries.
 	DefaultTimeout = 30 * tackclock.Second
-	// DefaultTryTimeout bounds one try at one entry.
+	// DefaultTryTimeout limits the duration of one try.
 	DefaultTryTimeout = 10 * tackclock.Second
-	// DefaultRounds is how often each entry is tried.
+	// DefaultRounds is how many times each entry is tried.
 	DefaultRounds = 3
 )
 
-// direct goes straight to the entries. A proxy from the environment would
-// cut the operator off just when the network to the proxy is down.
-var direct = &http.Client{
+// defaultHTTP is the default HTTP client. It ignores proxies from the
+// environment; otherwise operators would lose access exactly when the network
+// to the proxy fails.
+var defaultHTTP = &http.Client{
 	Transport: &http.Transport{DisableCompression: true},
 	CheckRedirect: func(*http.Request, []*http.Request) error {
 		return http.ErrUseLastResponse
 	},
 }
 
-// pauseBetweenRounds is waited before all entries are tried once more, unless
-// an answer told when to come back.
-const pauseBetweenRounds = 500 * tackclock.Millisecond
+// minRoundPause is the minimum pause between two rounds. It is longer if an
+// answer has a longer Retry-After.
+const minRoundPause = 500 * tackclock.Millisecond
 
 type (
-	// Client talks to the system through Entries, addresses of operator
-	// ports. Zero times and counts take the defaults.
+	// Client sends queries and commands to the operator ports whose addresses
+	// are Entries. Zero durations and counts mean the defaults.
 	Client struct {
 		Entries    []string
 		Timeout    tackclock.Duration
@@ -47,13 +50,13 @@
 		Rounds     int
 		HTTP       *http.Client
 
-		// pause waits between rounds; nil waits by the machine's clock.
+		// pause waits between rounds. If nil, a timer is used.
 		pause func(ctx context.Context, d tackclock.Duration) error
 	}
 
-	// Answer is what a query came to. Confirmed is false where the VM that
-	// answered cannot be sure that it knows the newest state. A value is a
-	// string, a bool or a json.Number.
+	// Answer is the answer to a query. Confirmed is false if the VM that
+	// answered can't be sure that it has the newest state. A value is a string,
+	// a bool or a json.Number.
 	Answer struct {
 		Confirmed bool            `json:"confirmed"`
 		Revision  tackid.Revision `json:"revision"`
@@ -61,19 +64,19 @@
 		Rows      [][]any         `json:"rows"`
 	}
 
-	// Command is a command to run. An empty ID is drawn at random. A nonzero
-	// Expect makes the command conditional: it is refused if what it touches
-	// has changed since that revision.
+	// Command is a command to run. If ID is empty, a random one is chosen. If
+	// Expect is not zero, the command is refused if what it affects has changed
+	// since that revision.
 	Command struct {
 		Text   string
 		ID     tackid.CommandID
 		Expect tackid.Revision
 	}
 
-	// Done is what an accepted command came to. NotInForce names the VMs of
-	// the system that have lost contact and stopped relying on what they
+	// CommandResult is the result of an accepted command. NotInForce lists the
+	// VMs that have lost contact and no longer rely on the state that they
 	// know.
-	Done struct {
+	CommandResult struct {
 		ID         tackid.CommandID `json:"id"`
 		Accepted   bool             `json:"accepted"`
 		Revision   tackid.Revision  `json:"revision"`
@@ -81,9 +84,9 @@
 	}
 )
 
-// Ask runs a query. It prefers a confirmed answer, and returns an unconfirmed
-// one where no entry has better. The error is a *SyntaxError, *RefusedError or
-// *UnavailableError.
+// Ask runs a query. It returns a confirmed answer if any entry provides one,
+// and otherwise an unconfirmed one. The error is a *SyntaxError, *RefusedError
+// or *UnavailableError.
 func (c *Client) Ask(ctx context.Context, query string) (Answer, error) {
 	var best Answer
 	var found bool
@@ -104,13 +107,14 @@
 	return Answer{}, err
 }
 
-// Do runs a command. The error is a *SyntaxError, *RefusedError,
-// *UnavailableError where surely nothing was done, or *UnknownOutcomeError.
-func (c *Client) Do(ctx context.Context, cmd Command) (Done, error) {
+// Do runs a command. The error is a *SyntaxError, a *RefusedError, an
+// *UnavailableError, which means that the command had no effect, or an
+// *UnknownOutcomeError.
+func (c *Client) Do(ctx context.Context, cmd Command) (CommandResult, error) {
 	if cmd.ID == "" {
 		cmd.ID = tackid.CommandID(rand.Text())
 	}
-	done := Done{ID: cmd.ID}
+	done := CommandResult{ID: cmd.ID}
 	err := c.run(ctx, newCommandCall(cmd), func(body []byte) (bool, error) {
 		return true, json.Unmarshal(body, &done)
 	})
@@ -118,7 +122,7 @@
 	return done, err
 }
 
-// Get returns the body that path has at the first entry that answers.
+// Get returns the body at path, from the first entry that answers.
 func (c *Client) Get(ctx context.Context, path string) ([]byte, error) {
 	var got []byte
 	err := c.run(ctx, call{method: http.MethodGet, path: path}, func(body []byte) (bool, error) {
@@ -128,8 +132,9 @@
 	return got, err
 }
 
-// DecodeAnswer keeps numbers as they were written: a revision or token beyond
-// 2^53 would come out changed as a float64, and "--expect" with it be refused.
+// DecodeAnswer decodes the JSON form of an Answer. It preserves numbers as they
+// were written: a revision or token above 2^53 would be changed by a conversion
+// to float64, and then be refused as the value of "--expect".
 func DecodeAnswer(body []byte) (Answer, error) {
 	var a Answer
 	d := json.NewDecoder(bytes.NewReader(body))
--- a/io/tackclient/client_test.go
+++ b/io/tackclient/client_test.go
@@ -17,23 +17,21 @@
 	"auburntack/core/tackid"
 )
 
-// system stands in for the VMs of the system behind several entries: it
-// remembers command ids as the replicated log does.
-type system struct {
+// fakeSystem stands in for the VMs of the system behind several entries. Like
+// the replicated log, it remembers the ids of commands.
+type fakeSystem struct {
 	mu      sync.Mutex
 	effects map[string]int
 	ids     []string
 }
 
-// Symptom: an operator drains a VM once and the history shows two drains, or
-// the client reports a failure though the drain took effect.
-// Sequence: the first VM carries the command out and its connection breaks
-// before the answer; the client goes on to the second.
-// Cause: a client that draws a new id for each try, or that takes a lost
-// answer for a refusal.
+// If the connection breaks after the first VM has run the command, but before
+// its answer, the command must be sent to the next VM with the same id. With a
+// new id for each try the command would take effect twice, and a lost answer
+// must not be reported as a failure.
 func TestDoSendsTheSameIDThroughTheNextEntry(t *testing.T) {
 	Convey("Given an entry that loses its answer and one that keeps it", t, func() {
-		s := &system{effects: make(map[string]int)}
+		s := &fakeSystem{effects: make(map[string]int)}
 		lost := s.entry(t, func(w http.ResponseWriter) { panic(http.ErrAbortHandler) })
 		kept := s.entry(t, func(w http.ResponseWriter) {
 			fmt.Fprint(w, `{"accepted":true,"revision":7,"not_in_force":["brest-1"]}`)
@@ -52,12 +50,12 @@
 	})
 }
 
-// Symptom: a script is told "nothing was done", sends the command under a new
-// id, and a wave starts twice.
-// Sequence: the first entry loses its answer, all others say did_not_run.
-// Cause: a client that reports the last answer and forgets the lost one.
+// If one answer is lost, the outcome must be reported as unknown even if all
+// later entries answer did_not_run. When only the last answer was reported, a
+// script was told that nothing was done, sent the command under a new id, and a
+// wave started twice.
 func TestDoKeepsAnUnknownOutcomeUnknown(t *testing.T) {
-	s := &system{effects: make(map[string]int)}
+	s := &fakeSystem{effects: make(map[string]int)}
 	lost := s.entry(t, func(w http.ResponseWriter) { panic(http.ErrAbortHandler) })
 	none := answering(t, http.StatusServiceUnavailable, `{"error":{"code":"no_leader","message":"no majority","did_not_run":true}}`)
 	c := newClient(t, lost, none)
@@ -68,10 +66,8 @@
 	}
 }
 
-// Symptom: `ask` shows an old state while a VM that knows better is listed
-// next.
-// Sequence: the first entry is cut off and answers unconfirmed.
-// Cause: a client that takes the first answer.
+// An unconfirmed answer from a VM that has lost contact must not be returned if
+// another entry has a confirmed one.
 func TestAskPrefersAConfirmedAnswer(t *testing.T) {
 	Convey("Given a cut-off entry and one with a lease", t, func() {
 		old := answering(t, http.StatusOK, `{"confirmed":false,"revision":3,"columns":["vm"],"rows":[["w-1"]]}`)
@@ -85,8 +81,8 @@
 	})
 }
 
-// entry starts an entry of the system that answers a command by answer.
-func (s *system) entry(t *testing.T, answer func(w http.ResponseWriter)) string {
+// entry starts an entry that records the command and then calls answer.
+func (s *fakeSystem) entry(t *testing.T, answer func(w http.ResponseWriter)) string {
 	return serve(t, func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("Auburntack-Command-Id")
 		s.mu.Lock()
--- a/io/tackclient/error.go
+++ b/io/tackclient/error.go
@@ -7,31 +7,32 @@
 )
 
 type (
-	// SyntaxError reports a text that cannot be read: where, and what was
-	// expected there. Line and Column count from 1 and are 0 where unknown.
+	// SyntaxError reports a query or command that can't be parsed, the position
+	// of the error and what was expected there. Line and Column start at 1, and
+	// are 0 if unknown.
 	SyntaxError struct {
 		Line    int
 		Column  int
 		Message string
 	}
 
-	// RefusedError reports a command or query that was understood and turned
-	// down. Nothing was done.
+	// RefusedError reports a query or command that was parsed and refused. It
+	// had no effect.
 	RefusedError struct {
 		Code    string
 		Message string
 	}
 
-	// UnavailableError reports that nothing was done and that it may be tried
-	// again. Answered is false where no entry answered at all.
+	// UnavailableError reports that the request had no effect and may be tried
+	// again. Answered is false if no entry answered.
 	UnavailableError struct {
 		Answered bool
 		Message  string
 	}
 
-	// UnknownOutcomeError reports a command that was sent and whose answer
-	// was lost: it may or may not have taken effect. Sent again with the same
-	// ID it takes effect once.
+	// UnknownOutcomeError reports a command that was sent and may or may not
+	// have taken effect, since its answer was lost. It can safely be sent again
+	// with the same ID.
 	UnknownOutcomeError struct {
 		ID      tackid.CommandID
 		Message string
@@ -40,11 +41,12 @@
 
 // Error implements error.
 func (e *SyntaxError) Error() string {
-	return "tackclient: " + e.place() + e.Message
+	return "tackclient: " + e.position() + e.Message
 }
 
-// place says where the error is, as a server's message may already begin.
-func (e *SyntaxError) place() string {
+// position returns the prefix that names the position of the error. The
+// server's message may already start with it.
+func (e *SyntaxError) position() string {
 	if e.Line == 0 {
 		return "cannot be read: "
 	}
