--- a/io/tackcli/print.go
+++ b/io/tackcli/print.go
@@ -25,7 +25,8 @@
 	return t.print(a, "the VM that answered is cut off")
 }
 
-// print prints an answer; unconfirmed says why one may be that is not confirmed.
+// print prints an answer. The text unconfirmed is the reason to print if it is
+// not confirmed.
 func (t *Tool) print(a tackclient.Answer, unconfirmed string) error {
 	if t.output == outputJSON {
 		return printJSON(t.Stdout, a)
@@ -65,7 +66,7 @@
 	return e.Encode(v)
 }
 
-// printTable prints the columns of a aligned, one row a line.
+// printTable prints an answer as a table with aligned columns.
 func printTable(w io.Writer, a tackclient.Answer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, columnGap, ' ', 0)
 	printRow(tw, a.Columns)
@@ -79,13 +80,14 @@
 	return tw.Flush()
 }
 
-// printRow ends the last cell without a tab, so that no line ends in spaces.
+// printRow prints one row. The last cell has no tab after it, so that lines
+// have no trailing spaces.
 func printRow(w io.Writer, cells []string) {
 	fmt.Fprintln(w, strings.Join(cells, "\t"))
 }
 
-// cell returns one value of a table; what is empty shows as "-", so that a
-// row still splits into its columns.
+// cell formats a value of a table. An empty value is shown as "-", so that a
+// row can be split into its columns.
 func cell(v any) string {
 	if v == nil {
 		return "-"
@@ -97,8 +99,8 @@
 	return text
 }
 
-// printable returns text without control characters. A name that came from a
-// backend server could otherwise drive the operator's terminal.
+// printable escapes control characters in text. A name that came from a backend
+// server could otherwise send escape sequences to the operator's terminal.
 func printable(text string) string {
 	if strings.IndexFunc(text, unicode.IsControl) < 0 {
 		return text
--- a/io/tackcli/report.go
+++ b/io/tackcli/report.go
@@ -13,7 +13,7 @@
 	"auburntack/io/tackreport"
 )
 
-// burnPath is where the operator port has the report on service-level burn.
+// burnPath is the path of the burn-rate report on the operator port.
 const burnPath = "/report/burn"
 
 func (t *Tool) reportCommand() *cobra.Command {
@@ -42,7 +42,7 @@
 	return c
 }
 
-// burn prints the report, or writes it to the file html where one is given.
+// burn prints the report, or writes it to the file html if that is not empty.
 func (t *Tool) burn(ctx context.Context, html string) error {
 	body, err := t.client.Get(ctx, burnPath)
 	if err != nil {
@@ -62,14 +62,15 @@
 	return tackreport.Text(t.Stdout, r)
 }
 
-// writePage puts the whole page in place at once: a report that a nightly job
-// was cut off in would otherwise replace the last whole one.
+// writePage writes the page to a temporary file and renames it, so that a job
+// that is interrupted doesn't leave a partial page in place of the last
+// complete one.
 func writePage(file string, r tackburn.Report) error {
 	f, err := os.CreateTemp(filepath.Dir(file), ".burn-*")
 	if err != nil {
 		return fmt.Errorf("tackcli: %w", err)
 	}
-	defer os.Remove(f.Name()) // gone already where the rename was done
+	defer os.Remove(f.Name()) // fails if the rename succeeded
 	err = tackreport.HTML(f, r)
 	if closeErr := f.Close(); err == nil {
 		err = closeErr
--- a/io/tackcli/report_test.go
+++ b/io/tackcli/report_test.go
@@ -15,13 +15,11 @@
 	entry := answering(t, http.StatusOK, burnReport)
 	assertRun(t, []string{"--entry", entry, "report", "burn"}, ExitDone, "service levels at 2026-", "")
 	assertRun(t, []string{"--entry", entry, "report", "burn", "--output", "json"}, ExitDone, burnReport, "")
-	assertRun(t, []string{"--entry", nobody, "report", "burn"}, ExitUnknown, "", "nobody answered")
+	assertRun(t, []string{"--entry", unreachable, "report", "burn"}, ExitUnknown, "", "nobody answered")
 }
 
-// Symptom: the page of the night's report is gone or half of one.
-// Sequence: a job writes the page over the last one and what it got is no
-// report.
-// Cause: the page opened for writing before there is something to write.
+// An invalid report must not overwrite the last complete page, as it did when
+// the file was opened before the report was decoded.
 func TestReportKeepsTheLastWholePage(t *testing.T) {
 	folder := t.TempDir()
 	page := filepath.Join(folder, "burn.html")
--- a/io/tackcli/tool.go
+++ b/io/tackcli/tool.go
@@ -1,6 +1,6 @@
-// Package tackcli is the operators' command line: it reads the arguments,
-// asks or commands the system, prints what came of it and turns that into an
-// exit code.
+// Package tackcli implements the command line for operators: it parses the
+// arguments, sends a query or command to the system, prints the result and
+// returns an exit code.
 package tackcli
 
 import (
@@ -19,16 +19,16 @@
 )
 
 const (
-	// ExitDone is the exit code where all was done.
+	// ExitDone is the exit code of success.
 	ExitDone = 0
-	// ExitRefused is the exit code of what was refused or failed; nothing
-	// was done.
+	// ExitRefused is the exit code if the request was refused or failed,
+	// without effect.
 	ExitRefused = 1
-	// ExitUsage is the exit code of a command line or a text that cannot be
-	// read.
+	// ExitUsage is the exit code if the command line, query or command can't be
+	// parsed.
 	ExitUsage = 2
-	// ExitUnknown is the exit code where nobody answered, or where the
-	// answer was lost and the outcome is unknown.
+	// ExitUnknown is the exit code if no entry answered, or if the answer was
+	// lost and the outcome is unknown.
 	ExitUnknown = 3
 )
 
@@ -40,7 +40,7 @@
 )
 
 type (
-	// Tool is the command line of auburntack. Stdout and Stderr must be set.
+	// Tool is the command line tool. Stdout and Stderr must be set.
 	Tool struct {
 		Stdout io.Writer
 		Stderr io.Writer
@@ -49,10 +49,10 @@
 		client  tackclient.Client
 		output  output
 		timeout int
-		started bool // the arguments were fine, and the command runs
+		started bool // the arguments were valid and the command has started
 	}
 
-	// output is the form of what is printed; it is a flag's value.
+	// output is the output format. It implements pflag.Value.
 	output string
 )
 
@@ -175,8 +175,8 @@
 	}
 }
 
-// exitCode says what err means to a script. Only an error that surely did
-// nothing is a refusal; where nobody answered, nobody knows.
+// exitCode returns the exit code for err. ExitRefused means that the request
+// certainly had no effect; if no entry answered, the outcome is unknown.
 func exitCode(err error) int {
 	var unknown *tackclient.UnknownOutcomeError
 	var unavailable *tackclient.UnavailableError
--- a/io/tackcli/tool_test.go
+++ b/io/tackcli/tool_test.go
@@ -12,13 +12,12 @@
 	"testing"
 )
 
-// nobody is an address at which nobody can listen.
-const nobody = "127.0.0.1:0"
+// unreachable is an address on which no server can listen.
+const unreachable = "127.0.0.1:0"
 
-// Symptom: a nightly script goes on after a refused drain, or repeats a
-// command whose outcome nobody knows under a new id.
-// Sequence: the system refuses, stays silent, or cannot read what it got.
-// Cause: exit codes that do not tell these apart.
+// The exit code must tell whether a command was refused, was invalid or has an
+// unknown outcome. Otherwise a script goes on after a refused drain, or repeats
+// a command with an unknown outcome under a new id.
 func TestExitCodesTellWhatHappened(t *testing.T) {
 	accepted := answering(t, http.StatusOK, `{"accepted":true,"revision":812,"not_in_force":["brest-1","brest-2"]}`)
 	table := answering(t, http.StatusOK, `{"confirmed":true,"revision":9007199254740993,"columns":["vm","pool","touched"],"rows":[["w-1","gazetteer",9007199254740993],["w-10","",true]]}`)
@@ -49,8 +48,8 @@
 		{"unknown", []string{"--entry", late, "do", "drain vm w-17", "--id", "mine"}, ExitUnknown, "", "send again with id mine"},
 		{"unavailable", []string{"--entry", waiting, "do", "drain vm w-17"}, ExitRefused, "", "nothing was done, try again later: " + waiting + ": no majority"},
 		{"no JSON", []string{"--entry", html, "do", "drain vm w-17", "--id", "mine"}, ExitUnknown, "", "send again with id mine"},
-		{"nobody", []string{"--entry", nobody, "do", "drain vm w-17"}, ExitUnknown, "", "nobody answered"},
-		{"nobody asked", []string{"--entry", nobody, "ask", "show vms"}, ExitUnknown, "", "nobody answered"},
+		{"nobody", []string{"--entry", unreachable, "do", "drain vm w-17"}, ExitUnknown, "", "nobody answered"},
+		{"nobody asked", []string{"--entry", unreachable, "ask", "show vms"}, ExitUnknown, "", "nobody answered"},
 		{"workspaces", []string{"--entry", table, "workspace", "list"}, ExitDone,
 			"vm    pool       touched\nw-1   gazetteer  9007199254740993\nw-10  -          true\n", ""},
 		{"a workspace, unconfirmed", []string{"--entry", old, "workspace", "show", "mairies & co"}, ExitDone, "vm\n\\x1b[2J\n", "does not lead"},
@@ -80,8 +79,8 @@
 	}
 }
 
-// assertRun runs the tool and checks its exit code, that what it prints
-// begins as stdout, and that its errors hold stderr.
+// assertRun runs the tool and checks its exit code, the beginning of its
+// output, and that its error output contains stderr, or is empty if stderr is.
 func assertRun(t *testing.T, args []string, code int, stdout, stderr string) {
 	t.Helper()
 	var out, errs bytes.Buffer
--- a/io/tackcli/workspace.go
+++ b/io/tackcli/workspace.go
@@ -39,7 +39,7 @@
 	return c
 }
 
-// workspaces prints all workspaces, or one in full.
+// workspaces prints all workspaces, or the named one in detail.
 func (t *Tool) workspaces(ctx context.Context, name string) error {
 	path := tackcontrol.WorkspacesPath
 	if name != "" {
