--- a/io/tackcontrol/advice.go
+++ b/io/tackcontrol/advice.go
@@ -12,33 +12,34 @@
 )
 
 const (
-	// adviceEvery is the wait between two looks for a step that needs advice.
-	// The advisor takes one call at a time, so there is one caller.
-	adviceEvery = 40 * time.Millisecond
-	// adviceLimit bounds one call: the advisor takes some time a worker.
-	adviceLimit = 2 * time.Second
+	// adviceInterval is the interval between two checks for a step that needs advice. The
+	// advisor handles one call at a time, so there is only one caller.
+	adviceInterval = 40 * time.Millisecond
+	// adviceTimeout bounds one call. The advisor's response time grows with the number of
+	// workers.
+	adviceTimeout = 2 * time.Second
 )
 
-// Advisor knows which workers may run a step. It returns their tickets and for
-// how long these hold.
+// Advisor determines which workers may run a step. It returns their tickets and how long
+// these are valid.
 type Advisor interface {
 	Advise(ctx context.Context, r tackdispatch.AdviceRequest) ([]tackdispatch.Ticket, tackclock.Duration, error)
 }
 
-// serveAdvice asks the advisor for the steps that need it while this VM leads.
+// serveAdvice requests advice for the steps that need it while this VM is the leader.
 func (c *Control) serveAdvice(ctx context.Context) error {
 	for ctx.Err() == nil {
-		tackloop.Sleep(ctx, adviceEvery)
-		c.askAdvice(ctx)
+		tackloop.Sleep(ctx, adviceInterval)
+		c.requestAdvice(ctx)
 	}
 	return ctx.Err()
 }
 
-func (c *Control) askAdvice(ctx context.Context) {
+func (c *Control) requestAdvice(ctx context.Context) {
 	now := c.clock.Now()
 	c.mu.Lock()
 	term, leads := c.leads(now)
-	if !leads || c.dispatched != term {
+	if !leads || c.dispatchTerm != term {
 		c.mu.Unlock()
 		return
 	}
@@ -47,10 +48,10 @@
 	if !wanted {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, adviceLimit)
+	ctx, cancel := context.WithTimeout(ctx, adviceTimeout)
 	defer cancel()
-	// The tickets' time counts from before the call, so that it never seems to
-	// end later than it does.
+	// The validity of the tickets is counted from before the call, so that they are never
+	// used after they have expired.
 	asked := c.clock.Now()
 	tickets, valid, err := c.cfg.Advisor.Advise(ctx, request)
 	c.log.WithFields(logrus.Fields{
@@ -59,7 +60,7 @@
 	}).WithError(err).Info("advice")
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.dispatched == term {
+	if c.dispatchTerm == term {
 		c.dispatch.AdviceReceived(asked, request, tickets, valid, err == nil)
 	}
 }
--- a/io/tackcontrol/control.go
+++ b/io/tackcontrol/control.go
@@ -1,6 +1,6 @@
-// Package tackcontrol runs one control VM: it keeps the replicated log with
-// its peers, and while it leads it accepts jobs and catalogs, answers workers'
-// heartbeats with orders, and carries out waves of upkeep.
+// Package tackcontrol implements a control VM. It maintains the replicated log together with
+// its peers. While it is the leader it accepts jobs and catalogs, answers workers' heartbeats
+// with orders, and carries out upkeep waves.
 package tackcontrol
 
 import (
@@ -28,49 +28,50 @@
 
 const (
 	kindReplica tackpeer.Kind = "replica"
-	// Without a leader nothing is accepted and no item starts, so a lost one is
-	// replaced within about a second. The times leave room for a disk that
-	// takes 25 times its 6 ms a sync, and for a machine six times as slow.
+	// While there is no leader no job is accepted and no item starts, so a failed leader must
+	// be replaced within about a second. The timeouts tolerate a disk whose syncs take 25
+	// times the usual 6 ms, and a machine that is six times slower.
 	logHeartbeat = 120 * tackclock.Millisecond
 	logLease     = 600 * tackclock.Millisecond
 	logElection  = 700 * tackclock.Millisecond
-	// eventQueue bounds what waits for the loop.
+	// eventQueue is the capacity of the event loop's queue.
 	eventQueue = 4096
-	// maxBackoff bounds the wait between two tries to reach a peer. Half a second
-	// finds one that came back within the span of a lease.
+	// maxBackoff bounds the delay between two attempts to connect to a peer. With half a
+	// second a peer that has restarted is reached within the duration of a lease.
 	maxBackoff = 500 * tackclock.Millisecond
 )
 
 type (
-	// Config says who this VM is and how it finds the others. Peers are named
-	// by their IP numbers, since a process is told nothing else of them.
+	// Config configures a control VM. Peers are identified by their IP addresses, since a
+	// process is given no other information about them.
 	Config struct {
 		Self       tackid.Peer
 		DataCentre tackid.DataCentre
-		// Links and Inner are the ports of the links between control VMs and
-		// of the calls from entry VMs; the same on every VM.
+		// Links is the port of the links between control VMs, Inner that of the calls from
+		// entry VMs. They are the same on all control VMs.
 		Links int
 		Inner int
-		// Seeds are control VMs that were there when the settings were
-		// written. With Bootstrap they are those of the very first start.
+		// Seeds returns the control VMs that existed when the settings were written. With
+		// Bootstrap they are those of the initial start of the system.
 		Seeds     func() []tackid.Peer
 		Bootstrap bool
-		// Voters is how many control VMs vote.
+		// Voters is the wanted number of voting control VMs.
 		Voters int
 		Folder string
-		// Upkeep is how long a VM of a worker is down for its upkeep, Handover
-		// how long a leader waits before it orders VMs about after another
-		// may have.
+		// Upkeep is how long the VM of a worker is down for its upkeep. Handover is how long
+		// a new leader waits before it gives orders for a VM for which the previous leader
+		// may have given some.
 		Handover tackclock.Duration
-		// KeepClosed is how long a closed job can still be asked for.
+		// KeepClosed is how long a closed job can still be looked up.
 		KeepClosed tackclock.Duration
-		// CallsPerSecond is how many orders the platform takes, for VMs of all
-		// pools together; zero is no bound.
+		// CallsPerSecond is the rate of orders that the platform accepts for the VMs of all
+		// pools together; zero means no limit.
 		CallsPerSecond float64
-		// RelayFrom is from how many workers on they report to control VMs that do not
-		// lead; zero is a thousand.
+		// RelayFrom is the number of workers from which on they report to control VMs other
+		// than the leader; zero means 1000.
 		RelayFrom int
-		// Files is where the data folder lies; nil is the operating system.
+		// Files is the file system of the data folder; nil means that of the operating
+		// system.
 		Files    tackdisk.Files
 		Dispatch tackdispatch.Config
 		Moves    tackpool.Planner
@@ -92,40 +93,40 @@
 		links  *tackpeer.Links
 		disk   *tackdisk.Disk
 
-		// loop is the only goroutine that touches node, waiters and members.
+		// loop runs on the only goroutine that accesses node, waiters and members.
 		loop       *tackloop.Loop
 		node       *tackreplica.Node
 		waiters    map[tackid.Revision]waiter
 		snapshotAt tackid.Revision
 		members    members
-		// reopenAt is when the data folder is opened again after it failed; zero
-		// while it is good.
+		// reopenAt is when to reopen the data folder after a failure; zero if it has not
+		// failed.
 		reopenAt tackclock.Time
 
 		submissions submissions
 
 		status atomic.Pointer[tackreplica.Status]
-		// moving has a place for each move that the platform is called for at once.
-		moving chan struct{}
-
-		// mu guards what follows. Only the loop writes state.
-		mu         sync.Mutex
-		state      tackwork.State
-		dispatch   *tackdispatch.Dispatcher
-		dispatched tackreplica.Term // the term that dispatch was reset for
-		ends       []workerEnd
-		found      tackjob.Findings  // that wait for the log beside ends
-		grants     []tackquota.Grant // that wait for it as well
-		upkeep     upkeep
-		orders     orders
-		// roster has the VMs that pass reports on to this one while it leads.
+		// moveSlots limits the number of concurrent move calls to the platform.
+		moveSlots chan struct{}
+
+		// mu guards the fields below, up to relay. Only the loop writes state.
+		mu           sync.Mutex
+		state        tackwork.State
+		dispatch     *tackdispatch.Dispatcher
+		dispatchTerm tackreplica.Term // the term for which dispatch was reset, 0 if none
+		ends         []workerEnd
+		findings     tackjob.Findings  // queued for the log, like ends
+		grants       []tackquota.Grant // queued for the log, like ends
+		upkeep       upkeep
+		orders       orders
+		// roster contains the relays that forward reports to this VM while it is the leader.
 		roster tackrelay.Roster
 
-		// relay is for while it does not.
+		// relay is used while this VM is not the leader.
 		relay relay
 	}
 
-	// StoppedError says why a control VM cannot go on.
+	// StoppedError reports why a control VM cannot continue.
 	StoppedError struct {
 		What string
 		Err  error
@@ -142,14 +143,14 @@
 	return e.Err
 }
 
-// New opens the data folder and makes a control VM. Nothing runs until Serve.
+// New opens the data folder and creates a control VM. Nothing runs until Serve is called.
 func New(cfg Config) (*Control, error) {
 	c := &Control{
 		cfg: cfg, clock: cfg.Clock, log: cfg.Logger, meters: newMeters(cfg.Registry),
-		loop:     tackloop.New(eventQueue),
-		waiters:  make(map[tackid.Revision]waiter),
-		dispatch: tackdispatch.New(cfg.Dispatch),
-		moving:   make(chan struct{}, movesInFlight),
+		loop:      tackloop.New(eventQueue),
+		waiters:   make(map[tackid.Revision]waiter),
+		dispatch:  tackdispatch.New(cfg.Dispatch),
+		moveSlots: make(chan struct{}, maxMovesInFlight),
 	}
 	c.cfg.RelayFrom = cmp.Or(cfg.RelayFrom, defaultRelayFrom)
 	c.state.ClosedRetention = cfg.KeepClosed
@@ -181,17 +182,17 @@
 	}
 	c.orders.reset(c.clock.Now())
 	c.node = tackreplica.New(tackreplica.Config{
-		Self: c.cfg.Self, Members: c.firstMembers(), Seed: rand.Uint64(),
+		Self: c.cfg.Self, Members: c.initialMembers(), Seed: rand.Uint64(),
 		Heartbeat: logHeartbeat, Lease: logLease, Election: logElection, LearnerInterval: logHeartbeat,
 	}, stored, c.clock.Now())
 	c.refreshStatus(c.clock.Now())
 	return nil
 }
 
-// firstMembers are the voters of the very first start. A VM whose folder is
-// empty at any other start counts only the others: it forgot what it voted
-// for, and must wait until a leader has made it a member again.
-func (c *Control) firstMembers() []tackreplica.Member {
+// initialMembers returns the voters of the initial start. At any later start a VM with an
+// empty folder counts only the others: it has forgotten whom it voted for, so it must wait
+// until a leader adds it as a member again.
+func (c *Control) initialMembers() []tackreplica.Member {
 	var list []tackreplica.Member
 	for _, p := range c.cfg.Seeds() {
 		if len(list) == c.cfg.Voters {
@@ -205,18 +206,18 @@
 	return list
 }
 
-// leads reports whether this VM may decide at now, and in which term.
+// leads reports whether this VM may act as the leader at now, and in which term.
 func (c *Control) leads(now tackclock.Time) (tackreplica.Term, bool) {
 	s := c.status.Load()
 	return s.Term, s.LeaderLease && now < s.LeaderLeaseUntil
 }
 
-// Leader is whom this VM takes for the leader; empty if it knows none.
+// Leader returns the leader that this VM knows of; empty if it knows none.
 func (c *Control) Leader() tackid.Peer {
 	return c.status.Load().Leader
 }
 
-// Peers are all control VMs that this one knows.
+// Peers returns all control VMs that this one knows.
 func (c *Control) Peers() []tackid.Peer {
 	var list []tackid.Peer
 	for _, m := range c.status.Load().Members {
--- a/io/tackcontrol/control_test.go
+++ b/io/tackcontrol/control_test.go
@@ -31,24 +31,25 @@
 	"auburntack/io/tackforward"
 )
 
-// eventually is how long the tests wait for something that takes seconds.
+// eventually is the timeout for conditions that take seconds to become true.
 const eventually = 30 * time.Second
 
-// linksPort is below the ports that the system hands out to connections.
+// linksPort is outside the range of ports that the system assigns to connections.
 const linksPort = 17260
 
 var clusters atomic.Int32
 
 type (
-	// cluster is some control VMs on loopback addresses of their own, with an
-	// entry VM's client.
+	// cluster is a set of control VMs on loopback addresses of their own, and the client of
+	// an entry VM.
 	cluster struct {
 		t      *testing.T
 		links  int
 		number int
 		folder string
 		seeds  []tackid.Peer
-		// relayFrom is from how many workers on they report to relays; zero is the default.
+		// relayFrom is the number of workers from which on they report to relays; zero is the
+		// default.
 		relayFrom int
 		client    *tackforward.Client
 		log       *logrus.Logger
@@ -57,7 +58,8 @@
 		disks   map[tackid.Peer]*fillingDisk
 	}
 
-	// fillingDisk refuses every write while it is full, and has them wait while it stalls.
+	// fillingDisk rejects every write while it is full, and blocks writes while it is
+	// stalled.
 	fillingDisk struct {
 		tackdisk.OSFiles
 		full, stalled atomic.Bool
@@ -73,7 +75,7 @@
 		stop    func()
 	}
 
-	// noCloud refuses every call.
+	// noCloud rejects every call.
 	noCloud struct{}
 )
 
@@ -119,9 +121,9 @@
 	return c
 }
 
-// peer is an address that no other cluster has, and no other run of the test
-// beside this one. A free port of 127.0.0.1 would not do: the one after it may
-// be taken by anybody before the VM listens.
+// peer returns an address that is used by no other cluster, and by no concurrent run of the
+// test. A free port of 127.0.0.1 would not do: another process might take the port after it
+// before the VM listens there.
 func (c *cluster) peer(n int) tackid.Peer {
 	return tackid.Peer(fmt.Sprintf("127.%d.%d.%d", 20+os.Getpid()%200, c.number, n))
 }
@@ -156,7 +158,7 @@
 	}}
 }
 
-// join asks the seeds to take a VM in while it has no leader.
+// join asks the seeds to add a VM as a member while it knows no leader.
 func (c *cluster) join(ctx context.Context, p tackid.Peer, control *tackcontrol.Control) {
 	for ctx.Err() == nil {
 		if !control.Member() {
@@ -178,7 +180,7 @@
 	delete(c.running, p)
 }
 
-// await fails the test if f does not become true.
+// await fails the test if f does not return true in time.
 func (c *cluster) await(what string, f func() bool) {
 	c.t.Helper()
 	for until := time.Now().Add(eventually); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
@@ -189,7 +191,7 @@
 	c.t.Fatalf("never: %s", what)
 }
 
-// leader waits for a VM that leads and returns it.
+// leader waits until a VM is the leader and returns it.
 func (c *cluster) leader() tackid.Peer {
 	c.t.Helper()
 	var found tackid.Peer
@@ -252,7 +254,7 @@
 	jobB = "00000000000000bb"
 )
 
-func newRunning(t *testing.T) *cluster {
+func newRunningCluster(t *testing.T) *cluster {
 	c := newCluster(t)
 	for _, p := range c.seeds {
 		c.start(p, true)
@@ -262,7 +264,7 @@
 }
 
 func TestJobThroughTheLog(t *testing.T) {
-	c := newRunning(t)
+	c := newRunningCluster(t)
 	c.assertAsk(tackwork.Lookup, jobA, tackwork.NoJob)
 	c.assertAsk(tackwork.Submit, jobA, tackwork.Done)
 	c.assertAsk(tackwork.Submit, jobA, tackwork.Done)
@@ -271,7 +273,7 @@
 	}
 	w := &worker{id: "i-1", control: c.running[c.leader()].control}
 	c.await("the job complete", func() bool {
-		w.beat()
+		w.heartbeat()
 		return c.ask(tackwork.Lookup, jobA).Progress == tackwork.Complete
 	})
 	c.assertAsk(tackwork.Submit, jobB, tackwork.Done)
@@ -281,11 +283,11 @@
 	}
 }
 
-// Symptom: something acknowledged is gone. Sequence: the leader is lost right
-// after it accepted a job; the two others go on; it comes back with an empty
-// folder, and another is lost.
+// Guards against the loss of something that was acknowledged: the leader is lost right after
+// it accepted a job, the two others continue, it comes back with an empty folder, and another
+// VM is lost.
 func TestAcceptedJobOutlivesLeaderAndFolder(t *testing.T) {
-	c := newRunning(t)
+	c := newRunningCluster(t)
 	c.assertAsk(tackwork.Submit, jobA, tackwork.Done)
 	lost := c.leader()
 	c.stop(lost)
@@ -305,8 +307,7 @@
 	c.assertAsk(tackwork.Lookup, jobB, tackwork.Done)
 }
 
-// votes reports whether the leader counts p among the voters that are up to
-// date.
+// votes reports whether the leader counts p among the up-to-date voters.
 func (c *cluster) votes(p tackid.Peer) bool {
 	for _, m := range c.running[c.leader()].control.Standing() {
 		if m.Peer == p {
@@ -316,11 +317,11 @@
 	return false
 }
 
-// Symptom: after a VM is gone for good the next loss stops everything.
-// Sequence: an empty VM at a new address asks to be taken in; a voter is lost
-// for good; then another voter is.
+// Guards against a system that stops with the next loss after a VM was lost for good. An
+// empty VM at a new address asks to become a member, a voter is lost for good, then another
+// one.
 func TestNewVMTakesOverForOneThatIsGone(t *testing.T) {
-	c := newRunning(t)
+	c := newRunningCluster(t)
 	c.assertAsk(tackwork.Submit, jobA, tackwork.Done)
 	added := c.peer(4)
 	c.start(added, false)
@@ -340,28 +341,27 @@
 	c.assertAsk(tackwork.Lookup, jobA, tackwork.Done)
 }
 
-// Symptom: a control VM ends each time that it starts, and its ports are closed.
-// Sequence: the disk of the VM that leads is full; later it has room again. Cause:
-// a write that failed ended the process.
+// Guards against a control VM that exits at each start, with its ports closed, while its disk
+// is full. The disk of the leader is full, and later has space again. The fault was that a
+// failed write stopped the process.
 func TestFullDisk(t *testing.T) {
-	c := newRunning(t)
+	c := newRunningCluster(t)
 	c.assertAsk(tackwork.Submit, jobA, tackwork.Done)
 	full := c.leader()
 	c.disks[full].full.Store(true)
-	// The first of these meets the disk that is full. Its fate is unknown, and is
-	// told by asking again.
+	// The first of these writes to the full disk. Its result is unknown, so it is sent again.
 	c.assertAsk(tackwork.Submit, jobB, tackwork.Done)
 	if second := c.leader(); second == full {
 		t.Error("the VM whose disk is full leads")
 	}
 	if a := c.running[full].control.Do(context.Background(), &tackwork.Request{Host: "a.example", Path: "/q/" + jobA}); !a.NotLeader {
-		t.Errorf("it answers %v, want callers sent on", a.Verdict)
+		t.Errorf("it answers %v, want callers redirected", a.Verdict)
 	}
 	c.disks[full].full.Store(false)
 	c.await("it takes part in decisions again", func() bool { return c.votes(full) })
 	for p := range c.running {
 		if p != full && p != c.leader() {
-			c.stop(p) // so that the next decision needs it
+			c.stop(p) // so that the next decision depends on the VM that was full
 			break
 		}
 	}
@@ -370,9 +370,9 @@
 	c.assertAsk(tackwork.Cancel, jobA, tackwork.Done)
 }
 
-// A minority answers nothing that could be stale, and says so at once.
+// A minority gives no answer that could be outdated, and reports this at once.
 func TestMinorityIsNotSure(t *testing.T) {
-	c := newRunning(t)
+	c := newRunningCluster(t)
 	c.assertAsk(tackwork.Submit, jobA, tackwork.Done)
 	leader := c.leader()
 	for _, p := range c.seeds {
@@ -385,19 +385,18 @@
 		return !sure
 	})
 	if a := c.ask(tackwork.Lookup, jobA); a.Verdict != tackwork.Unavailable || a.RetryAfter == 0 {
-		t.Errorf("a minority answers %v with %v to come back", a.Verdict, a.RetryAfter)
+		t.Errorf("a minority answers %v with retry after %v", a.Verdict, a.RetryAfter)
 	}
 }
 
-// Symptom: what runs on a worker starts a second time elsewhere. Sequence: another
-// program sends a heartbeat with the worker's VM, a new id and a pool that no catalog
-// names. Cause: it was taken for the VM's next life, so the worker's was taken for
-// over.
+// Guards against a second start of what already runs on a worker. Another program sends a
+// heartbeat with the worker's VM, a new id and a pool that no catalog names. The fault was
+// that it was taken for the VM's next worker, so the current one was considered ended.
 func TestHeartbeatOfAnUnknownPoolEndsNothing(t *testing.T) {
-	c := newRunning(t)
+	c := newRunningCluster(t)
 	leader := c.running[c.leader()].control
 	sound := &worker{id: "i-1", control: leader}
-	sound.beat()
+	sound.heartbeat()
 	foreign := &tackdispatch.Report{
 		Worker: "i-9", VM: "m-i-1", Service: "elsewhere", Sequence: 1, Capacity: tackroom.Resources{MilliCores: 4000, MemoryMB: 4000},
 	}
--- a/io/tackcontrol/disk.go
+++ b/io/tackcontrol/disk.go
@@ -10,9 +10,9 @@
 	"auburntack/io/tackdisk"
 )
 
-// reopenEvery spaces out the tries to open a data folder that failed: a disk that
-// is full has room again within seconds, or hours.
-const reopenEvery = 500 * tackclock.Millisecond
+// reopenInterval is the interval between attempts to reopen a data folder that failed. A full
+// disk may have space again within seconds, or only after hours.
+const reopenInterval = 500 * tackclock.Millisecond
 
 func (c *Control) openDisk() (tackreplica.Stored, error) {
 	disk, stored, err := tackdisk.Open(c.cfg.Folder, tackdisk.Options{Peer: c.cfg.Self, Logger: c.cfg.Logger, Files: c.cfg.Files})
@@ -22,47 +22,46 @@
 	return stored, err
 }
 
-// suspend has this VM go on without a disk that failed; other errors are returned.
+// suspend keeps this VM running after a disk error; errors of other kinds are returned.
 //
-// A disk that is full refuses every write. Were the process to end, as for what it
-// cannot mend, it would start, fail and end again for as long as there is no room,
-// and its ports would be closed meanwhile. Suspended, it leads nothing, votes for
-// nobody and acknowledges nothing, since none of that could be kept, and it sends
-// whoever calls on to the others.
+// A full disk rejects every write. If the process exited, it would start, fail and exit again
+// for as long as there is no space, with its ports closed most of the time. A suspended VM
+// does not lead, vote or acknowledge anything, since it could persist none of that, and it
+// redirects callers to the other control VMs.
 func (c *Control) suspend(now tackclock.Time, err error) error {
 	if !errors.As(err, new(*tackdisk.FailedError)) {
 		return err
 	}
-	c.log.WithError(err).Error("data folder lost, this VM does not take part until it can write again")
-	c.reopenAt = now.Add(reopenEvery)
+	c.log.WithError(err).Error("data folder failed; this VM is suspended until it can write again")
+	c.reopenAt = now.Add(reopenInterval)
 	c.refreshStatus(now)
-	c.takeLead(now)
+	c.updateLeadership(now)
 	waiters := c.waiters
 	c.waiters = make(map[tackid.Revision]waiter)
 	for _, w := range waiters {
-		w.tell(undecided, tackwork.Outcome{})
+		w.notify(undecided, tackwork.Outcome{})
 	}
 	return nil
 }
 
-// resume opens the data folder again when it is due, and begins with what it holds
-// as after a restart. It reports whether the folder is good. Opening writes to it,
-// so it shows whether there is room. The error is a *StoppedError if the folder
-// holds what cannot be read.
+// resume reopens the data folder when this is due and continues with its content, as after a
+// restart. It reports whether the folder is usable. Opening writes to the folder, so it fails
+// while there is no space. The error is a *StoppedError if the content of the folder cannot
+// be read.
 func (c *Control) resume(now tackclock.Time) (bool, error) {
 	if c.reopenAt == 0 || now < c.reopenAt {
 		return c.reopenAt == 0, nil
 	}
-	c.reopenAt = now.Add(reopenEvery)
+	c.reopenAt = now.Add(reopenInterval)
 	if err := c.disk.Close(); err != nil {
-		c.log.WithError(err).Warn("data folder not closed")
+		c.log.WithError(err).Warn("closing the data folder failed")
 	}
 	stored, err := c.openDisk()
-	if lasting(err) {
-		return false, &StoppedError{What: "open the data folder again", Err: err}
+	if permanent(err) {
+		return false, &StoppedError{What: "reopen the data folder", Err: err}
 	}
 	if err != nil {
-		c.log.WithError(err).Warn("data folder not opened again yet")
+		c.log.WithError(err).Warn("reopening the data folder failed; it will be retried")
 		return false, nil
 	}
 	c.mu.Lock()
@@ -75,12 +74,12 @@
 	}
 	c.reopenAt = 0
 	c.relink()
-	c.log.Info("data folder regained")
+	c.log.Info("data folder reopened")
 	return true, nil
 }
 
-// lasting reports whether opening the folder again would fail alike.
-func lasting(err error) bool {
+// permanent reports whether a later attempt to open the folder would fail in the same way.
+func permanent(err error) bool {
 	return errors.As(err, new(*tackdisk.CorruptError)) || errors.As(err, new(*tackdisk.VersionError)) ||
 		errors.As(err, new(*tackdisk.IdentityError))
 }
--- a/io/tackcontrol/events.go
+++ b/io/tackcontrol/events.go
@@ -6,18 +6,18 @@
 	"auburntack/core/tackdispatch"
 )
 
-// eventLines is how many lines one tick of 25 ms may write. A turn of a queue
-// starts some hundred items at once.
-const eventLines = 200
+// maxEventLines is the maximum number of log lines per tick of 25 ms. When it is a queue's
+// turn, about a hundred items can start at once.
+const maxEventLines = 200
 
-// logEvents writes a line for each decision of dispatch. What exceeds the
-// bound is counted, not written: logs must not slow what they tell of.
+// logEvents writes a log line for each dispatch decision. Lines above the limit are counted
+// but not written, so that logging does not slow down dispatch.
 func (c *Control) logEvents(events []tackdispatch.Event, left int) {
 	for i := range events {
-		c.meters.happened(events[i].Kind)
+		c.meters.countEvent(events[i].Kind)
 	}
 	for i := range events {
-		if i == eventLines {
+		if i == maxEventLines {
 			left += len(events) - i
 			break
 		}
--- a/io/tackcontrol/jobs.go
+++ b/io/tackcontrol/jobs.go
@@ -14,14 +14,14 @@
 	"auburntack/core/tackworkspace"
 )
 
-// comeBack is when to come back to a system without a leader: an election
+// retryAfter is the delay after which callers may retry when there is no leader: an election
 // takes one to two seconds.
-const comeBack = tackclock.Second
+const retryAfter = tackclock.Second
 
-// idTaken is why a job is not accepted whose id another caller has used.
+// idTaken is the reason for rejecting a job whose id is used by another caller's job.
 const idTaken = "the id is that of a job in another queue or workspace"
 
-// Do carries out what a caller asks of a queue, if this VM leads.
+// Do executes a caller's request to a queue, if this VM is the leader.
 func (c *Control) Do(ctx context.Context, r *tackwork.Request) tackwork.Answer {
 	now := c.clock.Now()
 	if _, leads := c.leads(now); !leads {
@@ -29,12 +29,12 @@
 	}
 	a := c.do(ctx, r)
 	took := c.clock.Now().Sub(now)
-	c.meters.answered(r, &a, took)
+	c.meters.countAnswer(r, &a, took)
 	c.logAnswer(r, &a, took)
 	return a
 }
 
-// Lead tells an entry VM whether this VM leads, and who does if it does not.
+// Lead tells an entry VM whether this VM is the leader, and otherwise which one is.
 func (c *Control) Lead() tackwork.Answer {
 	if _, leads := c.leads(c.clock.Now()); !leads {
 		return c.notLeader()
@@ -44,7 +44,7 @@
 
 func (c *Control) notLeader() tackwork.Answer {
 	a := tackwork.Answer{
-		Verdict: tackwork.Unavailable, RetryAfter: comeBack, Reason: "not the leader",
+		Verdict: tackwork.Unavailable, RetryAfter: retryAfter, Reason: "not the leader",
 		NotLeader: true, Control: c.Peers(),
 	}
 	if leader := c.Leader(); leader != c.cfg.Self {
@@ -55,7 +55,7 @@
 
 func (c *Control) logAnswer(r *tackwork.Request, a *tackwork.Answer, took tackclock.Duration) {
 	if r.Operation == tackwork.Lookup && a.Verdict == tackwork.Done {
-		return // changes nothing and decides nothing
+		return // neither a change nor a decision
 	}
 	c.log.WithFields(logrus.Fields{
 		"request_id": r.ID, "operation": r.Operation.String(), "path": r.Path,
@@ -64,12 +64,12 @@
 	}).Info("request decided")
 }
 
-// call is a caller's request whose queue is known, and which its caller may make.
+// call is a caller's request whose queue was found and which the caller may make.
 type call struct {
 	queue tackcatalog.Queue
 	id    tackjob.ID // empty for a request about the queue itself
-	// workspace is the holder of the caller's key; key and workspace are empty where
-	// the queue asks for none.
+	// workspace is that of the caller's key; workspace and key are empty if the queue
+	// requires no key.
 	workspace tackid.Workspace
 	key       tackworkspace.Fingerprint
 	spec      *tackjob.Spec
@@ -93,13 +93,14 @@
 	}
 }
 
-// resolve finds the queue and the workspace of a request, or why there is none. The
-// key is looked at before all that is asked for: who holds none learns nothing.
+// resolve finds the queue and the workspace of a request, or returns the answer that rejects
+// it. The key is checked before anything else that depends on the queue, so that a caller
+// without one learns nothing about the jobs.
 func (c *Control) resolve(r *tackwork.Request) (*call, *tackwork.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state.Catalog.Version == 0 {
-		return nil, &tackwork.Answer{Verdict: tackwork.Unavailable, RetryAfter: comeBack, Reason: "no catalog yet"}
+		return nil, &tackwork.Answer{Verdict: tackwork.Unavailable, RetryAfter: retryAfter, Reason: "no catalog yet"}
 	}
 	q, rest := c.state.Catalog.Match(r.Host, r.Path)
 	if q == nil {
@@ -109,7 +110,7 @@
 	if c.state.Catalog.RequiresKeys && !q.Public {
 		held := false
 		if found.workspace, held = c.state.Holder(r.Key); !held {
-			return nil, &tackwork.Answer{Verdict: tackwork.NoKey, Reason: whyNoKey(r.Key)}
+			return nil, &tackwork.Answer{Verdict: tackwork.NoKey, Reason: noKeyReason(r.Key)}
 		}
 		found.key = r.Key
 	}
@@ -119,17 +120,17 @@
 	return found, nil
 }
 
-// whyNoKey tells a key that nobody holds from one that was not shown.
-func whyNoKey(key tackworkspace.Fingerprint) string {
+// noKeyReason distinguishes a key that belongs to no workspace from a missing one.
+func noKeyReason(key tackworkspace.Fingerprint) string {
 	if key == "" {
 		return "no key"
 	}
 	return "unknown key " + key.Short()
 }
 
-// sees reports whether the job is one that the caller may ask for: of the queue that
-// he addressed, and of his workspace where it has one.
-func (k *call) sees(j *tackjob.Job) bool {
+// mayAccess reports whether the caller may access the job: the job must belong to the queue
+// that the request names, and to the caller's workspace if it has one.
+func (k *call) mayAccess(j *tackjob.Job) bool {
 	if j == nil || j.Queue != k.queue.QueueKey {
 		return false
 	}
@@ -146,7 +147,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.state.Jobs.Get(k.id)
-	if !k.sees(j) {
+	if !k.mayAccess(j) {
 		return tackwork.Answer{Verdict: tackwork.NoJob}
 	}
 	return tackwork.Answer{Progress: tackwork.ProgressOf(j, c.dispatch.Started(k.id))}
@@ -155,7 +156,7 @@
 func (c *Control) cancel(ctx context.Context, k *call) tackwork.Answer {
 	c.mu.Lock()
 	j := c.state.Jobs.Get(k.id)
-	known := k.sees(j)
+	known := k.mayAccess(j)
 	open := known && j.Phase == tackjob.Open
 	c.mu.Unlock()
 	if !known {
@@ -178,29 +179,29 @@
 	}
 	known, admission := c.admit(k, &spec)
 	switch {
-	case known != nil && !k.sees(known):
+	case known != nil && !k.mayAccess(known):
 		return tackwork.Answer{Verdict: tackwork.Invalid, Reason: idTaken}
 	case known != nil:
 		return tackwork.Answer{Reason: "known"}
 	case !admission.Accepted:
 		return tackwork.Answer{Verdict: tackwork.Refused, RetryAfter: admission.RetryAfter, Reason: admission.Reason}
 	}
-	p := c.proposeTold(ctx, tackwork.Change{Submit: &spec, Key: k.key}, func() { c.decided(spec.ID) })
+	p := c.proposeNotify(ctx, tackwork.Change{Submit: &spec, Key: k.key}, func() { c.decided(spec.ID) })
 	switch {
-	case p.fate != committed:
+	case p.status != committed:
 		return c.answerProposal(p)
 	case p.outcome.NoQueue:
 		return tackwork.Answer{Verdict: tackwork.NoQueue, Reason: "the queue was dropped meanwhile"}
 	case p.outcome.NoKey:
 		return tackwork.Answer{Verdict: tackwork.NoKey, Reason: "the key was taken away meanwhile"}
-	case !k.sees(p.outcome.Job):
+	case !k.mayAccess(p.outcome.Job):
 		return tackwork.Answer{Verdict: tackwork.Invalid, Reason: idTaken}
 	}
 	return tackwork.Answer{}
 }
 
-// admit returns the job, if the log holds it, or whether it is accepted. One that is must
-// be proposed.
+// admit returns the job if the log contains it, and otherwise whether it is accepted. A job
+// that is accepted must be proposed.
 func (c *Control) admit(k *call, spec *tackjob.Spec) (known *tackjob.Job, a tackdispatch.Admission) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -226,7 +227,7 @@
 	return nil, a
 }
 
-// decided takes in that a proposal of a job was committed, or never will be.
+// decided records that a proposal of a job was committed, or never will be.
 func (c *Control) decided(id tackjob.ID) {
 	if !c.submissions.end(id) {
 		return
@@ -236,19 +237,19 @@
 	c.dispatch.Decided(id)
 }
 
-func (c *Control) answerProposal(p proposed) tackwork.Answer {
-	switch p.fate {
+func (c *Control) answerProposal(p proposalResult) tackwork.Answer {
+	switch p.status {
 	case committed:
 		return tackwork.Answer{}
 	case rejected:
-		return tackwork.Answer{Verdict: tackwork.Unavailable, RetryAfter: comeBack, Reason: "leadership was lost"}
+		return tackwork.Answer{Verdict: tackwork.Unavailable, RetryAfter: retryAfter, Reason: "leadership was lost"}
 	default:
 		return tackwork.Answer{Verdict: tackwork.Unknown, Reason: "no majority in time"}
 	}
 }
 
-// PutCatalog puts a catalog in force. The verdict is Done, Conflict, Invalid,
-// Unavailable or Unknown.
+// PutCatalog activates a catalog. The verdict is Done, Conflict, Invalid, Unavailable or
+// Unknown.
 func (c *Control) PutCatalog(ctx context.Context, catalog *tackcatalog.Catalog) tackwork.Answer {
 	if _, leads := c.leads(c.clock.Now()); !leads {
 		return c.notLeader()
@@ -259,14 +260,14 @@
 	}
 	a := c.putValid(ctx, catalog)
 	c.log.WithFields(logrus.Fields{
-		"version": uint64(catalog.Version), "queues": len(catalog.Queues), "advised": advised(catalog),
-		"workspaces": len(catalog.Workspaces), "keys": keys(catalog), "outcome": a.Verdict.String(), "reason": a.Reason,
+		"version": uint64(catalog.Version), "queues": len(catalog.Queues), "advised": advisedQueues(catalog),
+		"workspaces": len(catalog.Workspaces), "keys": keyCount(catalog), "outcome": a.Verdict.String(), "reason": a.Reason,
 	}).Info("catalog decided")
 	return a
 }
 
-// advised counts the queues whose steps only some workers may run.
-func advised(catalog *tackcatalog.Catalog) int {
+// advisedQueues counts the queues whose steps may run only on workers that the advisor names.
+func advisedQueues(catalog *tackcatalog.Catalog) int {
 	n := 0
 	for i := range catalog.Queues {
 		if catalog.Queues[i].Advised {
@@ -276,8 +277,8 @@
 	return n
 }
 
-// keys counts the keys that callers may show.
-func keys(catalog *tackcatalog.Catalog) int {
+// keyCount counts the keys of all workspaces.
+func keyCount(catalog *tackcatalog.Catalog) int {
 	n := 0
 	for i := range catalog.Workspaces {
 		n += len(catalog.Workspaces[i].Keys)
@@ -287,20 +288,19 @@
 
 func (c *Control) putValid(ctx context.Context, catalog *tackcatalog.Catalog) tackwork.Answer {
 	p := c.propose(ctx, tackwork.Change{Catalog: catalog})
-	if p.fate == committed && p.outcome.Conflict {
+	if p.status == committed && p.outcome.Conflict {
 		return tackwork.Answer{Verdict: tackwork.Conflict, Reason: "the version is held with other content"}
 	}
 	return c.answerProposal(p)
 }
 
-// Catalog returns the newest catalog, or false if this VM cannot be sure which
-// it is.
+// Catalog returns the current catalog, or false if this VM cannot be sure that it is current.
 func (c *Control) Catalog() (tackcatalog.Catalog, bool) {
 	c.mu.Lock()
 	catalog := c.state.Catalog
 	c.mu.Unlock()
-	// The lease is looked at after the catalog was taken: had it run out in
-	// between, a newer one could be in force elsewhere.
+	// The lease is checked after the catalog was read: had it expired in between, another
+	// leader could already have activated a newer catalog.
 	_, leads := c.leads(c.clock.Now())
 	return catalog, leads && catalog.Version > 0
 }
--- a/io/tackcontrol/keys_test.go
+++ b/io/tackcontrol/keys_test.go
@@ -14,8 +14,9 @@
 	"auburntack/core/tackworkspace"
 )
 
-// keyed is a catalog with a public queue, /open/, and one that asks for a key, /q/.
-func keyed(v tackcatalog.Version, keys map[tackid.Workspace][]string) *tackcatalog.Catalog {
+// keyedCatalog returns a catalog with a public queue, /open/, and one that requires a key,
+// /q/.
+func keyedCatalog(v tackcatalog.Version, keys map[tackid.Workspace][]string) *tackcatalog.Catalog {
 	c := catalog
 	c.Version, c.Source, c.RequiresKeys = v, []byte{byte(v)}, true
 	open := c.Queues[0]
@@ -38,7 +39,7 @@
 	}
 }
 
-// assertKey asks with a key; the path names queue and job.
+// assertKey sends a request with a key; path names the queue and the job.
 func (c *cluster) assertKey(op tackwork.Operation, key, path string, want tackwork.Verdict) {
 	c.t.Helper()
 	r := &tackwork.Request{Operation: op, Host: "a.example", Path: path, Key: tackworkspace.FingerprintOf(key)}
@@ -55,15 +56,15 @@
 		c.t.Errorf("%v of %s with key %q: %v (%s), want %v", op, path, key, got.Verdict, got.Reason, want)
 	}
 	if key != "" && strings.Contains(got.Reason, key) {
-		c.t.Errorf("the reason %q has the key", got.Reason)
+		c.t.Errorf("the reason %q contains the key", got.Reason)
 	}
 }
 
 func TestKeys(t *testing.T) {
 	const both, other = "/q/" + jobA, "/q/" + jobB
-	c := newRunning(t)
-	c.put(keyed(5, map[tackid.Workspace][]string{"mairies": {"m1", "m2"}, "postes": {"p1"}}), tackwork.Done)
-	t.Run("all calls for a job ask for one", func(t *testing.T) {
+	c := newRunningCluster(t)
+	c.put(keyedCatalog(5, map[tackid.Workspace][]string{"mairies": {"m1", "m2"}, "postes": {"p1"}}), tackwork.Done)
+	t.Run("all calls for a job require a key", func(t *testing.T) {
 		for _, key := range []string{"", "nobody's", "M1"} {
 			for _, op := range []tackwork.Operation{tackwork.Submit, tackwork.Lookup, tackwork.Cancel} {
 				c.assertKey(op, key, both, tackwork.NoKey)
@@ -72,7 +73,7 @@
 		}
 		c.assertKey(tackwork.Lookup, "m1", both, tackwork.NoJob)
 	})
-	t.Run("a job is its workspace's", func(t *testing.T) {
+	t.Run("a job belongs to its workspace", func(t *testing.T) {
 		c.assertKey(tackwork.Submit, "m1", both, tackwork.Done)
 		c.assertKey(tackwork.Submit, "m2", both, tackwork.Done)
 		c.assertKey(tackwork.Lookup, "m2", both, tackwork.Done)
@@ -81,21 +82,21 @@
 		c.assertKey(tackwork.Submit, "p1", both, tackwork.Invalid)
 		c.assertKey(tackwork.Lookup, "p1", "/q/", tackwork.Done)
 	})
-	t.Run("a public queue asks for none", func(t *testing.T) {
+	t.Run("a public queue requires no key", func(t *testing.T) {
 		c.assertKey(tackwork.Submit, "", "/open/"+jobB, tackwork.Done)
 		c.assertKey(tackwork.Lookup, "nobody's", "/open/"+jobB, tackwork.Done)
 		c.assertKey(tackwork.Lookup, "", "/open/", tackwork.Done)
 		c.assertKey(tackwork.Lookup, "m1", other, tackwork.NoJob)
 	})
-	t.Run("no queue goes before no key", func(t *testing.T) {
+	t.Run("a missing queue is reported before a missing key", func(t *testing.T) {
 		c.assertKey(tackwork.Lookup, "", "/nowhere/", tackwork.NoQueue)
 	})
-	t.Run("one that two workspaces share is refused", func(t *testing.T) {
-		c.put(keyed(6, map[tackid.Workspace][]string{"mairies": {"m1"}, "postes": {"p1", "m1"}}), tackwork.Invalid)
+	t.Run("a key that two workspaces share is rejected", func(t *testing.T) {
+		c.put(keyedCatalog(6, map[tackid.Workspace][]string{"mairies": {"m1"}, "postes": {"p1", "m1"}}), tackwork.Invalid)
 		c.assertKey(tackwork.Lookup, "m2", both, tackwork.Done)
 	})
-	t.Run("one that is taken away opens nothing, whoever leads", func(t *testing.T) {
-		c.put(keyed(7, map[tackid.Workspace][]string{"mairies": {"m2"}, "postes": {"p1", "p2"}}), tackwork.Done)
+	t.Run("a removed key gives no access, whichever VM leads", func(t *testing.T) {
+		c.put(keyedCatalog(7, map[tackid.Workspace][]string{"mairies": {"m2"}, "postes": {"p1", "p2"}}), tackwork.Done)
 		check := func() {
 			c.assertKey(tackwork.Submit, "m1", other, tackwork.NoKey)
 			c.assertKey(tackwork.Lookup, "m1", both, tackwork.NoKey)
@@ -106,7 +107,7 @@
 		c.stop(c.leader())
 		check()
 	})
-	t.Run("operators see fingerprints alone", func(t *testing.T) {
+	t.Run("operators see only fingerprints", func(t *testing.T) {
 		page := func(query string) (int, string) {
 			w := httptest.NewRecorder()
 			c.running[c.leader()].control.WorkspacesPage().ServeHTTP(w, httptest.NewRequest("GET", "/workspaces"+query, nil))
@@ -123,15 +124,15 @@
 			t.Errorf("shown %s and %s, want %s and no key", list, one, short)
 		}
 		if code, body := page("?name=nobody"); code != http.StatusNotFound {
-			t.Errorf("%d, %s for one that there is not", code, body)
+			t.Errorf("%d, %s for a workspace that does not exist", code, body)
 		}
 	})
-	t.Run("a workspace without any gets nothing", func(t *testing.T) {
-		c.put(keyed(8, nil), tackwork.Done)
+	t.Run("a workspace without keys has no access", func(t *testing.T) {
+		c.put(keyedCatalog(8, nil), tackwork.Done)
 		for _, key := range []string{"m1", "m2", "p1", "p2"} {
 			c.assertKey(tackwork.Lookup, key, both, tackwork.NoKey)
 		}
-		c.put(keyed(9, map[tackid.Workspace][]string{"mairies": {"m3"}}), tackwork.Done)
+		c.put(keyedCatalog(9, map[tackid.Workspace][]string{"mairies": {"m3"}}), tackwork.Done)
 		c.assertKey(tackwork.Lookup, "m3", both, tackwork.Done)
 	})
 }
--- a/io/tackcontrol/loop.go
+++ b/io/tackcontrol/loop.go
@@ -10,31 +10,30 @@
 	"auburntack/core/tackreplica"
 )
 
-// snapshotEvery is how many entries are applied between two snapshots. At
-// about 100 entries a second of a kilobyte each, the log in memory stays below
-// ten megabytes.
-const snapshotEvery = 6000
+// snapshotInterval is the number of entries applied between two snapshots. At about 100
+// entries of 1 kB per second, the log in memory stays below 10 MB.
+const snapshotInterval = 6000
 
-// runLoop owns the replicated log until ctx ends.
+// runLoop runs the replicated log until ctx ends.
 func (c *Control) runLoop(ctx context.Context) error {
 	return c.loop.Run(ctx, func() { c.tick(c.clock.Now()) }, c.settle)
 }
 
 func (c *Control) tick(now tackclock.Time) {
 	c.node.Tick(now)
-	c.tendMembers(now)
-	c.sayHello(now)
+	c.updateMembers(now)
+	c.sendHello(now)
 	c.mu.Lock()
-	if _, leads := c.leads(now); leads && c.dispatched != 0 {
+	if _, leads := c.leads(now); leads && c.dispatchTerm != 0 {
 		c.dispatch.Tick(now)
 		c.queueEnds("", nil)
-		c.judgeRelays(now)
+		c.updateRelays(now)
 	}
 	events, left := c.dispatch.Events()
-	known, looked := c.state.Jobs.Len(), c.dispatch.Examined()
+	known, examined := c.state.Jobs.Len(), c.dispatch.Examined()
 	c.mu.Unlock()
 	c.updateGauges(now, known)
-	c.meters.looked.Update(int64(looked))
+	c.meters.examined.Update(int64(examined))
 	c.logEvents(events, left)
 }
 
@@ -43,40 +42,40 @@
 	if _, ok := c.leads(now); ok {
 		leads = 1
 	}
-	c.meters.leads.Update(leads)
+	c.meters.leading.Update(leads)
 	c.meters.jobs.Update(int64(jobs))
 }
 
-// settle carries out what the log asks for, unless the disk has failed.
+// settle processes the pending output of the replicated log, unless the disk has failed.
 func (c *Control) settle() error {
 	now := c.clock.Now()
 	if good, err := c.resume(now); !good {
 		return err
 	}
-	if err := c.carryOutAll(); err != nil {
+	if err := c.processAll(); err != nil {
 		return c.suspend(now, err)
 	}
 	return nil
 }
 
-// carryOutAll carries out what the log asks for until it asks for nothing more.
-func (c *Control) carryOutAll() error {
+// processAll processes the output of the replicated log until there is none left.
+func (c *Control) processAll() error {
 	for {
 		r, ok := c.node.Ready()
 		if !ok {
 			break
 		}
-		if err := c.carryOut(r); err != nil {
+		if err := c.process(r); err != nil {
 			return err
 		}
 	}
 	now := c.clock.Now()
 	c.refreshStatus(now)
-	c.takeLead(now)
+	c.updateLeadership(now)
 	return c.snapshotWhenDue()
 }
 
-func (c *Control) carryOut(r tackreplica.Ready) error {
+func (c *Control) process(r tackreplica.Ready) error {
 	if r.Snapshot != nil {
 		if err := c.install(*r.Snapshot); err != nil {
 			return err
@@ -87,7 +86,7 @@
 	}
 	for _, m := range r.Messages {
 		to := m.To
-		m.From, m.To = "", "" // the link tells both
+		m.From, m.To = "", "" // implied by the link
 		if err := c.links.Send(to, kindReplica, m); err != nil {
 			c.log.WithField("peer", to).WithError(err).Debug("message not sent")
 		}
@@ -115,8 +114,8 @@
 	if err == nil {
 		return nil
 	}
-	// A write or sync that failed may or may not be on the disk. Going on could
-	// answer something as durable that a restart would not find.
+	// After a failed write or sync the data may or may not be on the disk. If this VM
+	// continued, it could acknowledge something as durable that is lost with a restart.
 	c.node.Fail()
 	return &StoppedError{What: "write to the data folder", Err: err}
 }
@@ -127,7 +126,7 @@
 	c.orders.reset(c.clock.Now())
 	c.mu.Unlock()
 	if err != nil {
-		return &StoppedError{What: "take over the leader's snapshot", Err: err}
+		return &StoppedError{What: "install the leader's snapshot", Err: err}
 	}
 	c.snapshotAt = snap.Index
 	c.node.Applied(snap.Index)
@@ -138,9 +137,9 @@
 func (c *Control) apply(e tackreplica.Entry) error {
 	c.mu.Lock()
 	change, out, err := c.state.Apply(e)
-	c.orders.follow(c.clock.Now(), &e, change.PendingVMOrders)
-	if err == nil && c.dispatched != 0 {
-		c.follow(&change, out)
+	c.orders.recordEntry(c.clock.Now(), &e, change.PendingVMOrders)
+	if err == nil && c.dispatchTerm != 0 {
+		c.updateDispatch(&change, out)
 	}
 	c.mu.Unlock()
 	if err != nil {
@@ -155,7 +154,7 @@
 
 func (c *Control) snapshotWhenDue() error {
 	applied := c.status.Load().Applied
-	if applied < c.snapshotAt+snapshotEvery {
+	if applied < c.snapshotAt+snapshotInterval {
 		return nil
 	}
 	c.mu.Lock()
@@ -189,7 +188,7 @@
 func (c *Control) onReplica(from tackid.Peer, body []byte) {
 	var m tackreplica.Message
 	if err := cbor.Unmarshal(body, &m); err != nil {
-		c.log.WithField("peer", from).WithError(err).Warn("message that cannot be read")
+		c.log.WithField("peer", from).WithError(err).Warn("message cannot be decoded")
 		return
 	}
 	m.From, m.To = from, c.cfg.Self
--- a/io/tackcontrol/members.go
+++ b/io/tackcontrol/members.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	// tendEvery spaces out the looks at the members.
-	tendEvery = 250 * tackclock.Millisecond
-	// replaceAfter is after which silence a voter gives its vote to a learner
-	// that has caught up. A successor must count four seconds after its start.
+	// memberCheckInterval is the interval between two checks of the membership.
+	memberCheckInterval = 250 * tackclock.Millisecond
+	// replaceAfter is how long a voter must be silent before an up-to-date learner replaces
+	// it. A replacement must be able to vote four seconds after its start.
 	replaceAfter = 3 * tackclock.Second
-	// forgetAfter is after which silence a learner is taken out.
-	forgetAfter = 60 * tackclock.Second
+	// removeAfter is how long a learner must be silent before it is removed.
+	removeAfter = 60 * tackclock.Second
 )
 
-// members is what the loop keeps for the membership.
+// members is the membership state of the loop.
 type members struct {
-	tendAt tackclock.Time
-	// joining are VMs that asked to become members, and when.
+	checkAt tackclock.Time
+	// joining contains the VMs that asked to become members.
 	joining map[tackid.Peer]tackreplica.Member
-	// known are control VMs that were heard of and may be no members.
-	known map[tackid.Peer]bool
-	since tackclock.Time // when this VM began to lead
-	led   bool
+	// known contains control VMs that this one was told of and that may not be members.
+	known        map[tackid.Peer]bool
+	leadingSince tackclock.Time // when this VM became the leader
+	leading      bool
 }
 
 func addressOf(p tackid.Peer, port int) string {
 	return net.JoinHostPort(string(p), strconv.Itoa(port))
 }
 
-// Join notes that a control VM asks to become a member.
+// Join records that a control VM asks to become a member.
 func (c *Control) Join(p tackid.Peer, dc tackid.DataCentre) {
 	c.loop.Post(context.Background(), func() {
 		if c.members.joining == nil {
@@ -47,7 +47,7 @@
 	})
 }
 
-// Meet has the loop link this VM with control VMs that it was told of.
+// Meet links this VM with control VMs that it was told of.
 func (c *Control) Meet(peers []tackid.Peer) {
 	c.loop.Post(context.Background(), func() {
 		if c.members.known == nil {
@@ -66,27 +66,28 @@
 	})
 }
 
-// relink links this VM with all members, with the seeds, and with those that it was told
+// relink links this VM with all members, with the seeds, and with the VMs that it was told
 // of.
 func (c *Control) relink() {
 	c.links.SetPeers(c.peers(c.node.Members()))
 }
 
-// peers are the control VMs that this one is linked with. Of two members that do not vote
-// neither leads, and they have nothing to tell each other: were they connected, the
-// connections would grow with the square of the control VMs. One that came to vote behind
-// this VM's back connects, and is answered.
+// peers returns the control VMs with which this one is linked. Two members that are both no
+// voters do not connect to each other: neither can be the leader, so they exchange no
+// messages, and the number of connections would grow with the square of the number of control
+// VMs. If one of them became a voter and this VM does not know it yet, that one connects and
+// this VM answers.
 func (c *Control) peers(members []tackreplica.Member) []tackpeer.Peer {
-	learns := make(map[tackid.Peer]bool)
+	learners := make(map[tackid.Peer]bool)
 	for _, m := range members {
-		learns[m.Peer] = !m.Voter
+		learners[m.Peer] = !m.Voter
 	}
 	var list []tackpeer.Peer
 	added := map[tackid.Peer]bool{c.cfg.Self: true}
 	add := func(p tackid.Peer, address string) {
 		if !added[p] {
 			added[p] = true
-			list = append(list, tackpeer.Peer{ID: p, Address: address, Answering: learns[c.cfg.Self] && learns[p]})
+			list = append(list, tackpeer.Peer{ID: p, Address: address, Answering: learners[c.cfg.Self] && learners[p]})
 		}
 	}
 	for _, m := range members {
@@ -101,35 +102,35 @@
 	return list
 }
 
-// tendMembers has the leader take one step towards the membership it wants:
-// everyone who asks is a member, the wanted number votes, and a voter that is
-// silent gives way to a learner that has caught up.
-func (c *Control) tendMembers(now tackclock.Time) {
-	if now < c.members.tendAt {
+// updateMembers makes the leader take one step towards the wanted membership: every VM that
+// asked is a member, the wanted number of them are voters, and a silent voter is replaced by
+// an up-to-date learner.
+func (c *Control) updateMembers(now tackclock.Time) {
+	if now < c.members.checkAt {
 		return
 	}
-	c.members.tendAt = now.Add(tendEvery)
+	c.members.checkAt = now.Add(memberCheckInterval)
 	s := c.status.Load()
 	if !s.LeaderLease {
-		c.members.led = false
+		c.members.leading = false
 		return
 	}
-	if !c.members.led {
-		c.members.led, c.members.since = true, now
+	if !c.members.leading {
+		c.members.leading, c.members.leadingSince = true, now
 	}
 	next, why := c.nextMembers(now, s)
 	if next == nil {
 		return
 	}
 	if _, _, err := c.node.ProposeMembership(now, next); err != nil {
-		c.log.WithError(err).WithField("change", why).Debug("membership not changed")
+		c.log.WithError(err).WithField("change", why).Debug("membership change not proposed")
 		return
 	}
-	c.log.WithField("change", why).Info("membership changes")
+	c.log.WithField("change", why).Info("membership change proposed")
 }
 
-// nextMembers returns the membership that differs in one member and is better,
-// or nil.
+// nextMembers returns an improved membership that differs from the current one in a single
+// member, or nil if there is none, and a description of the change.
 func (c *Control) nextMembers(now tackclock.Time, s *tackreplica.Status) ([]tackreplica.Member, string) {
 	list := slices.Clone(c.node.Members())
 	for p, m := range c.members.joining {
@@ -138,7 +139,7 @@
 			return append(list, m), "add " + string(p)
 		}
 	}
-	voters, silent, learner := c.survey(now, s)
+	voters, silent, learner := c.inspectMembers(now, s)
 	switch {
 	case learner >= 0 && (voters < c.cfg.Voters || silent >= 0 && voters == c.cfg.Voters):
 		list[learner].Voter = true
@@ -147,32 +148,32 @@
 		return slices.Delete(list, silent, silent+1), "remove " + string(s.Members[silent].Peer)
 	}
 	for i, m := range s.Members {
-		// A voter that was silent may have come back after another got its
-		// vote. An even number of voters bears no more losses.
+		// A voter that was silent may be back after another VM became a voter. An even number
+		// of voters tolerates no more failures than the odd number below it.
 		if m.Voter && voters > c.cfg.Voters && m.Peer != c.cfg.Self {
 			list[i].Voter = false
 			return list, "demote " + string(m.Peer)
 		}
-		if !m.Voter && c.silentFor(now, m) > forgetAfter {
+		if !m.Voter && c.silentFor(now, m) > removeAfter {
 			return slices.Delete(list, i, i+1), "forget " + string(m.Peer)
 		}
 	}
 	return nil, ""
 }
 
-// survey counts the voters and finds one that is silent and a learner that is
-// up to date; -1 where there is none.
-func (c *Control) survey(now tackclock.Time, s *tackreplica.Status) (voters, silent, learner int) {
+// inspectMembers counts the voters and returns the indexes of a silent voter and of an
+// up-to-date learner, each -1 if there is none.
+func (c *Control) inspectMembers(now tackclock.Time, s *tackreplica.Status) (voters, silent, learner int) {
 	silent, learner = -1, -1
 	for i, m := range s.Members {
-		quiet := c.silentFor(now, m)
+		silence := c.silentFor(now, m)
 		switch {
 		case m.Voter:
 			voters++
-			if quiet > replaceAfter {
+			if silence > replaceAfter {
 				silent = i
 			}
-		case m.Eligible && quiet < tackclock.Second:
+		case m.Eligible && silence < tackclock.Second:
 			learner = i
 		}
 	}
@@ -183,10 +184,10 @@
 	if m.Peer == c.cfg.Self {
 		return 0
 	}
-	return now.Sub(max(m.LastHeard, c.members.since))
+	return now.Sub(max(m.LastHeard, c.members.leadingSince))
 }
 
-// Member reports whether this VM is a member and hears a leader.
+// Member reports whether this VM is a member and knows of a leader.
 func (c *Control) Member() bool {
 	s := c.status.Load()
 	return s.Leader != "" && slices.ContainsFunc(s.Members, func(m tackreplica.MemberStatus) bool {
@@ -194,7 +195,7 @@
 	})
 }
 
-// Others are the control VMs that this one may ask to take it in.
+// Others returns the control VMs that this one may ask to add it as a member.
 func (c *Control) Others() []tackid.Peer {
 	list := c.cfg.Seeds()
 	for _, p := range c.Peers() {
@@ -205,8 +206,8 @@
 	return slices.DeleteFunc(list, func(p tackid.Peer) bool { return p == c.cfg.Self })
 }
 
-// Standing returns what this VM knows of the members; only the leader knows
-// more than their names.
+// Standing returns what this VM knows of the members. Only the leader knows more than their
+// names.
 func (c *Control) Standing() []tackreplica.MemberStatus {
 	return c.status.Load().Members
 }
--- a/io/tackcontrol/members_test.go
+++ b/io/tackcontrol/members_test.go
@@ -12,8 +12,8 @@
 	return tackid.Peer(fmt.Sprintf("10.0.0.%d", n))
 }
 
-// connects is how many control VMs the one of that number connects to, of so many of which
-// the first voters vote.
+// connects returns the number of control VMs to which the control VM with number self
+// connects, if the first voters of all members vote.
 func connects(self, members, voters int) int {
 	seeds := func() []tackid.Peer { return []tackid.Peer{controlVM(0), controlVM(1), controlVM(2)} }
 	c := &Control{cfg: Config{Self: controlVM(self), Seeds: seeds}}
@@ -30,8 +30,8 @@
 	return n
 }
 
-// Guards against links that grow with the square of the control VMs: what a VM without a
-// vote connects to does not depend on how many there are.
+// Guards against a number of links that grows with the square of the number of control VMs:
+// what a VM without a vote connects to must not depend on how many there are.
 func TestLinksBoundOfVMsWithoutAVote(t *testing.T) {
 	const voters = 5
 	for _, members := range []int{6, 24, 96} {
@@ -49,7 +49,7 @@
 	c := &Control{cfg: Config{Self: controlVM(9), Seeds: seeds}}
 	for _, p := range c.peers([]tackreplica.Member{{Peer: controlVM(0), Voter: true}, {Peer: controlVM(5)}}) {
 		if p.Answering {
-			t.Errorf("a VM that is no member yet does not connect to %s", p.ID)
+			t.Errorf("a VM that is not a member yet does not connect to %s", p.ID)
 		}
 	}
 }
--- a/io/tackcontrol/metrics.go
+++ b/io/tackcontrol/metrics.go
@@ -8,10 +8,10 @@
 	"auburntack/core/tackwork"
 )
 
-// sampleSize is how many recent values a histogram is computed from.
+// sampleSize is the number of values that a histogram samples.
 const sampleSize = 1028
 
-// meters are the metrics of a control VM, as docs/METRICS.md lists them.
+// meters are the metrics of a control VM. docs/METRICS.md describes them.
 type meters struct {
 	accepted   metrics.Counter
 	refused    metrics.Counter
@@ -28,11 +28,11 @@
 	givenUp    metrics.Counter
 	moves      metrics.Counter
 	upkeeps    metrics.Counter
-	leads      metrics.Gauge
-	restAfter  metrics.Gauge
+	leading    metrics.Gauge
+	parkAfter  metrics.Gauge
 	reserve    metrics.Gauge
 	jobs       metrics.Gauge
-	looked     metrics.Gauge
+	examined   metrics.Gauge
 	decided    metrics.Histogram
 	committed  metrics.Histogram
 
@@ -65,11 +65,11 @@
 		givenUp:    counter("items_given_up"),
 		moves:      counter("vm_moves"),
 		upkeeps:    counter("vm_upkeeps"),
-		leads:      gauge("control_leads"),
-		restAfter:  gauge("vm_rest_after_ms"),
+		leading:    gauge("control_leads"),
+		parkAfter:  gauge("vm_rest_after_ms"),
 		reserve:    gauge("vm_reserve_millicores"),
 		jobs:       gauge("jobs_known"),
-		looked:     gauge("dispatch_looked"),
+		examined:   gauge("dispatch_looked"),
 		decided:    metrics.GetOrRegisterHistogram("job_request_ms", r, sample()),
 		committed:  metrics.GetOrRegisterHistogram("log_commit_ms", r, sample()),
 
@@ -80,8 +80,8 @@
 	}
 }
 
-// happened counts decisions of dispatch that are looked at over time.
-func (m *meters) happened(k tackdispatch.EventKind) {
+// countEvent counts the dispatch decisions that have a metric.
+func (m *meters) countEvent(k tackdispatch.EventKind) {
 	switch k {
 	case tackdispatch.EventLost:
 		m.lost.Inc(1)
@@ -96,8 +96,8 @@
 	}
 }
 
-// answered counts what became of a caller's request.
-func (m *meters) answered(r *tackwork.Request, a *tackwork.Answer, took tackclock.Duration) {
+// countAnswer counts a caller's request by its result.
+func (m *meters) countAnswer(r *tackwork.Request, a *tackwork.Answer, took tackclock.Duration) {
 	m.decided.Update(int64(took))
 	switch {
 	case a.Verdict == tackwork.Refused:
--- a/io/tackcontrol/orders.go
+++ b/io/tackcontrol/orders.go
@@ -10,33 +10,33 @@
 	"auburntack/core/tackwork"
 )
 
-// orders is which VMs were ordered about lately, and by whom. The log names a VM
-// before the platform is called for it.
+// orders records for which VMs orders were given recently, and by which leader. A VM is named
+// in the log before the platform is called for it.
 //
-// Two leaders that order the same VM within a short time would undo each other.
-// A new leader that knows no more than that waits with all of them; by the log it
-// waits with those alone that the former one may just have called for.
+// Two leaders that give orders for the same VM within a short time would undo each other's.
+// Without this record a new leader would have to wait before it gives an order for any VM;
+// with it, it waits only for the VMs that its predecessor may just have called the platform
+// for.
 type orders struct {
-	// earliest stands for what the log held before the first entry that was
-	// followed; such an order is no younger than that entry.
+	// earliest stands for the part of the log before the first entry that was recorded. An
+	// order in that part is at least as old as that entry.
 	earliest lastOrder
 	last     map[tackid.VM]lastOrder
-	// newest is the newest entry of each term.
+	// newest contains the newest entry of each term.
 	newest map[tackreplica.Term]entryTime
-	// perSecond bounds the calls; recent are when those of the last second were
-	// given.
+	// perSecond limits the calls; recent contains the times of those in the last second.
 	perSecond float64
 	recent    []tackclock.Time
 }
 
 type (
-	// entryTime is an entry's time by the clock of the leader that appended it, and
-	// by this VM's when it was applied here.
+	// entryTime is the time of an entry by the clock of the leader that appended it, and the
+	// time at which it was applied here by the clock of this VM.
 	entryTime struct {
 		logged, applied tackclock.Time
 	}
 
-	// lastOrder is when a VM was ordered about, and in which term.
+	// lastOrder is when the last order for a VM was given, and in which term.
 	lastOrder struct {
 		entryTime
 		term tackreplica.Term
@@ -49,8 +49,8 @@
 	o.newest = make(map[tackreplica.Term]entryTime)
 }
 
-// follow takes in an entry that was applied at now, and the VMs that it names.
-func (o *orders) follow(now tackclock.Time, e *tackreplica.Entry, vms []tackid.VM) {
+// recordEntry records an entry that was applied at now and the VMs that it names.
+func (o *orders) recordEntry(now tackclock.Time, e *tackreplica.Entry, vms []tackid.VM) {
 	at := lastOrder{entryTime: entryTime{logged: e.Time, applied: now}, term: e.Term}
 	if len(o.newest) == 0 {
 		o.earliest = at
@@ -61,8 +61,8 @@
 	}
 }
 
-// free reports whether the leader of a term may order the VM about, handover
-// after what an earlier one may have ordered.
+// free reports whether the leader of the given term may give an order for the VM. The
+// handover time must have passed since an earlier leader may have given one.
 func (o *orders) free(now tackclock.Time, term tackreplica.Term, vm tackid.VM, handover tackclock.Duration) bool {
 	last, known := o.last[vm]
 	if !known {
@@ -71,22 +71,23 @@
 	return known && last.term == term || o.age(now, last) >= handover
 }
 
-// byEarlier reports whether the log names the VM as ordered about by the leader of
-// another term within the given time. Unlike free it takes VMs that the log does not
-// name for such that nobody ordered: that a life ended there counts as a crash, and to
-// excuse all of them after each start would hide those that come one after the other.
-func (o *orders) byEarlier(now tackclock.Time, term tackreplica.Term, vm tackid.VM, within tackclock.Duration) bool {
+// byEarlierLeader reports whether the log says that the leader of another term gave an order
+// for the VM within the given time. Unlike free it assumes no order for VMs that the log does
+// not name, so the end of a worker there counts as a crash: if all VMs were excused after
+// each start, crashes one after the other would go unnoticed.
+func (o *orders) byEarlierLeader(now tackclock.Time, term tackreplica.Term, vm tackid.VM, within tackclock.Duration) bool {
 	last, known := o.last[vm]
 	return known && last.term != term && o.age(now, last) < within
 }
 
-// age is how long ago an order was given, at least: as long as it is known here, or
-// as the log went on after it in its term, and that is known here.
+// age returns the minimum age of an order: the time since the entry was applied here, or, if
+// longer, the time between the entry and the newest one of its term plus the time since that
+// one was applied here.
 //
-// A VM that starts reads all of its log within a moment. By its own clock alone
-// nothing could be moved for as long as the hand-over takes: after a restart of all
-// control VMs in a queue's turn its pool had 5 VMs for four seconds beside 30 empty
-// ones. Times of different terms are not compared: leaders' clocks may differ.
+// A VM that starts applies all of its log at once. By the local clock alone no VM could be
+// moved for the handover time: after a restart of all control VMs a pool whose queue had its
+// turn had 5 VMs for four seconds, next to 30 empty VMs. Times of different terms are not
+// compared, since the clocks of the leaders may differ.
 func (o *orders) age(now tackclock.Time, last lastOrder) tackclock.Duration {
 	age := now.Sub(last.applied)
 	newest, ok := o.newest[last.term]
@@ -96,30 +97,30 @@
 	return max(age, newest.logged.Sub(last.logged)+now.Sub(newest.applied))
 }
 
-// allowance is how many calls may be made now. Calls beyond what the platform
-// takes are refused, and each refused one has its price.
-func (o *orders) allowance(now tackclock.Time, most int) int {
+// allowance returns how many calls may be made now. The platform refuses calls above its rate
+// limit, and each refused call costs money.
+func (o *orders) allowance(now tackclock.Time, limit int) int {
 	if o.perSecond <= 0 {
-		return most
+		return limit
 	}
 	o.recent = slices.DeleteFunc(o.recent, func(at tackclock.Time) bool { return now.Sub(at) >= tackclock.Second })
-	return min(most, int(o.perSecond)-len(o.recent))
+	return min(limit, int(o.perSecond)-len(o.recent))
 }
 
-// spend notes calls that are made now.
-func (o *orders) spend(now tackclock.Time, calls int) {
+// recordCalls records calls that are made now.
+func (o *orders) recordCalls(now tackclock.Time, calls int) {
 	for range calls {
 		o.recent = append(o.recent, now)
 	}
 }
 
-// announce has the log name VMs that are about to be ordered about; false if no
-// order may be given.
+// announce names in the log the VMs for which orders are about to be given. It returns false
+// if no order may be given.
 func (c *Control) announce(ctx context.Context, vms ...tackid.VM) bool {
 	p := c.propose(ctx, tackwork.Change{PendingVMOrders: vms})
-	if p.fate == committed {
+	if p.status == committed {
 		return true
 	}
-	c.log.WithField("vms", vms).Warn("orders not in the log, none given")
+	c.log.WithField("vms", vms).Warn("orders could not be logged; none given")
 	return false
 }
--- a/io/tackcontrol/orders_test.go
+++ b/io/tackcontrol/orders_test.go
@@ -8,17 +8,17 @@
 	"auburntack/core/tackreplica"
 )
 
-// Symptom: two leaders ordered one VM about within a moment, and the VM went
-// there and back. Sequence: a leader orders a VM and is lost; the next one plans
-// by what it sees. Cause: it does not know what the former one ordered last.
+// Guards against two leaders that give orders for the same VM within a moment, so that it
+// moves back and forth: a leader moves a VM and is lost, and the next leader does not know
+// which orders its predecessor gave last.
 func TestOrdersOfAnEarlierLeaderAreWaitedFor(t *testing.T) {
 	const handover = 4 * tackclock.Second
 	began := tackclock.Time(1_000_000)
 	now := began.Add(60 * tackclock.Second)
 	var o orders
 	o.reset(began)
-	o.follow(began, &tackreplica.Entry{Term: 3, Time: began}, nil)
-	o.follow(now, &tackreplica.Entry{Term: 3, Time: now}, []tackid.VM{"m-1"})
+	o.recordEntry(began, &tackreplica.Entry{Term: 3, Time: began}, nil)
+	o.recordEntry(now, &tackreplica.Entry{Term: 3, Time: now}, []tackid.VM{"m-1"})
 	for _, test := range []struct {
 		name string
 		at   tackclock.Time
@@ -26,10 +26,10 @@
 		vm   tackid.VM
 		want bool
 	}{
-		{"its own leader goes on", now, 3, "m-1", true},
-		{"the next one waits", now.Add(handover - 1), 4, "m-1", false},
-		{"and orders it when the time is over", now.Add(handover), 4, "m-1", true},
-		{"a VM that nobody ordered is free", now, 4, "m-2", true},
+		{"the leader that gave the order continues", now, 3, "m-1", true},
+		{"the next leader waits", now.Add(handover - 1), 4, "m-1", false},
+		{"and gives an order after the handover time", now.Add(handover), 4, "m-1", true},
+		{"a VM without an order is free", now, 4, "m-2", true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := o.free(test.at, test.term, test.vm, handover); got != test.want {
@@ -37,18 +37,18 @@
 			}
 		})
 	}
-	t.Run("after a start nothing is known for a while", func(t *testing.T) {
+	t.Run("after a start no VM is free for the handover time", func(t *testing.T) {
 		o.reset(now)
 		if o.free(now.Add(handover-1), 4, "m-2", handover) || !o.free(now.Add(handover), 4, "m-2", handover) {
-			t.Error("want all VMs left alone until what the log held before is old")
+			t.Error("want no VM free until the handover time has passed")
 		}
 	})
 }
 
-// Symptom: after a restart of all control VMs in a queue's turn its pool had 5 VMs
-// for four seconds beside 30 empty ones. Sequence: all restart, one begins to lead
-// and has its whole log applied at once. Cause: it took all that the log names, and
-// all that it may have named before, for ordered just then.
+// Guards against a pool that has 5 VMs for four seconds, next to 30 empty VMs, after all
+// control VMs restarted during its queue's turn. The new leader applies its whole log at
+// once. The fault was that all orders that the log contains, and all that an earlier part may
+// have contained, counted as given at that moment.
 func TestOrdersThatAStartReadsFromTheLog(t *testing.T) {
 	const handover = 4 * tackclock.Second
 	logged := tackclock.Time(5_000_000) // by the former leader's clock, far from this one's
@@ -56,21 +56,21 @@
 	var o orders
 	o.reset(now.Add(-tackclock.Second))
 	apply := func(at tackclock.Duration, vms ...tackid.VM) {
-		o.follow(now, &tackreplica.Entry{Term: 3, Time: logged.Add(at)}, vms)
+		o.recordEntry(now, &tackreplica.Entry{Term: 3, Time: logged.Add(at)}, vms)
 	}
 	apply(0)
 	apply(2*tackclock.Second, "old")
 	apply(5*tackclock.Second, "recent")
 	apply(8 * tackclock.Second)
-	o.follow(now, &tackreplica.Entry{Term: 4, Time: logged.Add(tackclock.Hour)}, nil)
+	o.recordEntry(now, &tackreplica.Entry{Term: 4, Time: logged.Add(tackclock.Hour)}, nil)
 	for _, test := range []struct {
 		name string
 		vm   tackid.VM
 		wait tackclock.Duration
 	}{
 		{"a VM ordered six seconds before the log ends is free", "old", 0},
-		{"one ordered three seconds before waits one more", "recent", tackclock.Second},
-		{"one that the log does not name is free", "never", 0},
+		{"a VM ordered three seconds before waits one more", "recent", tackclock.Second},
+		{"a VM that the log does not name is free", "never", 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if test.wait > 0 && o.free(now.Add(test.wait-1), 4, test.vm, handover) {
@@ -81,12 +81,12 @@
 			}
 		})
 	}
-	t.Run("a log that is short tells little", func(t *testing.T) {
+	t.Run("a short log proves little", func(t *testing.T) {
 		o.reset(now)
 		apply(0)
 		apply(tackclock.Second)
 		if o.free(now.Add(2999), 4, "never", handover) || !o.free(now.Add(3000), 4, "never", handover) {
-			t.Error("want a VM that the log does not name left alone for the rest of the time")
+			t.Error("want a VM that the log does not name free only after the rest of the handover time")
 		}
 	})
 }
@@ -101,9 +101,9 @@
 		}
 	}
 	assertAllowance(t, now, 4)
-	o.spend(now, 4)
+	o.recordCalls(now, 4)
 	assertAllowance(t, now.Add(500), 1)
-	o.spend(now.Add(500), 1)
+	o.recordCalls(now.Add(500), 1)
 	assertAllowance(t, now.Add(999), 0)
 	assertAllowance(t, now.Add(tackclock.Second), 4)
 	o = orders{}
--- a/io/tackcontrol/propose.go
+++ b/io/tackcontrol/propose.go
@@ -13,31 +13,31 @@
 	"auburntack/core/tackwork"
 )
 
-// commitLimit is how long a proposal may wait for its majority before its fate
-// is told as unknown. Callers give a call three seconds.
-const commitLimit = 1500 * time.Millisecond
+// commitTimeout is how long a proposal may wait for a majority before its status is reported
+// as undecided. Callers give a request three seconds.
+const commitTimeout = 1500 * time.Millisecond
 
-// orderTakes is what a VM takes to come back from an order at most that an earlier
-// leader gave just before the hand-over: an upkeep of two seconds, and a first report.
-const orderTakes = 4 * tackclock.Second
+// maxOrderTime is the maximum time that a VM needs to return after an order that the previous
+// leader gave just before the handover: an upkeep of two seconds and a first report.
+const maxOrderTime = 4 * tackclock.Second
 
 type (
-	// waiter is told what became of an entry. It is called by the loop, and
-	// only once.
+	// waiter is notified of the result of an entry. notify is called by the loop, exactly
+	// once.
 	waiter struct {
-		term tackreplica.Term
-		tell func(fate, tackwork.Outcome)
+		term   tackreplica.Term
+		notify func(proposalStatus, tackwork.Outcome)
 	}
 
-	fate uint8
+	proposalStatus uint8
 
-	// proposed is what became of a proposal.
-	proposed struct {
-		fate    fate
+	// proposalResult is the result of a proposal.
+	proposalResult struct {
+		status  proposalStatus
 		outcome tackwork.Outcome
 	}
 
-	// workerEnd is an end that waits to be written to the log.
+	// workerEnd is the end of a run that has yet to be written to the log.
 	workerEnd struct {
 		worker tackdispatch.WorkerID
 		end    tackjob.End
@@ -45,36 +45,36 @@
 )
 
 const (
-	// committed entries stand for good.
-	committed fate = iota
-	// rejected ones were never in the log, or were replaced in it.
+	// committed: the entry is durable.
+	committed proposalStatus = iota
+	// rejected: the entry was never in the log, or was replaced by another.
 	rejected
-	// undecided ones may still be committed.
+	// undecided: the entry may still be committed.
 	undecided
 )
 
-// propose appends a change and returns what became of it.
-func (c *Control) propose(ctx context.Context, change tackwork.Change) proposed {
-	return c.proposeTold(ctx, change, func() {})
+// propose appends a change and returns the result.
+func (c *Control) propose(ctx context.Context, change tackwork.Change) proposalResult {
+	return c.proposeNotify(ctx, change, func() {})
 }
 
-// proposeTold is propose, and calls decided once the fate of the change is known, which may
-// be after it has returned.
-func (c *Control) proposeTold(ctx context.Context, change tackwork.Change, decided func()) proposed {
+// proposeNotify is like propose, but also calls decided once the result of the change is
+// known. This may be after it has returned.
+func (c *Control) proposeNotify(ctx context.Context, change tackwork.Change, decided func()) proposalResult {
 	began := c.clock.Now()
-	result := make(chan proposed, 1)
+	result := make(chan proposalResult, 1)
 	data := change.Encode()
 	posted := c.loop.Post(ctx, func() {
-		c.append(data, func(f fate, out tackwork.Outcome) {
+		c.append(data, func(f proposalStatus, out tackwork.Outcome) {
 			decided()
-			result <- proposed{fate: f, outcome: out}
+			result <- proposalResult{status: f, outcome: out}
 		})
 	})
 	if !posted {
 		decided()
-		return proposed{fate: rejected}
+		return proposalResult{status: rejected}
 	}
-	timer := time.NewTimer(commitLimit)
+	timer := time.NewTimer(commitTimeout)
 	defer timer.Stop()
 	select {
 	case p := <-result:
@@ -84,24 +84,24 @@
 	case <-ctx.Done():
 	case <-c.loop.Ended():
 	}
-	return proposed{fate: undecided}
+	return proposalResult{status: undecided}
 }
 
-// append is called by the loop.
-func (c *Control) append(data []byte, tell func(fate, tackwork.Outcome)) {
+// append appends an entry to the log. It is called by the loop.
+func (c *Control) append(data []byte, notify func(proposalStatus, tackwork.Outcome)) {
 	index, term, err := c.node.Propose(c.clock.Now(), data)
 	if err != nil {
-		tell(rejected, tackwork.Outcome{})
+		notify(rejected, tackwork.Outcome{})
 		return
 	}
 	if old, ok := c.waiters[index]; ok {
-		old.tell(rejected, tackwork.Outcome{})
+		old.notify(rejected, tackwork.Outcome{})
 	}
-	c.waiters[index] = waiter{term: term, tell: tell}
+	c.waiters[index] = waiter{term: term, notify: notify}
 }
 
-// deliver tells whoever waits for an entry that it is applied, or that another
-// leader's entry took its place.
+// deliver notifies the waiter for an entry that the entry was applied, or that another
+// leader's entry has replaced it.
 func (c *Control) deliver(e tackreplica.Entry, out tackwork.Outcome) {
 	w, ok := c.waiters[e.Index]
 	if !ok {
@@ -109,56 +109,55 @@
 	}
 	delete(c.waiters, e.Index)
 	if w.term != e.Term {
-		w.tell(rejected, tackwork.Outcome{})
+		w.notify(rejected, tackwork.Outcome{})
 		return
 	}
-	w.tell(committed, out)
+	w.notify(committed, out)
 }
 
-// deliverUpTo tells whoever waits for an entry that a snapshot took the place of. Whether
-// the snapshot has it is not known.
+// deliverUpTo notifies the waiters for entries that a snapshot has replaced. Whether the
+// snapshot includes them is not known.
 func (c *Control) deliverUpTo(last tackid.Revision) {
 	for index, w := range c.waiters {
 		if index <= last {
 			delete(c.waiters, index)
-			w.tell(undecided, tackwork.Outcome{})
+			w.notify(undecided, tackwork.Outcome{})
 		}
 	}
 }
 
-// takeLead resets dispatch when this VM has begun to lead, and drops it when
-// it leads no more.
-func (c *Control) takeLead(now tackclock.Time) {
+// updateLeadership resets dispatch when this VM has become the leader, and clears it when
+// this VM is no longer the leader.
+func (c *Control) updateLeadership(now tackclock.Time) {
 	term, leads := c.leads(now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !leads {
-		if c.dispatched != 0 && c.status.Load().Role != tackreplica.Leader {
-			c.dispatched = 0
+		if c.dispatchTerm != 0 && c.status.Load().Role != tackreplica.Leader {
+			c.dispatchTerm = 0
 			c.dispatch.Reset(now, 0, tackdispatch.Inherited{})
-			c.ends, c.found, c.grants = nil, tackjob.Findings{}, nil
+			c.ends, c.findings, c.grants = nil, tackjob.Findings{}, nil
 		}
 		return
 	}
-	if c.dispatched == term {
+	if c.dispatchTerm == term {
 		return
 	}
-	c.dispatched = term
-	c.ends, c.found, c.grants = nil, tackjob.Findings{}, nil
+	c.dispatchTerm = term
+	c.ends, c.findings, c.grants = nil, tackjob.Findings{}, nil
 	c.dispatch.Reset(now, term, tackdispatch.Inherited{
 		Jobs: &c.state.Jobs, Workspaces: c.state.Catalog.Workspaces, Grants: c.state.Grants,
 	})
 	c.dispatch.SetOrderedBefore(func(now tackclock.Time, vm tackid.VM) bool {
-		return c.orders.byEarlier(now, term, vm, c.cfg.Handover+orderTakes)
+		return c.orders.byEarlierLeader(now, term, vm, c.cfg.Handover+maxOrderTime)
 	})
 	c.upkeep.reset(now)
 	c.roster = tackrelay.Roster{}
 	c.log.WithField("term", uint64(term)).WithField("jobs", c.state.Jobs.Len()).Info("dispatch began")
 }
 
-// follow brings dispatch up to date with a change that the log holds. The
-// caller holds mu.
-func (c *Control) follow(change *tackwork.Change, out tackwork.Outcome) {
+// updateDispatch updates dispatch after a change was applied. The caller holds mu.
+func (c *Control) updateDispatch(change *tackwork.Change, out tackwork.Outcome) {
 	now := c.clock.Now()
 	switch {
 	case change.Submit != nil && out.Job != nil:
@@ -177,30 +176,30 @@
 	c.dispatch.GrantsLogged(change.Grants)
 }
 
-// queueEnds has ends, and what dispatch found out and wants granted since the last call,
-// written to the log with the next sync. The caller holds mu.
+// queueEnds writes ends, and the findings and quota grants of dispatch since the last call,
+// to the log with the next sync. The caller holds mu.
 func (c *Control) queueEnds(worker tackdispatch.WorkerID, ends []tackjob.End) {
 	found, grants := c.dispatch.Findings(), c.dispatch.Grants(c.clock.Now())
 	if len(ends) == 0 && found.Empty() && len(grants) == 0 {
 		return
 	}
-	first := len(c.ends) == 0 && c.found.Empty() && len(c.grants) == 0
+	first := len(c.ends) == 0 && c.findings.Empty() && len(c.grants) == 0
 	for _, e := range ends {
 		c.ends = append(c.ends, workerEnd{worker: worker, end: e})
 	}
-	c.found.Add(found)
+	c.findings.Add(found)
 	c.grants = append(c.grants, grants...)
 	if first {
 		go c.loop.Post(context.Background(), c.flushEnds)
 	}
 }
 
-// flushEnds is called by the loop.
+// flushEnds proposes what queueEnds has collected. It is called by the loop.
 func (c *Control) flushEnds() {
 	c.mu.Lock()
-	waiting, found, grants := c.ends, c.found, c.grants
-	c.ends, c.found, c.grants = nil, tackjob.Findings{}, nil
-	term := c.dispatched
+	waiting, found, grants := c.ends, c.findings, c.grants
+	c.ends, c.findings, c.grants = nil, tackjob.Findings{}, nil
+	term := c.dispatchTerm
 	c.mu.Unlock()
 	if len(waiting) == 0 && found.Empty() && len(grants) == 0 {
 		return
@@ -214,20 +213,20 @@
 		change.Ends = append(change.Ends, e.end)
 		byWorker[e.worker] = append(byWorker[e.worker], e.end)
 	}
-	c.append(change.Encode(), func(f fate, _ tackwork.Outcome) { c.endsTold(f, term, byWorker) })
+	c.append(change.Encode(), func(f proposalStatus, _ tackwork.Outcome) { c.endsDecided(f, term, byWorker) })
 }
 
-func (c *Control) endsTold(f fate, term tackreplica.Term, byWorker map[tackdispatch.WorkerID][]tackjob.End) {
+func (c *Control) endsDecided(f proposalStatus, term tackreplica.Term, byWorker map[tackdispatch.WorkerID][]tackjob.End) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.dispatched != term || term == 0 {
+	if c.dispatchTerm != term || term == 0 {
 		return
 	}
 	if f != committed {
-		// The workers list the ends again; what dispatch knows of them is
-		// wrong now, so it begins anew from the workers' lists.
-		c.log.WithField("term", uint64(term)).Warn("ends were not taken into the log")
-		c.dispatched = 0
+		// The workers report the ends again. The state of dispatch is now wrong, so it is
+		// rebuilt from the workers' reports.
+		c.log.WithField("term", uint64(term)).Warn("ends of runs were not committed")
+		c.dispatchTerm = 0
 		return
 	}
 	for id, ends := range byWorker {
@@ -236,7 +235,7 @@
 	}
 }
 
-// linkAddress is where a peer's links listen.
+// linkAddress returns the address on which a peer's links listen.
 func (c *Control) linkAddress(p tackid.Peer) string {
 	return addressOf(p, c.cfg.Links)
 }
--- a/io/tackcontrol/relay.go
+++ b/io/tackcontrol/relay.go
@@ -19,34 +19,34 @@
 	kindReports tackpeer.Kind = "reports"
 	kindAnswers tackpeer.Kind = "answers"
 
-	// relayFlush is how long reports are gathered for one message.
-	relayFlush = 4 * time.Millisecond
-	// relayAgain spaces out the looks at reports that are not answered.
-	relayAgain = 60 * time.Millisecond
-	// relayLimit is how long a report waits for its answer: workers give one up after a
-	// second.
-	relayLimit = 750 * time.Millisecond
-	// relayKnown is for how long the leader's word holds that this VM is to pass reports
-	// on. An election takes one to two seconds; beyond them this VM may be cut off.
-	relayKnown = 3 * tackclock.Second
-	// defaultRelayFrom is from how many workers on they report to relays.
+	// relayFlushDelay is how long reports are collected for one message.
+	relayFlushDelay = 4 * time.Millisecond
+	// relayRetryInterval is the interval between two checks for unanswered reports.
+	relayRetryInterval = 60 * time.Millisecond
+	// relayTimeout is how long a report waits for its answer: workers give up after a second.
+	relayTimeout = 750 * time.Millisecond
+	// relayStatusTTL is how long the leader's statement that this VM is a relay remains
+	// valid. An election takes one to two seconds; after a longer time this VM may be
+	// partitioned from the leader.
+	relayStatusTTL = 3 * tackclock.Second
+	// defaultRelayFrom is the default number of workers from which on they report to relays.
 	defaultRelayFrom = 1000
 )
 
 type (
-	// relay is what a VM that does not lead keeps of the reports that it passes on.
+	// relay is the state of a VM that forwards reports to the leader.
 	relay struct {
-		mu    sync.Mutex
-		box   tackrelay.Outbox
-		on    bool
-		heard tackclock.Time // when the leader last said whether it is on
-		// timed says that a flush is about to come.
-		timed   bool
-		helloAt tackclock.Time
+		mu     sync.Mutex
+		outbox tackrelay.Outbox
+		on     bool
+		heard  tackclock.Time // when the leader last reported the value of on
+		// flushScheduled reports whether a flush is scheduled.
+		flushScheduled bool
+		nextHello      tackclock.Time
 	}
 
-	// BusyError reports that a heartbeat got no answer in time. The worker is to send it
-	// again, to whom it likes.
+	// BusyError reports that a heartbeat was not answered in time. The worker must send it
+	// again, to any control VM.
 	BusyError struct {
 		Reason string
 	}
@@ -57,27 +57,27 @@
 	return "heartbeat not answered: " + e.Reason
 }
 
-// relays reports whether this VM is to pass reports on to the leader.
-func (c *Control) relays(now tackclock.Time) bool {
+// isRelay reports whether this VM must forward reports to the leader.
+func (c *Control) isRelay(now tackclock.Time) bool {
 	c.relay.mu.Lock()
 	defer c.relay.mu.Unlock()
-	return c.relay.on && now.Sub(c.relay.heard) <= relayKnown
+	return c.relay.on && now.Sub(c.relay.heard) <= relayStatusTTL
 }
 
-// passOn has the leader answer a worker's report. The error is a *BusyError or a
-// *tackdispatch.ForeignError.
-func (c *Control) passOn(ctx context.Context, r *tackdispatch.Report) (Reply, error) {
+// forwardReport forwards a worker's report to the leader and returns the leader's answer. The
+// error is a *BusyError or a *tackdispatch.ForeignError.
+func (c *Control) forwardReport(ctx context.Context, r *tackdispatch.Report) (Reply, error) {
 	began := c.clock.Now()
 	answers := make(chan tackrelay.Answer, 1)
 	c.relay.mu.Lock()
-	number, err := c.relay.box.Add(r, func(a tackrelay.Answer) { answers <- a })
+	number, err := c.relay.outbox.Add(r, func(a tackrelay.Answer) { answers <- a })
 	c.relay.mu.Unlock()
 	if err != nil {
 		c.meters.relayShed.Inc(1)
 		return Reply{}, &BusyError{Reason: err.Error()}
 	}
-	c.flushAfter(relayFlush)
-	timer := time.NewTimer(relayLimit)
+	c.scheduleFlush(relayFlushDelay)
+	timer := time.NewTimer(relayTimeout)
 	defer timer.Stop()
 	select {
 	case a := <-answers:
@@ -90,68 +90,68 @@
 	case <-ctx.Done():
 	}
 	c.relay.mu.Lock()
-	c.relay.box.Drop(number)
+	c.relay.outbox.Drop(number)
 	c.relay.mu.Unlock()
 	c.meters.relayGivenUp.Inc(1)
 	return Reply{}, &BusyError{Reason: "the leader has not answered"}
 }
 
-// flushAfter sends what waits after a while, unless that is about to happen.
-func (c *Control) flushAfter(wait time.Duration) {
+// scheduleFlush calls flushReports after the delay, unless a flush is already scheduled.
+func (c *Control) scheduleFlush(delay time.Duration) {
 	c.relay.mu.Lock()
 	defer c.relay.mu.Unlock()
-	if !c.relay.timed {
-		c.relay.timed = true
-		time.AfterFunc(wait, c.flushReports)
+	if !c.relay.flushScheduled {
+		c.relay.flushScheduled = true
+		time.AfterFunc(delay, c.flushReports)
 	}
 }
 
-// flushReports sends the leader the reports that it has not got.
+// flushReports sends the leader the reports that have not been sent to it.
 func (c *Control) flushReports() {
 	leader := c.Leader()
 	c.relay.mu.Lock()
-	c.relay.timed = false
-	list := c.relay.box.Next(c.clock.Now(), leader)
-	waiting := c.relay.box.Len()
+	c.relay.flushScheduled = false
+	list := c.relay.outbox.Next(c.clock.Now(), leader)
+	waiting := c.relay.outbox.Len()
 	c.relay.mu.Unlock()
 	c.meters.relayWaiting.Update(int64(waiting))
 	if len(list) > 0 {
 		c.sendReports(leader, list)
 	}
 	if waiting > 0 {
-		c.flushAfter(relayAgain)
+		c.scheduleFlush(relayRetryInterval)
 	}
 }
 
 func (c *Control) sendReports(leader tackid.Peer, list []tackrelay.NumberedReport) {
-	m := tackrelay.Reports{DataCentre: c.cfg.DataCentre, List: list, On: c.relays(c.clock.Now())}
+	m := tackrelay.Reports{DataCentre: c.cfg.DataCentre, List: list, On: c.isRelay(c.clock.Now())}
 	if err := c.links.Send(leader, kindReports, m); err != nil {
 		c.log.WithField("peer", leader).WithField("reports", len(list)).WithError(err).Debug("reports not sent")
 	}
 }
 
-// sayHello tells the leader now and then that this VM can take workers' reports. It is
-// called by the loop.
-func (c *Control) sayHello(now tackclock.Time) {
+// sendHello tells the leader periodically that this VM is available as a relay. It is called
+// by the loop.
+func (c *Control) sendHello(now tackclock.Time) {
 	leader := c.Leader()
-	if now < c.relay.helloAt || leader == "" || leader == c.cfg.Self {
+	if now < c.relay.nextHello || leader == "" || leader == c.cfg.Self {
 		return
 	}
-	c.relay.helloAt = now.Add(tackrelay.HelloInterval)
+	c.relay.nextHello = now.Add(tackrelay.HelloInterval)
 	c.sendReports(leader, nil)
 }
 
-// onReports answers reports that a relay passes on.
+// onReports answers the reports that a relay forwards.
 func (c *Control) onReports(from tackid.Peer, body []byte) {
 	var m tackrelay.Reports
 	if err := cbor.Unmarshal(body, &m); err != nil {
-		c.log.WithField("peer", from).WithError(err).Warn("reports that cannot be read")
+		c.log.WithField("peer", from).WithError(err).Warn("reports cannot be decoded")
 		return
 	}
 	now := c.clock.Now()
 	c.mu.Lock()
 	c.roster.Heard(now, from, m.DataCentre)
-	if m.On && c.dispatched != 0 && !c.dispatch.EarlierLeasesEnded(now) {
+	if m.On && c.dispatchTerm != 0 && !c.dispatch.EarlierLeasesEnded(now) {
 		c.roster.Inherit()
 	}
 	answers := tackrelay.Answers{On: c.roster.Enabled()}
@@ -183,11 +183,11 @@
 	return a
 }
 
-// onAnswers takes in the leader's answers.
+// onAnswers handles the leader's answers.
 func (c *Control) onAnswers(from tackid.Peer, body []byte) {
 	var m tackrelay.Answers
 	if err := cbor.Unmarshal(body, &m); err != nil {
-		c.log.WithField("peer", from).WithError(err).Warn("answers that cannot be read")
+		c.log.WithField("peer", from).WithError(err).Warn("answers cannot be decoded")
 		return
 	}
 	now := c.clock.Now()
@@ -196,16 +196,16 @@
 	if from == c.Leader() {
 		c.relay.on, c.relay.heard = m.On, now
 	}
-	c.relay.box.Deliver(now, from, m.List)
+	c.relay.outbox.Deliver(now, from, m.List)
 }
 
-// judgeRelays decides whether workers report to relays. The caller holds mu.
-func (c *Control) judgeRelays(now tackclock.Time) {
+// updateRelays decides whether workers report to relays. The caller holds mu.
+func (c *Control) updateRelays(now tackclock.Time) {
 	before, workers := c.roster.Enabled(), c.dispatch.Workers()
 	c.roster.Update(workers, c.cfg.RelayFrom, c.dispatch.EarlierLeasesEnded(now))
 	if on := c.roster.Enabled(); on != before {
-		c.log.WithField("workers", workers).WithField("from", c.cfg.RelayFrom).WithField("relays", on).Info("who takes reports")
-		for _, p := range c.roster.Live(now) { // before the first worker comes there
+		c.log.WithField("workers", workers).WithField("from", c.cfg.RelayFrom).WithField("relays", on).Info("relaying of reports changed")
+		for _, p := range c.roster.Live(now) { // they must know before the first worker reports to them
 			c.sendAnswers(p, tackrelay.Answers{On: on})
 		}
 	}
--- a/io/tackcontrol/relay_test.go
+++ b/io/tackcontrol/relay_test.go
@@ -7,8 +7,8 @@
 	"auburntack/core/tackwork"
 )
 
-// newRelaying is control VMs whose workers all report to relays.
-func newRelaying(t *testing.T) *cluster {
+// newRelayingCluster returns control VMs whose workers all report to relays.
+func newRelayingCluster(t *testing.T) *cluster {
 	c := newCluster(t)
 	c.relayFrom = 1
 	for _, p := range c.seeds {
@@ -18,28 +18,28 @@
 	return c
 }
 
-// sentAway has a worker report to the leader until it is told to ask a relay, which it
-// does from then on.
-func (c *cluster) sentAway(w *worker) tackid.Peer {
+// redirected makes a worker report to the leader until the leader redirects it to a relay,
+// and to the relay from then on.
+func (c *cluster) redirected(w *worker) tackid.Peer {
 	c.t.Helper()
 	leader := c.leader()
 	w.control = c.running[leader].control
-	c.await("the worker is sent to a relay", func() bool {
-		w.beat()
+	c.await("the worker is redirected to a relay", func() bool {
+		w.heartbeat()
 		return w.ask != "" && w.ask != leader
 	})
 	w.control = c.running[w.ask].control
-	c.await("the relay takes its reports", w.relayed)
+	c.await("the relay accepts its reports", w.relayed)
 	return w.ask
 }
 
 func TestWorkersReportToRelays(t *testing.T) {
-	c := newRelaying(t)
+	c := newRelayingCluster(t)
 	w := &worker{id: "i-1"}
-	relay := c.sentAway(w)
+	relay := c.redirected(w)
 	c.assertAsk(tackwork.Submit, jobA, tackwork.Done)
 	c.await("the job complete", func() bool {
-		w.beat()
+		w.heartbeat()
 		return c.ask(tackwork.Lookup, jobA).Progress == tackwork.Complete
 	})
 	if w.ask != relay {
@@ -47,34 +47,34 @@
 	}
 }
 
-// Guards against workers that must look for the next leader: the leader is lost, and their
-// relay has the next one answer.
+// Guards against workers that must search for the next leader: when the leader is lost, their
+// relay gets the answers from the next one.
 func TestRelayFollowsTheLeader(t *testing.T) {
-	c := newRelaying(t)
+	c := newRelayingCluster(t)
 	w := &worker{id: "i-1"}
-	relay := c.sentAway(w)
+	relay := c.redirected(w)
 	c.stop(c.leader())
 	c.assertAsk(tackwork.Submit, jobA, tackwork.Done)
 	c.await("the job complete", func() bool {
-		w.beat()
+		w.heartbeat()
 		return c.ask(tackwork.Lookup, jobA).Progress == tackwork.Complete
 	})
-	// The relay itself may have come to lead.
+	// The relay itself may have become the leader.
 	if _, leads := c.running[relay].control.Catalog(); !leads && w.ask != relay {
 		t.Errorf("told to ask %s, want to stay with %s", w.ask, relay)
 	}
 }
 
-// Guards against relays that keep workers to themselves behind a partition: one that has
-// not heard a leader for a while sends them away.
+// Guards against relays that keep their workers behind a partition: a relay that has not
+// heard from a leader for a while must redirect them.
 func TestRelayWithoutALeaderGivesUp(t *testing.T) {
-	c := newRelaying(t)
+	c := newRelayingCluster(t)
 	w := &worker{id: "i-1"}
-	relay := c.sentAway(w)
+	relay := c.redirected(w)
 	for _, p := range c.seeds {
 		if p != relay {
 			c.stop(p)
 		}
 	}
-	c.await("the worker is sent away", func() bool { return !w.relayed() })
+	c.await("the worker is redirected", func() bool { return !w.relayed() })
 }
--- a/io/tackcontrol/serve.go
+++ b/io/tackcontrol/serve.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	handOverLimit = 2 * time.Second
-	handOverLook  = 20 * time.Millisecond
+	handOverTimeout      = 2 * time.Second
+	handOverPollInterval = 20 * time.Millisecond
 )
 
-// Serve runs the VM until ctx ends or it cannot go on. The error is a
-// *StoppedError then.
+// Serve runs the VM until ctx ends or the VM cannot continue. The error is a *StoppedError in
+// the latter case.
 func (c *Control) Serve(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -34,10 +34,10 @@
 	if c.cfg.Advisor != nil {
 		supervisor.Add(tackloop.Service{Name: "advice", Run: c.serveAdvice})
 	}
-	_ = supervisor.Serve(ctx) // ends with ctx, whose cause says why
+	_ = supervisor.Serve(ctx) // returns when ctx ends; the cause of ctx is the reason
 	err := context.Cause(ctx)
 	if closeErr := c.disk.Close(); closeErr != nil {
-		c.log.WithError(closeErr).Warn("data folder not closed")
+		c.log.WithError(closeErr).Warn("closing the data folder failed")
 	}
 	var stopped *StoppedError
 	if errors.As(err, &stopped) {
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// guardLoop runs the loop. Its state cannot be rebuilt without a restart, so
-// a panic ends the process rather than the loop alone.
+// guardLoop runs the loop. The state of the loop cannot be rebuilt without a restart, so a
+// panic stops the process instead of restarting the loop alone.
 func (c *Control) guardLoop(ctx context.Context) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -57,16 +57,16 @@
 	return c.runLoop(ctx)
 }
 
-// HandOver gives leadership to another VM before a planned stop, so that
-// nobody waits for an election.
+// HandOver transfers leadership to another VM before a planned stop, so that no caller waits
+// for an election.
 func (c *Control) HandOver(ctx context.Context) {
 	if len(c.status.Load().Members) <= 1 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, handOverLimit)
+	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
 	for c.status.Load().Role == tackreplica.Leader && ctx.Err() == nil {
 		c.loop.Post(ctx, func() { c.node.Transfer(c.clock.Now(), "") })
-		tackloop.Sleep(ctx, handOverLook)
+		tackloop.Sleep(ctx, handOverPollInterval)
 	}
 }
--- a/io/tackcontrol/submissions.go
+++ b/io/tackcontrol/submissions.go
@@ -10,36 +10,37 @@
 )
 
 const (
-	// refusalKept is for how long a refused request stays refused: longer than an entry VM
-	// tries to have one carried out.
-	refusalKept = 5 * tackclock.Second
-	// refusalsEvery spaces out the walks that drop older ones.
-	refusalsEvery = tackclock.Second
+	// refusalRetention is how long a refused request stays refused: longer than an entry VM
+	// retries it.
+	refusalRetention = 5 * tackclock.Second
+	// refusalExpiryInterval is the interval between two scans that remove expired refusals.
+	refusalExpiryInterval = tackclock.Second
 )
 
 type (
-	// submissions keep callers from being told that a job never runs while it may.
+	// submissions prevents a caller from being told that a job will never run when it still
+	// may.
 	//
-	// An entry VM that has no answer in time asks again. What it asked first may then be
-	// in the log and not be decided, so the job is not refused. Or the leader may come to
-	// it later than to what was asked again, so a request that was refused once is not
-	// accepted any more. The zero value knows of none. It is safe for concurrent use.
+	// An entry VM that gets no answer in time retries. Its first request may then be in the
+	// log and undecided, so the job must not be refused. Or the leader may handle the first
+	// request after the retry, so a request that was refused once must not be accepted later.
+	// The zero value is empty. It is safe for concurrent use.
 	submissions struct {
 		mu sync.Mutex
-		// undecided counts the proposals of each job whose fate is open.
+		// undecided counts the undecided proposals of each job.
 		undecided map[tackjob.ID]int
 		refused   map[tackid.RequestID]refusal
 		expireAt  tackclock.Time
 	}
 
-	// refusal is why a request was refused, and when.
+	// refusal is why and when a request was refused.
 	refusal struct {
 		at        tackclock.Time
 		admission tackdispatch.Admission
 	}
 )
 
-// begin takes in that a job is being proposed.
+// begin records that a job is being proposed.
 func (s *submissions) begin(id tackjob.ID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,7 +50,7 @@
 	s.undecided[id]++
 }
 
-// end takes in that a proposal is decided, and reports whether it was the last of its job.
+// end records that a proposal is decided, and reports whether it was the last one of its job.
 func (s *submissions) end(id tackjob.ID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,14 +61,14 @@
 	return true
 }
 
-// open reports whether a proposal of the job may yet be committed.
+// open reports whether a proposal of the job may still be committed.
 func (s *submissions) open(id tackjob.ID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.undecided[id] > 0
 }
 
-// refuse remembers that a request was refused. One without an id is not sent again.
+// refuse records that a request was refused. A request without an id is never retried.
 func (s *submissions) refuse(now tackclock.Time, id tackid.RequestID, a tackdispatch.Admission) {
 	if id == "" {
 		return
@@ -75,9 +76,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now >= s.expireAt {
-		s.expireAt = now.Add(refusalsEvery)
+		s.expireAt = now.Add(refusalExpiryInterval)
 		for id, r := range s.refused {
-			if now.Sub(r.at) > refusalKept {
+			if now.Sub(r.at) > refusalRetention {
 				delete(s.refused, id)
 			}
 		}
@@ -88,10 +89,10 @@
 	s.refused[id] = refusal{at: now, admission: a}
 }
 
-// refusedBefore returns the refusal of a request, if there was one.
+// refusedBefore returns the refusal of a request, if there is one.
 func (s *submissions) refusedBefore(now tackclock.Time, id tackid.RequestID) (tackdispatch.Admission, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, known := s.refused[id]
-	return r.admission, known && now.Sub(r.at) <= refusalKept
+	return r.admission, known && now.Sub(r.at) <= refusalRetention
 }
--- a/io/tackcontrol/waves.go
+++ b/io/tackcontrol/waves.go
@@ -17,53 +17,52 @@
 )
 
 const (
-	upkeepEvery = 150 * time.Millisecond
-	// cloudLimit bounds one call to the platform.
-	cloudLimit = time.Second
-	// callsAtOnce bounds the calls to the platform that wait for an answer.
-	callsAtOnce = 8
-	// movesInFlight bounds the moves that the platform is called for at once. A rest of
-	// hundreds of VMs would else open as many connections in one instant.
-	movesInFlight = 64
+	upkeepInterval = 150 * time.Millisecond
+	// cloudTimeout bounds one call to the platform.
+	cloudTimeout = time.Second
+	// maxPendingCalls bounds the calls to the platform that wait for an answer.
+	maxPendingCalls = 8
+	// maxMovesInFlight bounds the concurrent move calls to the platform. Otherwise parking
+	// hundreds of VMs would open as many connections at once.
+	maxMovesInFlight = 64
 )
 
 type (
-	// Cloud orders VMs of workers about. Order says who orders; a call may
-	// have been carried out even if it returns an error other than a
-	// *CloudError.
+	// Cloud gives the platform orders for the VMs of workers. The Order says on whose behalf.
+	// A call may have been carried out even if it returns an error other than a *CloudError.
 	Cloud interface {
 		Upkeep(ctx context.Context, o Order, vm tackid.VM, wave tackupkeep.Number) error
 		Move(ctx context.Context, o Order, vm tackid.VM, to tackid.Service) error
 		Machines(ctx context.Context) ([]tackdispatch.Machine, error)
 	}
 
-	// Order is on whose behalf a VM is ordered about. Fence rises from leader
-	// to leader.
+	// Order identifies the leader on whose behalf an order is given. Fence is a fencing token
+	// that increases from leader to leader.
 	Order struct {
 		Holder tackid.Peer
 		Fence  uint64
 	}
 
-	// CloudError reports a call that the platform surely did not carry out.
-	// Gone says that there is no such VM, or that it is not in the wave.
+	// CloudError reports a call that the platform certainly did not carry out. Gone says that
+	// there is no such VM, or that it is not part of the wave.
 	CloudError struct {
 		Reason string
 		Gone   bool
 	}
 
 	upkeep struct {
-		from  tackclock.Time // when this VM began to lead
-		calls map[tackid.VM]bool
-		// lookAt is when the platform's list of VMs is read next.
-		lookAt tackclock.Time
-		// standingsAt is when the log last said how the pools stand.
-		standingsAt tackclock.Time
-		// rest judges after which idle time VMs go to the standby pool.
-		rest tackpool.ParkDelay
-		// restAfter is what it judged last.
-		restAfter tackclock.Duration
-		// reserve judges how much each pool has at hand, reserved is what it judged last,
-		// in thousandths of a core.
+		leadingSince tackclock.Time     // when this VM became the leader
+		pendingCalls map[tackid.VM]bool // VMs with a pending call to the platform
+		// inventoryAt is when to read the platform's list of VMs next.
+		inventoryAt tackclock.Time
+		// poolStatusAt is when the pool statuses were last logged.
+		poolStatusAt tackclock.Time
+		// parkDelay determines the idle time after which VMs move to the standby pool.
+		parkDelay tackpool.ParkDelay
+		// parkAfter is the idle time that parkDelay returned last.
+		parkAfter tackclock.Duration
+		// reserve determines the reserve of each pool; reserved is the last value, in
+		// thousandths of a core.
 		reserve  tackpool.Reserve
 		reserved int
 	}
@@ -75,13 +74,13 @@
 }
 
 func (u *upkeep) reset(now tackclock.Time) {
-	u.from, u.lookAt = now, now
-	u.calls = make(map[tackid.VM]bool)
-	u.rest, u.restAfter = tackpool.ParkDelay{}, 0
+	u.leadingSince, u.inventoryAt = now, now
+	u.pendingCalls = make(map[tackid.VM]bool)
+	u.parkDelay, u.parkAfter = tackpool.ParkDelay{}, 0
 	u.reserve, u.reserved = tackpool.Reserve{}, 0
 }
 
-// StartWave accepts a wave of upkeep.
+// StartWave starts an upkeep wave.
 func (c *Control) StartWave(ctx context.Context, w tackupkeep.Wave) tackwork.Answer {
 	if _, leads := c.leads(c.clock.Now()); !leads {
 		return c.notLeader()
@@ -93,8 +92,8 @@
 	return a
 }
 
-// Wave reports whether a wave is complete. The verdict is Done, NoJob if there
-// is no such wave, or Unavailable.
+// Wave reports whether a wave is complete. The verdict is Done, NoJob if there is no such
+// wave, or Unavailable.
 func (c *Control) Wave(n tackupkeep.Number) (tackwork.Answer, bool) {
 	c.mu.Lock()
 	w := c.state.Waves.Get(n)
@@ -109,11 +108,11 @@
 	return tackwork.Answer{}, complete
 }
 
-// serveUpkeep carries out waves while this VM leads, until ctx ends.
+// serveUpkeep carries out upkeep waves and moves while this VM is the leader, until ctx ends.
 func (c *Control) serveUpkeep(ctx context.Context) error {
 	for ctx.Err() == nil {
-		tackloop.Sleep(ctx, upkeepEvery)
-		c.lookAtMachines(ctx)
+		tackloop.Sleep(ctx, upkeepInterval)
+		c.refreshInventory(ctx)
 		c.upkeepRound(ctx)
 	}
 	return ctx.Err()
@@ -124,7 +123,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	term, leads := c.leads(now)
-	if !leads || c.dispatched != term {
+	if !leads || c.dispatchTerm != term {
 		return
 	}
 	order := Order{Holder: c.cfg.Self, Fence: uint64(term)}
@@ -132,20 +131,20 @@
 	c.moveRound(ctx, now, order)
 }
 
-// waveRound takes VMs down for their upkeep. VMs that an earlier leader took
-// down may still be, and count against what may be down at once, so a new one
-// waits until they are back. The caller holds mu.
+// waveRound takes VMs down for their upkeep. VMs that the previous leader took down may still
+// be down and count towards the limit of the wave, so a new leader waits until they are back.
+// The caller holds mu.
 func (c *Control) waveRound(ctx context.Context, now tackclock.Time, order Order) {
-	if now.Sub(c.upkeep.from) < c.cfg.Handover {
+	if now.Sub(c.upkeep.leadingSince) < c.cfg.Handover {
 		return
 	}
 	for _, w := range c.state.Waves.All() {
 		for _, vm := range c.dispatch.NextUpkeep(now, w) {
-			if c.upkeep.calls[vm] || len(c.upkeep.calls) >= callsAtOnce || c.orders.allowance(now, 1) <= 0 {
+			if c.upkeep.pendingCalls[vm] || len(c.upkeep.pendingCalls) >= maxPendingCalls || c.orders.allowance(now, 1) <= 0 {
 				continue
 			}
-			c.orders.spend(now, 1)
-			c.upkeep.calls[vm] = true
+			c.orders.recordCalls(now, 1)
+			c.upkeep.pendingCalls[vm] = true
 			go c.callUpkeep(ctx, order, w.Number, vm)
 		}
 	}
@@ -156,7 +155,7 @@
 	if c.announce(ctx, vm) {
 		err = c.stillLeads(order)
 	}
-	ctx, cancel := context.WithTimeout(ctx, cloudLimit)
+	ctx, cancel := context.WithTimeout(ctx, cloudTimeout)
 	defer cancel()
 	c.meters.upkeeps.Inc(1)
 	if err == nil {
@@ -165,27 +164,27 @@
 	now := c.clock.Now()
 	c.log.WithFields(logrus.Fields{"vm": string(vm), "wave": int64(wave), "fence": order.Fence}).WithError(err).Info("upkeep ordered")
 	var refused *CloudError
-	begun := err == nil || errors.As(err, &refused) && refused.Gone
+	started := err == nil || errors.As(err, &refused) && refused.Gone
 	c.mu.Lock()
-	if uint64(c.dispatched) == order.Fence {
+	if uint64(c.dispatchTerm) == order.Fence {
 		c.dispatch.UpkeepCalled(now, vm, err == nil, refused != nil)
 	}
 	c.mu.Unlock()
-	if begun {
-		// The call may have used up its own time.
+	if started {
+		// The call may have used up the time of ctx.
 		p := c.propose(context.WithoutCancel(ctx), tackwork.Change{Upkeep: &tackwork.UpkeepBegun{Wave: wave, VM: vm}})
-		if p.fate != committed {
-			c.log.WithField("vm", string(vm)).WithField("wave", int64(wave)).Warn("begun upkeep not in the log, called again")
+		if p.status != committed {
+			c.log.WithField("vm", string(vm)).WithField("wave", int64(wave)).Warn("start of upkeep not committed; the platform will be called again")
 		}
 	}
 	c.mu.Lock()
-	delete(c.upkeep.calls, vm)
+	delete(c.upkeep.pendingCalls, vm)
 	c.mu.Unlock()
 }
 
-// stillLeads returns a *CloudError if this VM lost its lease since the order was
-// decided, perhaps because it was frozen in between. Another leader may be
-// ordering VMs about by now.
+// stillLeads returns a *CloudError if this VM lost its lease since the order was decided, for
+// example because its process was paused in between. Another leader may already be giving
+// orders.
 func (c *Control) stillLeads(o Order) error {
 	if term, leads := c.leads(c.clock.Now()); !leads || uint64(term) != o.Fence {
 		return &CloudError{Reason: "leadership was lost"}
--- a/io/tackcontrol/worker_test.go
+++ b/io/tackcontrol/worker_test.go
@@ -14,17 +14,17 @@
 	"auburntack/io/tackcontrol"
 )
 
-// worker runs what it is ordered and ends it at once.
+// worker ends each item that it is ordered to start at once.
 type worker struct {
 	id       tackdispatch.WorkerID
 	control  *tackcontrol.Control
 	sequence uint64
 	ended    []tackdispatch.Ended
 	number   uint64
-	ask      tackid.Peer // whom the last answer names
+	ask      tackid.Peer // the control VM that the last answer named
 }
 
-func (w *worker) beat() {
+func (w *worker) heartbeat() {
 	w.sequence++
 	reply, err := w.control.Heartbeat(context.Background(), &tackdispatch.Report{
 		Worker: w.id, VM: tackid.VM("m-" + string(w.id)), Service: "names-api", Sequence: w.sequence, Ended: w.ended,
@@ -48,7 +48,7 @@
 	}
 }
 
-// relayed reports whether the VM that the worker asks passes its report on.
+// relayed reports whether the VM to which the worker reports forwards the report.
 func (w *worker) relayed() bool {
 	w.sequence++
 	_, err := w.control.Heartbeat(context.Background(), &tackdispatch.Report{
@@ -57,22 +57,22 @@
 	return !errors.As(err, new(*tackcontrol.ElsewhereError))
 }
 
-// A leader counted crashes, and the next one did not know of them: an item that crashes
-// its workers went through the pool again after each election. The counts go through
-// the log, and so must the job's failure.
+// Guards against an item that crashes its workers and is started again after each election.
+// The fault was that only the leader that had counted the crashes knew of them. The counts,
+// and the failure of the job, must be in the log.
 func TestItemThatCrashesItsWorkersIsGivenUpAcrossLeaders(t *testing.T) {
-	c := newRunning(t)
+	c := newRunningCluster(t)
 	spec := &tackjob.Spec{Steps: []tackjob.Step{{Count: 1, Estimate: 100, Resources: tackroom.Resources{MilliCores: 500}}}}
 	c.await("the job is accepted", func() bool {
 		submit := &tackwork.Request{Operation: tackwork.Submit, Host: "a.example", Path: "/q/" + jobA, Spec: spec}
 		return c.client.Do(context.Background(), submit).Verdict == tackwork.Done
 	})
 	starts := 0
-	lives := [...]*life{{vm: "m-a"}, {vm: "m-b"}, {vm: "m-c"}}
+	workers := [...]*crashingWorker{{vm: "m-a"}, {vm: "m-b"}, {vm: "m-c"}}
 	replaced := false
 	c.await("the job has failed", func() bool {
-		for _, l := range lives {
-			if l.crashesWhenStarted(c) {
+		for _, w := range workers {
+			if w.crashesWhenStarted(c) {
 				starts++
 			}
 		}
@@ -84,36 +84,36 @@
 		}
 		return c.ask(tackwork.Lookup, jobA).Progress == tackwork.Failed
 	})
-	// Two VMs that crashed under it by itself do, and one crash may be seen by neither
-	// leader.
+	// Two crashes of VMs that ran only this item suffice for the failure, and one crash may be
+	// counted by neither leader.
 	if starts < 2 || starts > 4 {
 		t.Errorf("%d starts, want 2 to 4", starts)
 	}
 }
 
-// life is the life of a worker on a VM that crashes as soon as it starts anything, and
-// is followed by another one.
-type life struct {
+// crashingWorker is a worker on a VM that crashes whenever an item starts, and is then
+// replaced by a new worker.
+type crashingWorker struct {
 	vm       tackid.VM
 	number   int
 	sequence uint64
 }
 
-// crashesWhenStarted sends a heartbeat and reports whether an item was started on it.
-func (l *life) crashesWhenStarted(c *cluster) bool {
+// crashesWhenStarted sends a heartbeat and reports whether an item was started on the worker.
+func (w *crashingWorker) crashesWhenStarted(c *cluster) bool {
 	leader := c.leader()
 	if leader == "" {
 		return false
 	}
-	l.sequence++
+	w.sequence++
 	reply, err := c.running[leader].control.Heartbeat(context.Background(), &tackdispatch.Report{
-		Worker: tackdispatch.WorkerID(fmt.Sprintf("i-%s-%d", l.vm, l.number)), VM: l.vm, Service: "names-api",
-		Sequence: l.sequence, Capacity: tackroom.Resources{MilliCores: 4000, MemoryMB: 4000},
+		Worker: tackdispatch.WorkerID(fmt.Sprintf("i-%s-%d", w.vm, w.number)), VM: w.vm, Service: "names-api",
+		Sequence: w.sequence, Capacity: tackroom.Resources{MilliCores: 4000, MemoryMB: 4000},
 	})
 	if err != nil || len(reply.Orders.Start) == 0 {
 		return false
 	}
-	l.number++
-	l.sequence = 0
+	w.number++
+	w.sequence = 0
 	return true
 }
--- a/io/tackcontrol/workers.go
+++ b/io/tackcontrol/workers.go
@@ -13,12 +13,12 @@
 	// Reply is the answer to a worker's report.
 	Reply struct {
 		Orders tackdispatch.Orders
-		// Ask is the control VM that the worker is to ask next.
+		// Ask is the control VM to which the worker must send its next report.
 		Ask tackid.Peer
 	}
 
-	// ElsewhereError reports that this VM cannot decide, and does not ask the one that
-	// can.
+	// ElsewhereError reports that this VM is not the leader and does not forward reports to
+	// it.
 	ElsewhereError struct{}
 )
 
@@ -27,25 +27,25 @@
 	return "this VM does not lead"
 }
 
-// Heartbeat takes in a worker's report and returns its orders. The error is an
-// *ElsewhereError, a *BusyError, or a *tackdispatch.ForeignError: the report is of no
-// worker that is to be used, and changed nothing.
+// Heartbeat handles a worker's report and returns its orders. The error is an
+// *ElsewhereError, a *BusyError, or a *tackdispatch.ForeignError if the report is not from a
+// worker that may be used; such a report changes nothing.
 func (c *Control) Heartbeat(ctx context.Context, r *tackdispatch.Report) (Reply, error) {
 	now := c.clock.Now()
-	if _, leads := c.leads(now); !leads && c.relays(now) {
-		return c.passOn(ctx, r)
+	if _, leads := c.leads(now); !leads && c.isRelay(now) {
+		return c.forwardReport(ctx, r)
 	}
 	return c.decide(r, "")
 }
 
-// decide answers a report that came by a relay, or here if by is empty. The error is an
-// *ElsewhereError or a *tackdispatch.ForeignError.
+// decide answers a report that the relay by has forwarded, or that came directly if by is
+// empty. The error is an *ElsewhereError or a *tackdispatch.ForeignError.
 func (c *Control) decide(r *tackdispatch.Report, by tackid.Peer) (Reply, error) {
 	now := c.clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	term, leads := c.leads(now)
-	if !leads || c.dispatched != term {
+	if !leads || c.dispatchTerm != term {
 		return Reply{}, &ElsewhereError{}
 	}
 	if !c.dispatch.Knows(r.Worker) && !c.poolExists(r.Service) {
@@ -61,8 +61,8 @@
 	c.meters.heartbeats.Inc(1)
 	c.meters.starts.Inc(int64(len(orders.Start)))
 	c.meters.stops.Inc(int64(len(orders.Stop)))
-	// A lease that ran out while this was worked out may be another leader's
-	// by now. What dispatch has noted is corrected by the next heartbeat.
+	// If the lease expired in the meantime, another leader may already have taken over. What
+	// dispatch has recorded is corrected by the next heartbeat.
 	if _, leads := c.leads(c.clock.Now()); !leads {
 		return Reply{}, &ElsewhereError{}
 	}
@@ -70,20 +70,20 @@
 	return Reply{Orders: orders, Ask: cmp.Or(ask, c.cfg.Self)}, nil
 }
 
-// poolExists reports whether the catalog names the service, or an earlier one did
-// and jobs are owed there. Workers report before the first catalog comes. The caller
-// holds mu.
+// poolExists reports whether the catalog names the service, or an earlier catalog did and
+// jobs are still open there. Without a catalog it returns true, since workers report before
+// the first catalog is put. The caller holds mu.
 func (c *Control) poolExists(service tackid.Service) bool {
 	return c.state.Catalog.Version == 0 || c.state.Catalog.Service(service) != nil || c.dispatch.HasOpenJobs(service)
 }
 
-// Leave takes in that a worker has ended; false if this VM does not lead.
+// Leave records that a worker has stopped. It returns false if this VM is not the leader.
 func (c *Control) Leave(id tackdispatch.WorkerID) bool {
 	now := c.clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	term, leads := c.leads(now)
-	if !leads || c.dispatched != term {
+	if !leads || c.dispatchTerm != term {
 		return false
 	}
 	c.dispatch.Leave(now, id)
--- a/io/tackcontrol/workspaces.go
+++ b/io/tackcontrol/workspaces.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// WorkspacesPath is where a control VM tells operators of the workspaces; with
-	// WorkspaceName, of one in full.
+	// WorkspacesPath is the path at which a control VM lists the workspaces for operators;
+	// with the parameter WorkspaceName it shows one of them in full.
 	WorkspacesPath = "/workspaces"
 	// WorkspaceName is the query parameter that names a workspace.
 	WorkspaceName = "name"
 )
 
 type (
-	// answerBody is an answer in the form that the operators' client reads.
+	// answerBody is an answer in the format of the operators' client.
 	answerBody struct {
-		// Confirmed is false on a VM that does not lead: what it knows may be old, and it
-		// does not know what runs.
+		// Confirmed is false if this VM is not the leader: its data may be outdated, and it
+		// does not know what is running.
 		Confirmed bool            `json:"confirmed"`
 		Revision  tackid.Revision `json:"revision"`
 		Columns   []string        `json:"columns"`
 		Rows      [][]any         `json:"rows"`
 	}
 
-	// workspace is one workspace and how it stands.
+	// workspace is a workspace with its status.
 	workspace struct {
 		*tackworkspace.Workspace
 		tackdispatch.WorkspaceStatus
 	}
 )
 
-// WorkspacesPage answers operators' questions about workspaces. Keys are shown by the
-// first digits of their fingerprints.
+// WorkspacesPage returns the handler of operators' queries about workspaces. Keys are shown
+// by the first digits of their fingerprints.
 func (c *Control) WorkspacesPage() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		list, confirmed := c.workspaces()
@@ -60,12 +60,12 @@
 	}
 }
 
-// workspaces returns those of the catalog, and whether this VM leads.
+// workspaces returns the workspaces of the catalog, and whether this VM is the leader.
 func (c *Control) workspaces() ([]workspace, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	term, leads := c.leads(c.clock.Now())
-	leads = leads && c.dispatched == term
+	leads = leads && c.dispatchTerm == term
 	catalog := c.state.Catalog.Workspaces
 	list := make([]workspace, len(catalog))
 	for i := range catalog {
@@ -82,13 +82,13 @@
 	for i := range list {
 		w := &list[i]
 		a.Rows = append(a.Rows, []any{
-			w.Name, len(w.Keys), w.Weight, w.Jobs, w.Waiting, cores(w.Running), bound(cores(w.Cap)),
-			gigabytes(w.Running), bound(gigabytes(w.Cap)), w.Running.GPUs, bound(float64(w.Cap.GPUs)),
+			w.Name, len(w.Keys), w.Weight, w.Jobs, w.Waiting, cores(w.Running), capCell(cores(w.Cap)),
+			gigabytes(w.Running), capCell(gigabytes(w.Cap)), w.Running.GPUs, capCell(float64(w.Cap.GPUs)),
 		})
 	}
 }
 
-// show tells all of one workspace; false if there is none of that name.
+// show fills in the details of one workspace; false if there is none of that name.
 func (a *answerBody) show(list []workspace, name tackid.Workspace) bool {
 	a.Columns = []string{"field", "value"}
 	for i := range list {
@@ -111,8 +111,8 @@
 func cores(r tackroom.Resources) float64     { return float64(r.MilliCores) / 1000 }
 func gigabytes(r tackroom.Resources) float64 { return float64(r.MemoryMB) / 1024 }
 
-// bound is what a table shows of a cap, of which zero is none.
-func bound(n float64) any {
+// capCell returns the table cell for a cap, where zero means none.
+func capCell(n float64) any {
 	if n == 0 {
 		return ""
 	}
