--- a/io/tackforward/client.go
+++ b/io/tackforward/client.go
@@ -25,55 +25,55 @@
 )
 
 const (
-	// dialLimit bounds connecting. Control VMs are a few milliseconds away; a
-	// VM that is cut off answers nothing.
-	dialLimit = 250 * time.Millisecond
-	// callLimit bounds one call. A commit takes some 15 ms, with a slow disk
-	// a few hundred; a leader that was cut off is given up after this time.
-	callLimit = 600 * time.Millisecond
-	// askLimit bounds all tries for one request of which nothing was sent. It
-	// stays below a quarter of the 3.6 s in which callers want an answer, so
-	// that they can try again.
-	askLimit = 850 * time.Millisecond
-	// sentLimit bounds them once a try may have been carried out. An answer of
-	// the next leader, who knows, is worth more to the caller than "unknown";
-	// an election takes about a second, and callers wait for three.
-	sentLimit = 2200 * time.Millisecond
-	// againAfter is the wait between two rounds over all control VMs.
-	againAfter = 60 * time.Millisecond
-	// comeBack is when callers are asked to come back if no leader is found.
-	comeBack = tackclock.Second
-	// idleConnections to one control VM are kept; more calls at once open
-	// connections of their own.
-	idleConnections = 16
-	idleLimit       = 30 * time.Second
-	// userTimeout is when the kernel gives up a connection on which nothing
-	// is acknowledged.
+	// dialTimeout bounds connecting. Control VMs are a few milliseconds away, and one that is
+	// partitioned does not respond at all.
+	dialTimeout = 250 * time.Millisecond
+	// callTimeout bounds one call. A commit takes about 15 ms, and a few hundred with a slow
+	// disk. A leader that was partitioned is given up after this time.
+	callTimeout = 600 * time.Millisecond
+	// unsentTimeout bounds all attempts of a request as long as nothing of it was sent. It is
+	// less than a quarter of the 3.6 s within which callers expect an answer, so that they
+	// can retry.
+	unsentTimeout = 850 * time.Millisecond
+	// sentTimeout bounds them once an attempt may have been carried out. The answer of the
+	// next leader, which knows the result, is worth more to the caller than "unknown"; an
+	// election takes about a second, and callers wait for three.
+	sentTimeout = 2200 * time.Millisecond
+	// retryInterval is the delay between two rounds of calls to all control VMs.
+	retryInterval = 60 * time.Millisecond
+	// retryAfter is the delay after which callers may retry if no leader is found.
+	retryAfter = tackclock.Second
+	// maxIdleConnections is the number of idle connections kept per control VM. More
+	// concurrent calls open additional connections.
+	maxIdleConnections = 16
+	idleTimeout        = 30 * time.Second
+	// userTimeoutMS is the time after which the kernel closes a connection without
+	// acknowledgements.
 	userTimeoutMS = 1000
 	keepAlive     = time.Second
 )
 
 type (
-	// Client sends requests to the leader. It follows the leader by the
-	// answers, and remembers every control VM that it ever heard of.
+	// Client sends requests to the leader. It learns the leader from the answers, and
+	// remembers all control VMs that it was told of.
 	Client struct {
 		port  int
 		seeds func() []tackid.Peer
 		log   logrus.FieldLogger
 		http  *http.Client
 
-		mu     sync.Mutex
-		leader tackid.Peer
-		known  []tackid.Peer
-		heard  tackclock.Time // when a leader last answered
-		cutOff bool           // see CutOff
-		ready  bool           // see Ready
-		// minority counts the looks in a row that found most control VMs out of reach.
+		mu        sync.Mutex
+		leader    tackid.Peer
+		known     []tackid.Peer
+		lastHeard tackclock.Time // when a leader answered last
+		cutOff    bool           // see CutOff
+		ready     bool           // see Ready
+		// minority counts the consecutive probes in which most control VMs were unreachable.
 		minority int
 		clock    *tackclock.Clock
 	}
 
-	// unsentError says that no byte of the request left this VM.
+	// unsentError reports that no byte of the request was sent.
 	unsentError struct {
 		err error
 	}
@@ -88,26 +88,26 @@
 // NewClient returns a client that calls control VMs on the given port.
 func NewClient(port int, seeds func() []tackid.Peer, clock *tackclock.Clock, log logrus.FieldLogger) *Client {
 	dialer := &net.Dialer{
-		Timeout:         dialLimit,
+		Timeout:         dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAlive, Interval: keepAlive, Count: 2},
 		Control:         setUserTimeout,
 	}
 	transport := &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConnsPerHost: idleConnections,
-		IdleConnTimeout:     idleLimit,
+		MaxIdleConnsPerHost: maxIdleConnections,
+		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
 	return &Client{port: port, seeds: seeds, clock: clock, log: log, http: &http.Client{Transport: transport}}
 }
 
-// Do asks the leader. If none can be found the verdict is Unavailable, or
-// Unknown if the request may have been carried out.
+// Do sends the request to the leader. If no leader can be found the verdict is Unavailable,
+// or Unknown if the request may have been carried out.
 func (c *Client) Do(ctx context.Context, r *tackwork.Request) tackwork.Answer {
 	if c.CutOff() {
-		return tackwork.Answer{Verdict: tackwork.Unavailable, RetryAfter: comeBack, Reason: "no leader within reach"}
+		return tackwork.Answer{Verdict: tackwork.Unavailable, RetryAfter: retryAfter, Reason: "no leader within reach"}
 	}
-	ctx, cancel := context.WithTimeout(ctx, sentLimit)
+	ctx, cancel := context.WithTimeout(ctx, sentTimeout)
 	defer cancel()
 	began := time.Now()
 	data, err := cbor.Marshal(r)
@@ -116,33 +116,34 @@
 	}
 	sent := false
 	reason := "no control VM is known"
-	for ctx.Err() == nil && (sent || time.Since(began) < askLimit) {
-		for _, p := range c.order() {
+	for ctx.Err() == nil && (sent || time.Since(began) < unsentTimeout) {
+		for _, p := range c.callOrder() {
 			a, err := c.call(ctx, p, data)
 			if err == nil && !a.NotLeader {
-				c.follow(p, a)
+				c.recordAnswer(p, a)
 				if !sent || a.Verdict != tackwork.Unavailable || r.Operation == tackwork.Lookup {
 					return a
 				}
-				// That this try changed nothing says nothing about an earlier one.
+				// That this attempt changed nothing does not mean that an earlier one did
+				// not.
 				reason = a.Reason
 				break
 			}
 			if err == nil {
-				c.follow(a.Leader, a)
+				c.recordAnswer(a.Leader, a)
 				reason = "no leader"
 				if a.Leader != "" && a.Leader != p {
 					break // the order has changed
 				}
 				continue
 			}
-			c.unfollow(p)
+			c.forgetLeader(p)
 			reason = err.Error()
 			var unsent *unsentError
 			if !errors.As(err, &unsent) {
 				sent = true
 			}
-			if ctx.Err() != nil || !sent && time.Since(began) >= askLimit {
+			if ctx.Err() != nil || !sent && time.Since(began) >= unsentTimeout {
 				break
 			}
 		}
@@ -152,11 +153,11 @@
 	if sent && r.Operation != tackwork.Lookup {
 		return tackwork.Answer{Verdict: tackwork.Unknown, Reason: reason}
 	}
-	return tackwork.Answer{Verdict: tackwork.Unavailable, RetryAfter: comeBack, Reason: reason}
+	return tackwork.Answer{Verdict: tackwork.Unavailable, RetryAfter: retryAfter, Reason: reason}
 }
 
 func (c *Client) pause(ctx context.Context) {
-	timer := time.NewTimer(againAfter)
+	timer := time.NewTimer(retryInterval)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -164,8 +165,8 @@
 	}
 }
 
-// order is in which order control VMs are asked: the leader first.
-func (c *Client) order() []tackid.Peer {
+// callOrder returns the control VMs in the order in which they are called, the leader first.
+func (c *Client) callOrder() []tackid.Peer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var list []tackid.Peer
@@ -184,7 +185,7 @@
 	return list
 }
 
-func (c *Client) follow(leader tackid.Peer, a tackwork.Answer) {
+func (c *Client) recordAnswer(leader tackid.Peer, a tackwork.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if leader != "" && leader != c.leader {
@@ -192,12 +193,12 @@
 		c.log.WithField("leader", leader).Info("leader found")
 	}
 	if !a.NotLeader {
-		c.heard = c.clock.Now()
+		c.lastHeard = c.clock.Now()
 		c.markReady()
 		c.setCutOff(false)
 	}
 	if !a.NotLeader && len(a.Control) > 0 {
-		c.known = nil // the leader knows all, and which are none any more
+		c.known = nil // the leader's list is complete, and without former members
 	}
 	for _, p := range a.Control {
 		if !slices.Contains(c.known, p) {
@@ -206,12 +207,12 @@
 	}
 }
 
-func (c *Client) unfollow(p tackid.Peer) {
+func (c *Client) forgetLeader(p tackid.Peer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.leader == p {
 		c.leader = ""
-		c.log.WithField("leader", p).Warn("leader lost")
+		c.log.WithField("leader", p).Warn("leader unreachable")
 	}
 }
 
@@ -221,7 +222,7 @@
 	return a, err
 }
 
-// Join asks a control VM to make self a member, and returns those it knows.
+// Join asks a control VM to add self as a member, and returns the control VMs that it knows.
 func (c *Client) Join(ctx context.Context, p, self tackid.Peer, dc tackid.DataCentre) ([]tackid.Peer, error) {
 	data, err := cbor.Marshal(join{Peer: self, DataCentre: dc})
 	if err != nil {
@@ -235,7 +236,7 @@
 }
 
 func (c *Client) post(ctx context.Context, p tackid.Peer, path string, data []byte, into any) error {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	url := "http://" + net.JoinHostPort(string(p), strconv.Itoa(c.port)) + path
 	var connected atomic.Bool
@@ -245,10 +246,9 @@
 		return &unsentError{err: err}
 	}
 	req.Header.Set("Content-Type", contentType)
-	// The transport sends a request again by itself only if nothing of it was
-	// written. It must not do so otherwise, though every request may be sent
-	// again: its error would be that of the second try and say that nothing was
-	// sent.
+	// The transport resends a request by itself only if nothing of it was written. Although
+	// every request may be sent again, the transport must not do so otherwise: it would
+	// return the error of the second attempt, which could say that nothing was sent.
 	resp, err := c.http.Do(req)
 	if err != nil && !connected.Load() {
 		return &unsentError{err: err}
--- a/io/tackforward/client_test.go
+++ b/io/tackforward/client_test.go
@@ -20,8 +20,8 @@
 	"auburntack/core/tackwork"
 )
 
-// answerOnce answers the first request on the first connection, reads a second
-// one, and goes away without a word.
+// answerOnce answers the first request on the first connection, reads a second one, and
+// closes the connection without an answer.
 func answerOnce(t *testing.T, listener net.Listener) {
 	conn, err := listener.Accept()
 	if err != nil {
@@ -59,11 +59,11 @@
 	}
 }
 
-// Symptom: callers were told that a job had not been accepted, and it ran.
-// Sequence: the request is on a kept connection to the leader, which accepts the
-// job; the path is cut and the connection reset; no new one can be made. Cause:
-// the HTTP client sent the request again by itself, and the error of that second
-// try, that nothing could be sent, was taken for the first one's as well.
+// Guards against callers that are told that their job was not accepted although it runs. The
+// request is sent on a persistent connection to the leader, which accepts the job; then the
+// connection is reset, and no new one can be made. The fault was that the HTTP client resent
+// the request by itself, and the error of that second attempt, which could not be sent, was
+// attributed to the first one.
 func TestRequestThatWasSentIsNeverRefused(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -83,20 +83,20 @@
 		t.Fatalf("first request: %v", a.Verdict)
 	}
 	if a := c.Do(context.Background(), request); a.Verdict != tackwork.Unknown {
-		t.Errorf("a request that was read and not answered is %v, want unknown", a.Verdict)
+		t.Errorf("a request that was read but not answered: %v, want unknown", a.Verdict)
 	}
 	<-gone
 }
 
-// Guards against callers who are told that their request may have run when no connection
-// was made for it: they may not send it to another VM then.
+// Guards against callers that are told that their request may have run although no connection
+// was made for it: they may then not send it to another VM.
 func TestRequestWithoutAConnectionWasNotSent(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	seeds := func() []tackid.Peer { return []tackid.Peer{controlPeer} }
 	c := NewClient(1, seeds, new(tackclock.Clock), log)
 	c.http.Transport = &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-		<-ctx.Done() // as behind a partition
+		<-ctx.Done() // as with a partition
 		return nil, ctx.Err()
 	}}
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
@@ -106,20 +106,20 @@
 	}
 }
 
-// Guards against callers who are told that their job never runs when only the second try to
-// hand it in is known not to have been carried out: the leader lost its leadership with the
-// first one's entry in its log.
+// Guards against callers that are told that their job will never run when only the second
+// attempt is known to have had no effect: the leader lost its leadership with the entry of
+// the first attempt in its log.
 func TestSecondTryDoesNotSpeakForTheFirst(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	for _, test := range []struct {
 		name    string
-		answers []tackwork.Verdict // to the tries after the first one, which has none
+		answers []tackwork.Verdict // to the attempts after the first, which gets none
 		want    tackwork.Verdict
 	}{
-		{"and the leader knows", []tackwork.Verdict{tackwork.Unavailable, tackwork.Done}, tackwork.Done},
-		{"and it cannot know", []tackwork.Verdict{tackwork.Unavailable}, tackwork.Unknown},
-		{"and it refuses", []tackwork.Verdict{tackwork.Refused}, tackwork.Refused},
+		{"the next leader knows the result", []tackwork.Verdict{tackwork.Unavailable, tackwork.Done}, tackwork.Done},
+		{"the next leader cannot know the result", []tackwork.Verdict{tackwork.Unavailable}, tackwork.Unknown},
+		{"the next leader refuses the request", []tackwork.Verdict{tackwork.Refused}, tackwork.Refused},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var n atomic.Int32
--- a/io/tackforward/server.go
+++ b/io/tackforward/server.go
@@ -1,7 +1,6 @@
-// Package tackforward carries callers' requests from the entry VMs, which hold
-// no state, to the control VM that leads. Messages are CBOR in HTTP requests on
-// kept connections; every request may be sent again, since jobs are told apart
-// by their ids.
+// Package tackforward forwards callers' requests from the entry VMs, which are stateless, to
+// the control VM that is the leader. Messages are CBOR in HTTP requests on persistent
+// connections. Every request may be sent again, since jobs are identified by their ids.
 package tackforward
 
 import (
@@ -20,30 +19,30 @@
 	requestPath = "/request"
 	joinPath    = "/join"
 	leaderPath  = "/leader"
-	// maxBytes bounds one message. A job's body is bounded by its queue's
-	// limit, far below this.
+	// maxBytes bounds one message. The body of a job is limited by its queue to far less.
 	maxBytes    = 4 << 20
 	contentType = "application/cbor"
 )
 
 type (
-	// Control is a control VM, as far as others call it.
+	// Control is a control VM as entry VMs and other control VMs call it.
 	Control interface {
 		Do(ctx context.Context, r *tackwork.Request) tackwork.Answer
-		// Lead is Done from the VM that leads, and names the leader elsewhere.
+		// Lead returns Done on the leader; other VMs name the leader.
 		Lead() tackwork.Answer
 		Join(p tackid.Peer, dc tackid.DataCentre)
 		Peers() []tackid.Peer
 		Leader() tackid.Peer
 	}
 
-	// join asks to become a member of the control VMs.
+	// join is a request to become a member of the control VMs.
 	join struct {
 		Peer       tackid.Peer       `cbor:"1,keyasint"`
 		DataCentre tackid.DataCentre `cbor:"2,keyasint"`
 	}
 
-	// joined names the control VMs that the answering one knows.
+	// joined is the answer to join. Control contains the control VMs that the answering one
+	// knows.
 	joined struct {
 		Leader  tackid.Peer   `cbor:"1,keyasint,omitempty"`
 		Control []tackid.Peer `cbor:"2,keyasint"`
@@ -55,8 +54,8 @@
 	}
 )
 
-// NewHandler returns the handler of calls from entry VMs and from control VMs
-// that want to be members.
+// NewHandler returns the handler for calls from entry VMs, and from control VMs that want to
+// become members.
 func NewHandler(control Control, log logrus.FieldLogger) http.Handler {
 	h := &handler{control: control, log: log}
 	mux := http.NewServeMux()
@@ -93,7 +92,7 @@
 		err = cbor.Unmarshal(data, into)
 	}
 	if err != nil {
-		h.log.WithError(err).WithField("remote", r.RemoteAddr).Warn("call that cannot be read")
+		h.log.WithError(err).WithField("remote", r.RemoteAddr).Warn("request cannot be decoded")
 		w.WriteHeader(http.StatusBadRequest)
 		return false
 	}
@@ -103,7 +102,7 @@
 func (h *handler) write(w http.ResponseWriter, answer any) {
 	data, err := cbor.Marshal(answer)
 	if err != nil {
-		h.log.WithError(err).Error("answer cannot be encoded")
+		h.log.WithError(err).Error("encoding the answer failed")
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
--- a/io/tackforward/watch.go
+++ b/io/tackforward/watch.go
@@ -13,54 +13,53 @@
 )
 
 const (
-	// watchEvery spaces out the looks for a leader, quietAfter is after which
-	// time without an answer of one a look is made. Traffic makes most needless.
-	watchEvery = 200 * time.Millisecond
-	quietAfter = 400 * tackclock.Millisecond
-	// lookAtOnce bounds how many control VMs one look asks while the leader is not
-	// known. Each that is within reach names it.
-	lookAtOnce = 5
-	// lookHedge is how long the leader may take to answer a look before others are asked
-	// as well. One that lost its power answers nothing.
-	lookHedge = 100 * time.Millisecond
-	// cutOffAfter is after which time without a leader a VM is cut off. An
-	// election takes one to two seconds, and callers are better off waiting for
-	// its end than being sent away.
+	// watchInterval is the interval between two checks for whether the leader must be probed,
+	// which is when no leader has answered for probeAfter. With traffic most probes are
+	// unnecessary.
+	watchInterval = 200 * time.Millisecond
+	probeAfter    = 400 * tackclock.Millisecond
+	// maxProbes bounds the number of control VMs that one probe calls while the leader is not
+	// known. Each one that is reachable names it.
+	maxProbes = 5
+	// hedgeDelay is how long the leader may take to answer a probe before others are called
+	// as well. A leader that lost power does not answer at all.
+	hedgeDelay = 100 * time.Millisecond
+	// cutOffAfter is how long a VM must be without a leader to be cut off. An election takes
+	// one to two seconds, and waiting for its end is better for callers than a refusal.
 	cutOffAfter = 2 * tackclock.Second
-	// lookLimit bounds one question of a look.
-	lookLimit = 400 * time.Millisecond
-	// minorityMeans is how many looks in a row must find most control VMs out of reach
-	// for a VM to be cut off: no election among those within reach brings a leader.
-	minorityMeans = 2
+	// probeTimeout bounds one call of a probe.
+	probeTimeout = 400 * time.Millisecond
+	// maxMinorityProbes is the number of consecutive probes with most control VMs unreachable
+	// after which a VM is cut off: the reachable ones cannot elect a leader.
+	maxMinorityProbes = 2
 )
 
-// CutOff reports that no control VM that leads has been within reach for a
-// while, though they were asked for one, or that none leads and most control VMs
-// are out of reach. Requests are then refused at once: a
-// caller that waits here loses the time in which another VM could serve it.
-// Readiness follows it, so that the balancer sends new connections elsewhere.
+// CutOff reports that no leader has been reachable for a while although control VMs were
+// asked for it, or that there is no leader and most control VMs are unreachable. Requests are
+// then refused at once: a caller that waits here loses time in which another VM could serve
+// it. Readiness depends on it, so that the load balancer sends new connections elsewhere.
 func (c *Client) CutOff() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.cutOff
 }
 
-// Ready reports whether new connections may come here. A VM that has started must have
-// reached half of the control VMs first: one that starts behind a partition would draw
-// its data centre's callers to VMs of which none serves.
+// Ready reports whether this VM may receive new connections. After its start a VM must first
+// have reached half of the control VMs: one that starts behind a partition would attract the
+// callers of its data centre to VMs that cannot serve them.
 func (c *Client) Ready() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.ready && !c.cutOff
 }
 
-// Watch looks for the leader while no request does, until ctx ends.
+// Watch probes for the leader while there are no requests, until ctx ends.
 func (c *Client) Watch(ctx context.Context) error {
 	c.mu.Lock()
-	c.heard = c.clock.Now()
+	c.lastHeard = c.clock.Now()
 	c.mu.Unlock()
-	c.look(ctx, 0)
-	ticker := time.NewTicker(watchEvery)
+	c.probe(ctx, 0)
+	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -68,85 +67,88 @@
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		if quiet := c.quiet(); quiet > quietAfter {
-			c.look(ctx, quiet)
+		if silence := c.sinceHeard(); silence > probeAfter {
+			c.probe(ctx, silence)
 		}
 	}
 }
 
-// quiet is how long no leader has answered.
-func (c *Client) quiet() tackclock.Duration {
+// sinceHeard returns the time since a leader answered last.
+func (c *Client) sinceHeard() tackclock.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.clock.Now().Sub(c.heard)
+	return c.clock.Now().Sub(c.lastHeard)
 }
 
-// look asks the leader whether it leads, and others who does if none answers or none is
-// known. quiet is how long none had answered before. A VM that was frozen meanwhile must
-// look again before it takes itself for cut off.
-func (c *Client) look(ctx context.Context, quiet tackclock.Duration) {
-	most := true
-	if !c.lookAtLeader(ctx) {
-		most = c.lookAtSome(ctx)
+// probe asks the leader whether it still is, and other control VMs which one is if it does
+// not answer or is not known. silence is the time without an answer before the probe. A VM
+// whose process was paused during the probe must probe again before it counts as cut off.
+func (c *Client) probe(ctx context.Context, silence tackclock.Duration) {
+	majority := true
+	if !c.probeLeader(ctx) {
+		majority = c.probeSome(ctx)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if most {
+	if majority {
 		c.minority = 0
 		c.markReady()
 	} else {
 		c.minority++
 	}
-	silent := c.clock.Now().Sub(c.heard) >= quiet // also after the look
-	if silent && (quiet > cutOffAfter || c.minority >= minorityMeans) {
+	silent := c.clock.Now().Sub(c.lastHeard) >= silence // no answer during the probe either
+	if silent && (silence > cutOffAfter || c.minority >= maxMinorityProbes) {
 		c.setCutOff(true)
 	}
 }
 
-// Leader is the control VM that is taken for the leader; empty if none is.
+// Leader returns the control VM that this client considers the leader; empty if there is
+// none.
 func (c *Client) Leader() tackid.Peer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.leader
 }
 
-// lookAtLeader reports whether the leader, if one is known, soon says that it leads.
-func (c *Client) lookAtLeader(ctx context.Context) bool {
+// probeLeader reports whether the leader, if one is known, confirms within hedgeDelay that it
+// is the leader.
+func (c *Client) probeLeader(ctx context.Context) bool {
 	leader := c.Leader()
 	if leader == "" {
 		return false
 	}
 	leads := make(chan bool, 1)
 	go func() {
-		_, yes := c.lookAt(ctx, leader)
+		_, yes := c.probePeer(ctx, leader)
 		leads <- yes
 	}()
 	select {
 	case yes := <-leads:
 		return yes
-	case <-time.After(lookHedge):
+	case <-time.After(hedgeDelay):
 		return false
 	}
 }
 
-// lookAtSome asks some control VMs at the same time who leads, and reports whether half of
-// them have answered; false if none is known. Those that are cut off answer nothing for as
-// long as a call may take, so one after the other would find a leader seconds late.
+// probeSome asks several control VMs concurrently which one is the leader, and reports
+// whether at least half of them answered; false if none is known. A partitioned VM does not
+// answer before the call times out, so calling them one after the other would find a leader
+// seconds late.
 //
-// Load pattern: the leader is lost, and hundreds of entry VMs look for the next one in the
-// same instant. Were each to ask all control VMs, the calls would grow with the product of
-// both.
-func (c *Client) lookAtSome(ctx context.Context) bool {
-	peers := c.order()
+// Load pattern: the leader is lost, and hundreds of entry VMs search for the next one at the
+// same time. If each called all control VMs, the number of calls would grow with the product
+// of both.
+func (c *Client) probeSome(ctx context.Context) bool {
+	peers := c.callOrder()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	if !c.inMinority() { // a sample of many may miss the majority, all of them do not
-		peers = peers[:min(len(peers), lookAtOnce)]
+	if !c.inMinority() { // a sample may miss the majority, so after a failure all are called
+		peers = peers[:min(len(peers), maxProbes)]
 	}
 	var group sync.WaitGroup
 	var reached atomic.Int32
 	for _, p := range peers {
 		group.Go(func() {
-			if answered, _ := c.lookAt(ctx, p); answered {
+			if answered, _ := c.probePeer(ctx, p); answered {
 				reached.Add(1)
 			}
 		})
@@ -155,16 +157,17 @@
 	return len(peers) > 0 && 2*int(reached.Load()) >= len(peers)
 }
 
-// inMinority reports that the last look found most control VMs out of reach.
+// inMinority reports that most control VMs were unreachable in the last probe.
 func (c *Client) inMinority() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.minority > 0
 }
 
-// lookAt asks a control VM who leads, and reports whether it has answered, and leads itself.
-func (c *Client) lookAt(ctx context.Context, p tackid.Peer) (answered, leads bool) {
-	ctx, cancel := context.WithTimeout(ctx, lookLimit)
+// probePeer asks a control VM which one is the leader. It reports whether the VM answered and
+// whether it is the leader itself.
+func (c *Client) probePeer(ctx context.Context, p tackid.Peer) (answered, leads bool) {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var a tackwork.Answer
 	if err := c.post(ctx, p, leaderPath, nil, &a); err != nil {
@@ -174,11 +177,11 @@
 	if a.NotLeader {
 		p = a.Leader
 	}
-	c.follow(p, a)
+	c.recordAnswer(p, a)
 	return true, !a.NotLeader
 }
 
-// markReady notes that the VM is ready for the first time. The caller holds mu.
+// markReady records that the VM has become ready. The caller holds mu.
 func (c *Client) markReady() {
 	if !c.ready {
 		c.ready = true
@@ -186,7 +189,7 @@
 	}
 }
 
-// setCutOff notes a change. The caller holds mu.
+// setCutOff sets cutOff and logs a change. The caller holds mu.
 func (c *Client) setCutOff(cutOff bool) {
 	if c.cutOff == cutOff {
 		return
@@ -194,8 +197,8 @@
 	c.cutOff = cutOff
 	line := c.log.WithField("known", len(c.known))
 	if cutOff {
-		line.WithField("silent_ms", int64(c.clock.Now().Sub(c.heard))).Warn("cut off from the leader")
+		line.WithField("silent_ms", int64(c.clock.Now().Sub(c.lastHeard))).Warn("cut off from the leader")
 		return
 	}
-	line.Info("leader within reach again")
+	line.Info("leader reachable again")
 }
--- a/io/tackforward/watch_test.go
+++ b/io/tackforward/watch_test.go
@@ -14,7 +14,7 @@
 	"auburntack/core/tackwork"
 )
 
-// fakeControl is a control VM that leads or not.
+// fakeControl is a control VM that is the leader or not.
 type fakeControl struct {
 	leads  bool
 	asked  int
@@ -39,8 +39,8 @@
 
 const controlPeer = "127.0.0.1"
 
-// newWatched returns a client of one control VM, by a clock that the test moves.
-func newWatched(t *testing.T, control *fakeControl) (*Client, *tackclock.Clock) {
+// newWatchedClient returns a client of one control VM and the clock that it uses.
+func newWatchedClient(t *testing.T, control *fakeControl) (*Client, *tackclock.Clock) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -55,7 +55,7 @@
 	clock.Set(1)
 	seeds := func() []tackid.Peer { return []tackid.Peer{controlPeer} }
 	c := NewClient(listener.Addr().(*net.TCPAddr).Port, seeds, clock, log)
-	c.heard = clock.Now()
+	c.lastHeard = clock.Now()
 	return c, clock
 }
 
@@ -66,8 +66,8 @@
 	}
 }
 
-// Guards against callers who are drawn to a data centre that is cut off by the one VM
-// there that has just started and knows nothing of the cut.
+// Guards against a VM that has just started in a partitioned data centre and attracts its
+// callers there, because it does not know of the partition yet.
 func TestReady(t *testing.T) {
 	assertReady := func(t *testing.T, c *Client, want bool) {
 		t.Helper()
@@ -76,107 +76,107 @@
 		}
 	}
 	ctx := context.Background()
-	t.Run("not before anything was reached", func(t *testing.T) {
-		c, _ := newWatched(t, &fakeControl{leads: true})
+	t.Run("not before a control VM was reached", func(t *testing.T) {
+		c, _ := newWatchedClient(t, &fakeControl{leads: true})
 		assertReady(t, c, false)
-		c.look(ctx, 0)
+		c.probe(ctx, 0)
 		assertReady(t, c, true)
 	})
-	t.Run("also while none leads", func(t *testing.T) {
-		c, _ := newWatched(t, &fakeControl{})
-		c.look(ctx, 0)
+	t.Run("also while there is no leader", func(t *testing.T) {
+		c, _ := newWatchedClient(t, &fakeControl{})
+		c.probe(ctx, 0)
 		assertReady(t, c, true)
 	})
 	t.Run("not with a minority", func(t *testing.T) {
-		c, _ := newWatched(t, &fakeControl{})
+		c, _ := newWatchedClient(t, &fakeControl{})
 		c.known = []tackid.Peer{"127.0.0.2", "127.0.0.3"} // nobody listens there
-		c.look(ctx, 0)
+		c.probe(ctx, 0)
 		assertReady(t, c, false)
 	})
 	t.Run("not without control VMs", func(t *testing.T) {
-		c, _ := newWatched(t, &fakeControl{})
+		c, _ := newWatchedClient(t, &fakeControl{})
 		c.seeds = func() []tackid.Peer { return nil }
-		c.look(ctx, 0)
+		c.probe(ctx, 0)
 		assertReady(t, c, false)
 	})
-	t.Run("no more once it is cut off", func(t *testing.T) {
+	t.Run("no longer once it is cut off", func(t *testing.T) {
 		control := &fakeControl{}
-		c, clock := newWatched(t, control)
-		c.look(ctx, 0)
+		c, clock := newWatchedClient(t, control)
+		c.probe(ctx, 0)
 		clock.Advance(2 * cutOffAfter)
-		c.look(ctx, c.quiet())
+		c.probe(ctx, c.sinceHeard())
 		assertReady(t, c, false)
 	})
 }
 
-// Symptom: callers of a data centre that was cut off were told after 0.85 s to
-// come back, and came back to the same VM, while VMs elsewhere served. Sequence:
-// the path from the entry VM to the leader is cut; its readiness stays good.
-// Cause: an entry VM did not know that it reaches no leader.
+// Guards against callers in a partitioned data centre that were told after 0.85 s to retry,
+// and reached the same VM again, while VMs elsewhere could serve them. The path from the
+// entry VM to the leader was cut. The fault was that an entry VM did not notice that it
+// reached no leader, and remained ready.
 func TestCutOff(t *testing.T) {
 	ctx := context.Background()
-	look := func(c *Client, clock *tackclock.Clock) {
-		clock.Advance(quietAfter)
-		c.look(ctx, c.quiet())
+	probe := func(c *Client, clock *tackclock.Clock) {
+		clock.Advance(probeAfter)
+		c.probe(ctx, c.sinceHeard())
 	}
-	t.Run("a VM that hears a leader is not", func(t *testing.T) {
-		c, clock := newWatched(t, &fakeControl{leads: true})
+	t.Run("a VM that reaches a leader is not cut off", func(t *testing.T) {
+		c, clock := newWatchedClient(t, &fakeControl{leads: true})
 		clock.Advance(10 * cutOffAfter)
-		look(c, clock)
+		probe(c, clock)
 		assertCutOff(t, c, false)
 	})
-	t.Run("an election is waited for", func(t *testing.T) {
-		c, clock := newWatched(t, &fakeControl{})
+	t.Run("a VM waits for the end of an election", func(t *testing.T) {
+		c, clock := newWatchedClient(t, &fakeControl{})
 		clock.Advance(cutOffAfter / 2)
-		look(c, clock)
+		probe(c, clock)
 		assertCutOff(t, c, false)
 	})
-	t.Run("a VM without a leader for long is, and refuses without a call", func(t *testing.T) {
+	t.Run("a VM without a leader for long is cut off and refuses without a call", func(t *testing.T) {
 		control := &fakeControl{}
-		c, clock := newWatched(t, control)
+		c, clock := newWatchedClient(t, control)
 		clock.Advance(2 * cutOffAfter)
-		look(c, clock)
+		probe(c, clock)
 		assertCutOff(t, c, true)
 		a := c.Do(ctx, &tackwork.Request{Operation: tackwork.Submit})
 		if a.Verdict != tackwork.Unavailable || a.RetryAfter == 0 || control.asked != 0 {
-			t.Errorf("answer %+v after %d calls, want an immediate refusal with a time to come back", a, control.asked)
+			t.Errorf("answer %+v after %d calls, want an immediate refusal with a retry delay", a, control.asked)
 		}
 	})
-	t.Run("the leader's return ends it", func(t *testing.T) {
+	t.Run("the return of the leader ends it", func(t *testing.T) {
 		control := &fakeControl{}
-		c, clock := newWatched(t, control)
+		c, clock := newWatchedClient(t, control)
 		clock.Advance(2 * cutOffAfter)
-		look(c, clock)
+		probe(c, clock)
 		control.leads = true
-		look(c, clock)
+		probe(c, clock)
 		assertCutOff(t, c, false)
 	})
-	// Guards against callers who are kept for seconds by a VM that is cut off: no election
-	// among the control VMs within its reach brings a leader.
+	// Guards against a partitioned VM that keeps callers waiting for seconds: the control VMs
+	// that it reaches cannot elect a leader.
 	t.Run("a VM that reaches a minority is cut off soon", func(t *testing.T) {
-		c, clock := newWatched(t, &fakeControl{})
+		c, clock := newWatchedClient(t, &fakeControl{})
 		c.known = []tackid.Peer{"127.0.0.2", "127.0.0.3"} // nobody listens there
-		look(c, clock)
+		probe(c, clock)
 		assertCutOff(t, c, false)
-		look(c, clock)
+		probe(c, clock)
 		assertCutOff(t, c, true)
 	})
-	t.Run("one that reaches half waits for the election", func(t *testing.T) {
-		c, clock := newWatched(t, &fakeControl{})
+	t.Run("a VM that reaches half waits for the election", func(t *testing.T) {
+		c, clock := newWatchedClient(t, &fakeControl{})
 		c.known = []tackid.Peer{"127.0.0.2"}
 		for range 3 {
-			look(c, clock)
+			probe(c, clock)
 		}
 		assertCutOff(t, c, false)
 	})
-	// Symptom: a VM that woke from a freeze refused requests though the leader
-	// was within reach. Sequence: a look is under way, the VM freezes for
-	// seconds, the look fails. Cause: the frozen time counted as silence.
-	t.Run("time for which the VM was frozen in a look does not count", func(t *testing.T) {
-		c, clock := newWatched(t, &fakeControl{})
-		quiet := c.quiet()
+	// Guards against a VM that refuses requests after its process was paused although the
+	// leader is reachable. The process is paused for seconds during a probe, and the probe
+	// fails. The fault was that the time of the pause counted as silence.
+	t.Run("time for which the process was paused during a probe does not count", func(t *testing.T) {
+		c, clock := newWatchedClient(t, &fakeControl{})
+		silence := c.sinceHeard()
 		clock.Advance(3 * cutOffAfter)
-		c.look(ctx, quiet)
+		c.probe(ctx, silence)
 		assertCutOff(t, c, false)
 	})
 }
