--- a/io/tackplatform/client.go
+++ b/io/tackplatform/client.go
@@ -1,8 +1,8 @@
-// Package tackplatform asks the platform to maintain VMs and to run tasks on
-// workers, over its HTTP contract.
+// Package tackplatform implements a client of the platform's HTTP API, which maintains VMs and
+// runs tasks on workers.
 //
-// The platform may answer late, fail, or lose an answer. Every call ends in
-// bounded time, and only those that are idempotent are tried again.
+// The platform may answer late, fail, or lose an answer. Every call ends in bounded time, and
+// only idempotent calls are retried.
 package tackplatform
 
 import (
@@ -20,48 +20,48 @@
 )
 
 const (
-	// DefaultTryTimeout bounds one try of a call.
+	// DefaultTryTimeout bounds one attempt of a call.
 	DefaultTryTimeout = 2 * tackclock.Second
-	// DefaultTimeout bounds a call with all its tries.
+	// DefaultTimeout bounds a call with all its attempts.
 	DefaultTimeout = 8 * tackclock.Second
-	// DefaultTries is how often an idempotent call is tried.
+	// DefaultTries is the maximum number of attempts of an idempotent call.
 	DefaultTries = 3
-	// DefaultBackoff is the wait before the second try; it doubles for each
-	// further one.
+	// DefaultBackoff is the delay before the second attempt; it doubles with each further
+	// one.
 	DefaultBackoff = 200 * tackclock.Millisecond
 )
 
 const (
-	// StateServing is the state of a VM that runs.
+	// StateServing is the state of a running VM.
 	StateServing VMState = "serving"
-	// StateStopped is the state of a VM that is switched off.
+	// StateStopped is the state of a VM that is powered off.
 	StateStopped VMState = "stopped"
-	// StateRebooting is the state of a VM under a reboot or an upgrade.
+	// StateRebooting is the state of a VM during a reboot or an upgrade.
 	StateRebooting VMState = "rebooting"
-	// StateFailed is the state of a VM that did not come back.
+	// StateFailed is the state of a VM that did not come back after an operation.
 	StateFailed VMState = "failed"
 )
 
 type (
-	// VMState is what the platform says a VM does.
+	// VMState is the state of a VM as the platform reports it.
 	VMState string
 
-	// VMStatus is the platform's answer for one VM. Operation is the last
-	// that it took up for the VM.
+	// VMStatus is the platform's status of one VM. Operation is the last one that the
+	// platform accepted for the VM.
 	VMStatus struct {
 		VM        tackid.VM        `json:"vm"`
 		State     VMState          `json:"state"`
 		Operation tackid.Operation `json:"operation"`
 	}
 
-	// Client asks one platform. Only Address is required; the zero value of
-	// the rest takes the defaults. It may be used from several goroutines.
+	// Client is a client of one platform. Only Address is required; other fields that are
+	// zero take their default values. It is safe for concurrent use.
 	Client struct {
-		// Address is the platform's IP number and port.
+		// Address is the IP address and port of the platform.
 		Address string
-		// HTTP sends the requests; nil uses a client of its own.
+		// HTTP sends the requests; if nil, a shared default client is used.
 		HTTP *http.Client
-		// TryTimeout bounds one try, Timeout a call with all its tries.
+		// TryTimeout bounds one attempt, Timeout a call with all its attempts.
 		TryTimeout tackclock.Duration
 		Timeout    tackclock.Duration
 		Tries      int
@@ -72,8 +72,8 @@
 		Operation tackid.Operation `json:"operation"`
 	}
 
-	// call is one request, and whether it may be sent again after an answer
-	// that was lost.
+	// call is a call to the platform. An idempotent call may be sent again if its answer was
+	// lost.
 	call struct {
 		name       string
 		method     string
@@ -84,10 +84,10 @@
 	}
 )
 
-// Start asks for action on vm under the operation's id. It is idempotent:
-// asked again with the same id, the platform goes on with the operation it
-// has. The error is an *UnavailableError, after which the operation may run or
-// not, or a *RefusedError, after which it does not.
+// Start starts action on vm under the operation's id. It is idempotent: if it is called again
+// with the same id, the platform continues the operation it has. The error is an
+// *UnavailableError, after which the operation may or may not run, or a *RefusedError, after
+// which it does not.
 func (c *Client) Start(ctx context.Context, vm tackid.VM, action tackfleet.Action, op tackid.Operation) error {
 	return c.do(ctx, call{
 		name:       "start " + string(action),
@@ -98,7 +98,7 @@
 	})
 }
 
-// State returns what the platform says of vm. Errors are those of Start.
+// State returns the platform's status of vm. Errors are those of Start.
 func (c *Client) State(ctx context.Context, vm tackid.VM) (VMStatus, error) {
 	var status VMStatus
 	err := c.do(ctx, call{
@@ -117,13 +117,13 @@
 	return status, nil
 }
 
-// do sends the call, again where that is safe, until one try succeeds or the
-// time or the number of tries is used up.
+// do sends the call, and retries it where that is safe, until an attempt succeeds or the time
+// or the number of attempts is used up.
 func (c *Client) do(ctx context.Context, k call) error {
-	ctx, cancel := context.WithTimeout(ctx, defaulted(c.Timeout, DefaultTimeout).Std())
+	ctx, cancel := context.WithTimeout(ctx, orDefault(c.Timeout, DefaultTimeout).Std())
 	defer cancel()
-	tries := defaulted(c.Tries, DefaultTries)
-	backoff := defaulted(c.Backoff, DefaultBackoff)
+	tries := orDefault(c.Tries, DefaultTries)
+	backoff := orDefault(c.Backoff, DefaultBackoff)
 	for n := 1; ; n++ {
 		err := c.try(ctx, k)
 		if err == nil || n == tries || !repeatable(k, err) {
@@ -136,8 +136,8 @@
 	}
 }
 
-// pause waits for d, less by up to a half, and reports whether ctx still
-// lasts.
+// pause waits for d, reduced by a random amount of up to a half, and reports whether ctx has
+// not ended.
 func pause(ctx context.Context, d tackclock.Duration) bool {
 	wait := d.Std()/2 + time.Duration(rand.Int64N(int64(d.Std()/2)+1))
 	timer := time.NewTimer(wait)
@@ -150,8 +150,8 @@
 	}
 }
 
-// url returns the address that the call goes to. A name with a slash in it is
-// escaped; one that a server would take for a way up is refused.
+// url returns the URL of the call. A slash in a name is escaped; a name that a server would
+// take for a step up the path is rejected.
 func (c *Client) url(k call) (string, error) {
 	var b strings.Builder
 	b.WriteString("http://" + c.Address)
@@ -164,7 +164,7 @@
 	return b.String(), nil
 }
 
-func defaulted[T comparable](value, fallback T) T {
+func orDefault[T comparable](value, fallback T) T {
 	var zero T
 	if value == zero {
 		return fallback
--- a/io/tackplatform/client_test.go
+++ b/io/tackplatform/client_test.go
@@ -18,9 +18,9 @@
 	"auburntack/core/tackid"
 )
 
-// platform is a stand-in that carries out what it is asked and then spoils
-// the answers as faults say, one for each request.
-type platform struct {
+// fakePlatform is a fake platform that carries out requests and then corrupts the answers
+// according to faults, one entry for each request.
+type fakePlatform struct {
 	mu         sync.Mutex
 	faults     []string
 	requests   []string
@@ -29,7 +29,7 @@
 	release    chan struct{}
 }
 
-func (p *platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *fakePlatform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		Operation tackid.Operation `json:"operation"`
 		Task      tackid.Task      `json:"task"`
@@ -49,25 +49,25 @@
 	p.answer(w, r, fault)
 }
 
-func (p *platform) startedTimes(task tackid.Task) int {
+func (p *fakePlatform) startCount(task tackid.Task) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.started[task]
 }
 
-func (p *platform) seen() []string {
+func (p *fakePlatform) requestList() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.requests)
 }
 
-func (p *platform) operationsBegun() int {
+func (p *fakePlatform) operationCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.operations)
 }
 
-func (p *platform) answer(w http.ResponseWriter, r *http.Request, fault string) {
+func (p *fakePlatform) answer(w http.ResponseWriter, r *http.Request, fault string) {
 	switch fault {
 	case "refuse":
 		http.Error(w, "no such VM", http.StatusNotFound)
@@ -80,11 +80,11 @@
 	case "wrong":
 		_, _ = w.Write([]byte(`{"vm":"w-2","state":"serving"}`))
 	default:
-		p.good(w, r)
+		p.answerOK(w, r)
 	}
 }
 
-func (p *platform) good(w http.ResponseWriter, r *http.Request) {
+func (p *fakePlatform) answerOK(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.Method == http.MethodPost:
 		w.WriteHeader(http.StatusAccepted)
@@ -95,8 +95,8 @@
 	}
 }
 
-func start(t *testing.T, faults ...string) (*platform, *Client) {
-	p := &platform{
+func start(t *testing.T, faults ...string) (*fakePlatform, *Client) {
+	p := &fakePlatform{
 		faults: faults, release: make(chan struct{}),
 		operations: map[tackid.Operation]int{}, started: map[tackid.Task]int{},
 	}
@@ -118,38 +118,36 @@
 	So(errors.As(err, &unavailable), ShouldBeTrue)
 }
 
-// Symptom: a VM is rebooted twice in one wave, or never.
-// Sequence: the platform takes the operation up; its answer is lost, fails or
-// comes late; the leader asks again.
-// Cause: a repeat under another operation id is another reboot, and no repeat
-// leaves the wave waiting for an operation that never began.
+// Guards against a VM that is rebooted twice in one wave, or never: the platform accepts the
+// operation, its answer is lost, fails or is late, and the leader retries. A retry with
+// another operation id is another reboot, and without a retry the wave waits for an operation
+// that was never started.
 func TestStartIsRepeatedUnderTheSameOperation(t *testing.T) {
 	for _, fault := range []string{"fail", "lose", "late"} {
 		t.Run(fault, func(t *testing.T) {
-			Convey("The second try goes through", t, func() {
+			Convey("The second attempt succeeds", t, func() {
 				p, c := start(t, fault)
 				So(c.Start(context.Background(), "w-1", tackfleet.ActionReboot, "op-1"), ShouldBeNil)
-				So(p.seen(), ShouldResemble, []string{"POST /vms/w-1/reboot", "POST /vms/w-1/reboot"})
-				So(p.operationsBegun(), ShouldEqual, 1)
+				So(p.requestList(), ShouldResemble, []string{"POST /vms/w-1/reboot", "POST /vms/w-1/reboot"})
+				So(p.operationCount(), ShouldEqual, 1)
 			})
 		})
 	}
-	Convey("It ends after a bounded number of tries", t, func() {
+	Convey("It ends after a bounded number of attempts", t, func() {
 		p, c := start(t, "fail", "fail", "fail", "fail")
 		assertUnavailable(c.Start(context.Background(), "w-1", tackfleet.ActionReboot, "op-1"))
-		So(len(p.seen()), ShouldEqual, DefaultTries)
+		So(len(p.requestList()), ShouldEqual, DefaultTries)
 	})
 }
 
-// Symptom: a task runs twice on one worker.
-// Sequence: the worker starts it, the answer is lost, the order is sent again.
-// Cause: the contract makes no repeat of this call safe.
+// Guards against a task that runs twice on one worker: the worker starts it, the answer is
+// lost, and the order is sent again. The API does not define this call as idempotent.
 func TestStartTaskIsSentOnce(t *testing.T) {
-	Convey("A lost answer is reported and not made up for", t, func() {
+	Convey("A lost answer is reported and the call not retried", t, func() {
 		p, c := start(t, "lose")
 		err := c.StartTask(context.Background(), "w-1", TaskOrder{Task: "t-1", Lease: 5000, Token: 1})
 		assertUnavailable(err)
-		So(p.startedTimes("t-1"), ShouldEqual, 1)
+		So(p.startCount("t-1"), ShouldEqual, 1)
 	})
 }
 
@@ -160,13 +158,13 @@
 		var refused *RefusedError
 		So(errors.As(err, &refused), ShouldBeTrue)
 		So(refused.Status, ShouldEqual, http.StatusNotFound)
-		So(p.seen(), ShouldResemble, []string{"POST /vms/..%2Fx%2Fy/upgrade"})
+		So(p.requestList(), ShouldResemble, []string{"POST /vms/..%2Fx%2Fy/upgrade"})
 	})
 	Convey("A name that would lead to another path is not sent", t, func() {
 		p, c := start(t)
 		var name *NameError
 		So(errors.As(c.Start(context.Background(), "..", tackfleet.ActionReboot, "op-3"), &name), ShouldBeTrue)
-		So(p.seen(), ShouldBeEmpty)
+		So(p.requestList(), ShouldBeEmpty)
 	})
 	Convey("The state of a VM, and never that of another", t, func() {
 		_, c := start(t, "", "wrong")
@@ -183,7 +181,7 @@
 		So(err, ShouldBeNil)
 		So(tasks, ShouldResemble, []TaskUsage{{Task: "t-1", Token: 4, Cores: 1.5}})
 	})
-	Convey("A platform that is not there was never asked", t, func() {
+	Convey("A call to a platform that does not listen was never sent", t, func() {
 		c := &Client{Address: "127.0.0.1:1", Backoff: 1}
 		var unavailable *UnavailableError
 		So(errors.As(c.StartTask(context.Background(), "w-1", TaskOrder{}), &unavailable), ShouldBeTrue)
--- a/io/tackplatform/task.go
+++ b/io/tackplatform/task.go
@@ -11,8 +11,8 @@
 )
 
 type (
-	// TaskOrder asks a worker to run a task under a lease. A worker refuses a
-	// token that is lower than one it has seen for the task.
+	// TaskOrder orders a worker to run a task under a lease. A worker rejects a token that is
+	// lower than one it has seen for the task.
 	TaskOrder struct {
 		Task     tackid.Task        `json:"task"`
 		Lease    tackclock.Duration `json:"lease_ms"`
@@ -21,7 +21,7 @@
 		MemoryMB int                `json:"memory_mb"`
 	}
 
-	// TaskUsage is what the platform last measured of a task; it lags.
+	// TaskUsage is the last usage of a task that the platform measured. It lags behind.
 	TaskUsage struct {
 		Task     tackid.Task        `json:"task"`
 		Token    tackid.Token       `json:"token"`
@@ -31,20 +31,20 @@
 		LagMS    tackclock.Duration `json:"lag_ms"`
 	}
 
-	// verbBody goes with what is asked of a running task.
+	// verbBody is the body of a call for a running task.
 	verbBody struct {
 		Token tackid.Token       `json:"token"`
 		Lease tackclock.Duration `json:"lease_ms,omitempty"`
 		Cores int                `json:"cores,omitempty"`
 	}
 
-	// taskList takes both a JSON array and an object with one under "tasks".
+	// taskList decodes both a JSON array and an object with an array under "tasks".
 	taskList []TaskUsage
 )
 
-// StartTask asks worker to run a task. It is sent once, unless it never left,
-// since the contract does not say that a repeat is harmless; after an
-// *UnavailableError look at Tasks. Errors are those of Start.
+// StartTask orders worker to run a task. It is not retried once it was sent, since the API
+// does not define it as idempotent; after an *UnavailableError check Tasks. Errors are those
+// of Start.
 func (c *Client) StartTask(ctx context.Context, worker tackid.VM, order TaskOrder) error {
 	return c.do(ctx, call{
 		name:   "start task",
@@ -59,13 +59,12 @@
 	return c.verb(ctx, worker, task, "renew", verbBody{Token: token, Lease: lease}, true)
 }
 
-// Checkpoint asks a task to save its work. It is sent once.
+// Checkpoint makes a task save its work. It is sent once.
 func (c *Client) Checkpoint(ctx context.Context, worker tackid.VM, task tackid.Task, token tackid.Token) error {
 	return c.verb(ctx, worker, task, "checkpoint", verbBody{Token: token}, false)
 }
 
-// Throttle bounds a task to cores, zero for the worker's choice. It is sent
-// once.
+// Throttle limits a task to cores; zero leaves the number to the worker. It is sent once.
 func (c *Client) Throttle(ctx context.Context, worker tackid.VM, task tackid.Task, token tackid.Token, cores int) error {
 	return c.verb(ctx, worker, task, "throttle", verbBody{Token: token, Cores: cores}, false)
 }
@@ -75,7 +74,7 @@
 	return c.verb(ctx, worker, task, "stop", verbBody{Token: token}, true)
 }
 
-// Tasks returns the tasks of worker with their usage, which lags.
+// Tasks returns the tasks of worker with their usage, which lags behind.
 func (c *Client) Tasks(ctx context.Context, worker tackid.VM) ([]TaskUsage, error) {
 	var list taskList
 	err := c.do(ctx, call{
--- a/io/tackplatform/try.go
+++ b/io/tackplatform/try.go
@@ -15,16 +15,15 @@
 )
 
 const (
-	// maxAnswerBytes bounds an answer, the usage of a worker's tasks among
-	// them.
+	// maxAnswerBytes bounds an answer, including the list of a worker's tasks.
 	maxAnswerBytes = 1 << 20
-	// maxReasonBytes bounds what is kept of a refusal's text.
+	// maxReasonBytes bounds the part of a refusal's text that is kept.
 	maxReasonBytes = 300
 )
 
-// own is the client of those Clients that have none. It follows no redirect
-// and no proxy: the platform is at the address that the settings name.
-var own = &http.Client{
+// defaultHTTP is used by a Client without an HTTP client. It uses no proxy and follows no
+// redirect: the platform is at the address that the settings name.
+var defaultHTTP = &http.Client{
 	Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: (30 * tackclock.Second).Std()},
 	CheckRedirect: func(*http.Request, []*http.Request) error {
 		return http.ErrUseLastResponse
@@ -32,31 +31,30 @@
 }
 
 type (
-	// UnavailableError reports a call that got no usable answer. Unless
-	// NotSent is set the platform may have carried it out.
+	// UnavailableError reports a call without a usable answer. Unless NotSent is set the
+	// platform may have carried it out.
 	UnavailableError struct {
 		Call string
-		// Status is the platform's, zero where no answer came.
+		// Status is the HTTP status of the answer, or zero without an answer.
 		Status  int
 		NotSent bool
 		Err     error
 	}
 
-	// RefusedError reports a call that the platform answered and did not
-	// carry out.
+	// RefusedError reports a call that the platform answered but did not carry out.
 	RefusedError struct {
 		Call   string
 		Status int
 		Reason string
 	}
 
-	// AnswerError reports an answer that breaks the contract.
+	// AnswerError reports an answer that violates the API.
 	AnswerError struct {
 		Call   string
 		Reason string
 	}
 
-	// NameError reports a name that can't stand in a path.
+	// NameError reports a name that cannot be part of a path.
 	NameError struct {
 		Call string
 		Name string
@@ -86,18 +84,18 @@
 
 // Error implements error.
 func (e *NameError) Error() string {
-	return fmt.Sprintf("tackplatform: %s: name %q can't stand in a path", e.Call, e.Name)
+	return fmt.Sprintf("tackplatform: %s: name %q cannot be part of a path", e.Call, e.Name)
 }
 
-// try sends the call once.
+// try makes one attempt of the call.
 func (c *Client) try(ctx context.Context, k call) error {
-	ctx, cancel := context.WithTimeout(ctx, defaulted(c.TryTimeout, DefaultTryTimeout).Std())
+	ctx, cancel := context.WithTimeout(ctx, orDefault(c.TryTimeout, DefaultTryTimeout).Std())
 	defer cancel()
 	r, err := c.request(ctx, k)
 	if err != nil {
 		return err
 	}
-	w, err := defaulted(c.HTTP, own).Do(r)
+	w, err := orDefault(c.HTTP, defaultHTTP).Do(r)
 	if err != nil {
 		return &UnavailableError{Call: k.name, NotSent: notSent(err), Err: err}
 	}
@@ -132,7 +130,7 @@
 	return r, nil
 }
 
-// read judges an answer and decodes it.
+// read checks and decodes an answer.
 func (k call) read(status int, data []byte) error {
 	switch {
 	case status >= 500 || status == http.StatusTooManyRequests || status == http.StatusRequestTimeout:
@@ -151,9 +149,8 @@
 	return nil
 }
 
-// repeatable reports whether the call may be sent again after err. One that
-// is not idempotent may only if it never left: sent twice after a lost
-// answer, it would take effect twice.
+// repeatable reports whether the call may be sent again after err. A call that is not
+// idempotent may only if it was never sent: otherwise it could take effect twice.
 func repeatable(k call, err error) bool {
 	var unavailable *UnavailableError
 	if !errors.As(err, &unavailable) {
@@ -162,7 +159,7 @@
 	return k.idempotent || unavailable.NotSent
 }
 
-// notSent reports whether the connection was never made.
+// notSent reports whether no connection was established.
 func notSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
