--- a/io/tacktimeline/timeline.go
+++ b/io/tacktimeline/timeline.go
@@ -1,7 +1,7 @@
-// Package tacktimeline reads the log of control VMs into a table with a row a
-// second: what VMs each pool had, which of them ran nothing, what was on its way,
-// and what was accepted, refused, started and suspected meanwhile. It shows at one
-// look whether jobs were refused beside idle VMs, and where.
+// Package tacktimeline converts the logs of control VMs into a table with one row per second:
+// how many VMs each pool had, how many of them ran nothing, how many were on their way to it,
+// and what was accepted, refused, started and suspected in that second. It shows at a glance
+// whether, and in which pool, jobs were refused while VMs were idle.
 package tacktimeline
 
 import (
@@ -18,38 +18,37 @@
 	"time"
 )
 
-// maxLine bounds one line; the longest that a control VM writes has some hundreds
-// of bytes.
+// maxLine bounds one line. The longest lines of a control VM have a few hundred bytes.
 const maxLine = 1 << 20
 
 type (
-	// Timeline is what was read so far. Its zero value is empty.
+	// Timeline contains the rows read so far. Its zero value is empty.
 	Timeline struct {
-		rows  []Row
-		now   Row
-		begun bool
+		rows       []Row
+		row        Row
+		rowStarted bool
 
-		serviceOf map[string]string          // by worker
-		runs      map[string]map[string]bool // items by worker
-		coming    map[string]string          // the service that a VM is on its way to
+		serviceOf map[string]string          // by worker id
+		runs      map[string]map[string]bool // items by worker id
+		coming    map[string]string          // service by VM on its way to a pool
 	}
 
-	// Row is one second.
+	// Row describes one second.
 	Row struct {
-		// Second counts from the log's own zero, or from 1970.
+		// Second is the time that precedes the lines, or the seconds since 1970 without one.
 		Second int64
 		Pools  map[string]Pool
 		Counts map[Count]int
-		// Leaders are the control VMs that began to lead.
+		// Leaders contains the control VMs that became the leader.
 		Leaders []string
 	}
 
-	// Pool is how a service's VMs stood at the end of the second.
+	// Pool describes the VMs of a service at the end of the second.
 	Pool struct {
 		VMs, Empty, Coming int
 	}
 
-	// Count names what is counted.
+	// Count is a kind of counted event.
 	Count string
 
 	line struct {
@@ -65,7 +64,7 @@
 	}
 )
 
-// What is counted.
+// The kinds of counted events.
 const (
 	Accepted  Count = "accepted"
 	Refused   Count = "refused"
@@ -78,8 +77,8 @@
 
 var counts = []Count{Accepted, Refused, Unknown, Started, Suspected, Moved, Upkeep}
 
-// Read takes in a log. Before its JSON object a line may have the seconds at which
-// it was written, and other words; what holds no object is passed over.
+// Read reads a log. A line may have its time in seconds and other words before its JSON
+// object. Lines without an object are skipped.
 func (t *Timeline) Read(r io.Reader) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLine)
@@ -93,8 +92,7 @@
 	return nil
 }
 
-// Rows returns the seconds that were read, without those in which nothing was
-// written.
+// Rows returns the rows read so far. Seconds without log lines have none.
 func (t *Timeline) Rows() []Row {
 	return t.rows
 }
@@ -114,19 +112,19 @@
 			second = int64(s)
 		}
 	}
-	if t.begun && second != t.now.Second {
+	if t.rowStarted && second != t.row.Second {
 		t.close()
 	}
 	t.open(second)
-	t.take(&l)
+	t.handle(&l)
 }
 
 func (t *Timeline) open(second int64) {
-	if t.begun {
+	if t.rowStarted {
 		return
 	}
-	t.begun = true
-	t.now = Row{Second: second, Counts: make(map[Count]int)}
+	t.rowStarted = true
+	t.row = Row{Second: second, Counts: make(map[Count]int)}
 	if t.serviceOf == nil {
 		t.serviceOf = make(map[string]string)
 		t.runs = make(map[string]map[string]bool)
@@ -134,14 +132,14 @@
 	}
 }
 
-// close ends the second that is being read.
+// close completes the current row.
 func (t *Timeline) close() {
-	if !t.begun {
+	if !t.rowStarted {
 		return
 	}
-	t.begun = false
-	t.now.Pools = t.pools()
-	t.rows = append(t.rows, t.now)
+	t.rowStarted = false
+	t.row.Pools = t.pools()
+	t.rows = append(t.rows, t.row)
 }
 
 func (t *Timeline) pools() map[string]Pool {
@@ -162,7 +160,7 @@
 	return pools
 }
 
-func (t *Timeline) take(l *line) {
+func (t *Timeline) handle(l *line) {
 	switch l.Message {
 	case "worker joined":
 		t.serviceOf[l.Worker] = l.Reason
@@ -172,27 +170,27 @@
 		delete(t.serviceOf, l.Worker)
 		delete(t.runs, l.Worker)
 	case "run ordered":
-		t.now.Counts[Started]++
-		t.run(l, true)
+		t.row.Counts[Started]++
+		t.setRunning(l, true)
 	case "run adopted":
-		t.run(l, true)
+		t.setRunning(l, true)
 	case "run ended", "order lost":
-		t.run(l, false)
+		t.setRunning(l, false)
 	case "worker suspected":
-		t.now.Counts[Suspected]++
+		t.row.Counts[Suspected]++
 	case "upkeep chosen":
-		t.now.Counts[Upkeep]++
+		t.row.Counts[Upkeep]++
 	case "move chosen":
-		t.now.Counts[Moved]++
+		t.row.Counts[Moved]++
 		t.coming[l.WorkerVM] = strings.TrimPrefix(l.Reason, "to ")
 	case "dispatch began":
-		t.now.Leaders = append(t.now.Leaders, l.VM)
+		t.row.Leaders = append(t.row.Leaders, l.VM)
 	case "request decided":
-		t.decided(l)
+		t.countAnswer(l)
 	}
 }
 
-func (t *Timeline) run(l *line, runs bool) {
+func (t *Timeline) setRunning(l *line, runs bool) {
 	items := t.runs[l.Worker]
 	switch {
 	case items == nil:
@@ -203,21 +201,21 @@
 	}
 }
 
-func (t *Timeline) decided(l *line) {
+func (t *Timeline) countAnswer(l *line) {
 	if l.Operation != "submit" {
 		return
 	}
 	switch l.Outcome {
 	case "done":
-		t.now.Counts[Accepted]++
+		t.row.Counts[Accepted]++
 	case "refused":
-		t.now.Counts[Refused]++
+		t.row.Counts[Refused]++
 	case "unknown":
-		t.now.Counts[Unknown]++
+		t.row.Counts[Unknown]++
 	}
 }
 
-// Write writes the rows as a table. A pool is shown as VMs/empty+coming.
+// Write writes the rows as a table. The cell of a pool has the form VMs/empty+coming.
 func (t *Timeline) Write(w io.Writer) error {
 	services := make(map[string]bool)
 	for _, row := range t.rows {
