--- a/io/tackprofile/profile.go
+++ b/io/tackprofile/profile.go
@@ -1,5 +1,5 @@
-// Package tackprofile serves processor and memory profiles of the running process, for
-// operators who look for what takes its time.
+// Package tackprofile serves CPU and memory profiles of the running process, so that
+// operators can find out what uses its time and memory.
 package tackprofile
 
 import (
@@ -9,11 +9,11 @@
 
 const path = "/debug/pprof/"
 
-// Beside returns a handler that serves profiles under /debug/pprof/ and has next serve
-// everything else.
+// Beside returns a handler that serves profiles under /debug/pprof/ and passes all other
+// requests to next.
 func Beside(next http.Handler) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+path, pprof.Index) // the memory profiles by their names
+	mux.HandleFunc("GET "+path, pprof.Index) // also serves the memory profiles by name
 	mux.HandleFunc("GET "+path+"profile", pprof.Profile)
 	mux.HandleFunc("GET "+path+"trace", pprof.Trace)
 	mux.Handle("/", next)
