--- a/io/tackwait/wait.go
+++ b/io/tackwait/wait.go
@@ -1,5 +1,5 @@
-// Package tackwait lets callers wait for what comes back by way of other
-// goroutines under a number that the caller was given.
+// Package tackwait lets callers wait for values that other goroutines deliver under the
+// serial number of the caller.
 package tackwait
 
 import (
@@ -7,21 +7,21 @@
 	"sync"
 )
 
-// kept is how many values are kept for a caller that is slow to take them.
-// Those beyond it are dropped.
-const kept = 16
+// queueSize is the number of values that are queued for a slow caller. Further values are
+// dropped.
+const queueSize = 16
 
-// Waiting holds the callers that wait for values of type T. Its zero value has
-// none. It may be used from several goroutines.
+// Waiting is a set of callers that wait for values of type T. Its zero value is empty. It is
+// safe for concurrent use.
 type Waiting[T any] struct {
 	mu      sync.Mutex
 	next    uint64
 	callers map[uint64]chan T
 }
 
-// Add returns a serial that no other caller has, and the channel on which the
-// values delivered under it come. Serials begin at a random number: what comes
-// back late, for an earlier life of the process, finds no caller.
+// Add adds a caller. It returns a unique serial and the channel that receives the values
+// delivered under it. Serials begin at a random number, so that a late value for an earlier
+// run of the process is not delivered to a caller of this one.
 func (w *Waiting[T]) Add() (uint64, <-chan T) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -30,20 +30,19 @@
 		w.next = rand.Uint64() >> 1
 	}
 	w.next++
-	values := make(chan T, kept)
+	values := make(chan T, queueSize)
 	w.callers[w.next] = values
 	return w.next, values
 }
 
-// Remove forgets the caller.
+// Remove removes the caller with the serial.
 func (w *Waiting[T]) Remove(serial uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.callers, serial)
 }
 
-// Deliver gives v to the caller with the serial, if there is one. It never
-// blocks.
+// Deliver sends v to the caller with the serial, if there is one. It never blocks.
 func (w *Waiting[T]) Deliver(serial uint64, v T) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
