--- a/io/tackloop/loop.go
+++ b/io/tackloop/loop.go
@@ -1,6 +1,6 @@
-// Package tackloop runs what touches a state on one goroutine: functions that
-// others post, and a tick. It also has the small pieces that every process
-// needs to run its parts under supervision.
+// Package tackloop runs all functions that access some state on one goroutine: those that
+// others post, and a periodic tick. It also provides helpers with which processes run their
+// parts under supervision.
 package tackloop
 
 import (
@@ -9,38 +9,38 @@
 )
 
 const (
-	// tickEvery is how often a loop moves its state's clock.
-	tickEvery = 25 * time.Millisecond
-	// batch is how many waiting functions are run before one settling, which
-	// may write to a disk, makes what they did durable.
-	batch = 256
+	// tickInterval is the interval between two ticks.
+	tickInterval = 25 * time.Millisecond
+	// maxBatch bounds the number of queued functions that are run before one call of settle,
+	// which may write to a disk to make their effects durable.
+	maxBatch = 256
 )
 
 type (
-	// Loop runs functions one after the other.
+	// Loop runs functions one after the other on one goroutine.
 	Loop struct {
 		events chan func()
 		ended  chan struct{}
 	}
 
-	// Service gives a function the form that suture supervises.
+	// Service adapts a function to suture.Service.
 	Service struct {
 		Name string
 		Run  func(context.Context) error
 	}
 )
 
-// New returns a loop that runs nothing yet. A sender waits once queue functions
-// do.
+// New returns a loop that is not running yet. Post blocks while the given number of functions
+// are queued.
 func New(queue int) *Loop {
 	return &Loop{events: make(chan func(), queue), ended: make(chan struct{})}
 }
 
-// Run owns the state until ctx ends. After each function, and what else waits,
-// or each tick, it settles. It returns settle's error.
+// Run runs the loop until ctx ends. It calls settle after each posted function, together with
+// others that are queued, and after each tick. It returns the error of settle.
 func (l *Loop) Run(ctx context.Context, tick func(), settle func() error) error {
 	defer close(l.ended)
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -59,7 +59,7 @@
 }
 
 func (l *Loop) drain() {
-	for range batch {
+	for range maxBatch {
 		select {
 		case f := <-l.events:
 			f()
@@ -69,9 +69,8 @@
 	}
 }
 
-// Post hands f to the loop. It reports false where ctx or the loop ended first:
-// a sender that went on waiting for a loop that is gone would keep the process
-// from stopping.
+// Post queues f. It returns false if ctx or the loop ended first: a sender that waited
+// forever for an ended loop would prevent the process from stopping.
 func (l *Loop) Post(ctx context.Context, f func()) bool {
 	select {
 	case l.events <- f:
@@ -83,7 +82,7 @@
 	}
 }
 
-// Ended is closed once the loop takes no more functions.
+// Ended returns a channel that is closed when the loop has ended.
 func (l *Loop) Ended() <-chan struct{} {
 	return l.ended
 }
@@ -91,7 +90,7 @@
 // Serve implements suture.Service.
 func (s Service) Serve(ctx context.Context) error { return s.Run(ctx) }
 
-// String names the service in suture's events.
+// String returns the name of the service for suture's events.
 func (s Service) String() string { return s.Name }
 
 // Sleep waits for d or until ctx ends.
--- a/io/tackloop/loop_test.go
+++ b/io/tackloop/loop_test.go
@@ -13,7 +13,7 @@
 	var steps []string
 	for _, name := range []string{"a", "b"} {
 		if !l.Post(ctx, func() { steps = append(steps, name) }) {
-			t.Fatal("not taken")
+			t.Fatal("Post returned false")
 		}
 	}
 	stop := errors.New("enough")
@@ -29,8 +29,8 @@
 	}
 }
 
-// Symptom: a process never stops. Sequence: its loop ended, and a handler of a
-// link goes on posting. Cause: a full queue that nobody empties.
+// Guards against a process that never stops: its loop has ended, and a link's handler blocks
+// on a full queue that nobody empties.
 func TestPostGivesUpOnceTheLoopHasEnded(t *testing.T) {
 	l := New(0)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -39,6 +39,6 @@
 		t.Fatal(err)
 	}
 	if l.Post(context.Background(), func() {}) {
-		t.Error("taken by a loop that has ended")
+		t.Error("Post returned true for a loop that has ended")
 	}
 }
