--- a/io/tacklog/dropping.go
+++ b/io/tacklog/dropping.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// droppingLines is how many lines wait for a reader that is slow; at some
-	// 300 bytes each they take a megabyte and a half.
-	droppingLines = 4096
-	// closeLimit bounds the wait for the last lines when a process ends.
-	closeLimit = 500 * time.Millisecond
+	// maxQueuedLines is the number of lines that are queued for a slow reader. At about 300
+	// bytes each they take 1.5 MB.
+	maxQueuedLines = 4096
+	// closeTimeout bounds the wait for the last lines when a process ends.
+	closeTimeout = 500 * time.Millisecond
 )
 
-// Dropping is a writer that never makes its caller wait. Lines that find no
-// room are counted, and a line says how many they were. A process whose output
-// nobody reads would otherwise stand still in the middle of a decision.
+// Dropping is a writer that never blocks its caller. Lines that do not fit into its queue are
+// dropped, and a line reports how many. Otherwise a process whose output is not read would
+// block in the middle of a decision.
 type Dropping struct {
 	lines   chan []byte
 	dropped atomic.Int64
@@ -28,13 +28,13 @@
 // NewDropping returns a writer to w.
 func NewDropping(w io.Writer) *Dropping {
 	d := &Dropping{
-		lines: make(chan []byte, droppingLines), closing: make(chan struct{}), closed: make(chan struct{}),
+		lines: make(chan []byte, maxQueuedLines), closing: make(chan struct{}), closed: make(chan struct{}),
 	}
 	go d.run(w)
 	return d
 }
 
-// Write implements io.Writer. It always takes all of p.
+// Write implements io.Writer. It always accepts all of p.
 func (d *Dropping) Write(p []byte) (int, error) {
 	select {
 	case d.lines <- append([]byte(nil), p...):
@@ -44,12 +44,13 @@
 	return len(p), nil
 }
 
-// Close writes what waits, within a bound. Nothing may be written after it.
+// Close writes the queued lines, as far as possible within closeTimeout. Write must not be
+// called after it.
 func (d *Dropping) Close() {
 	close(d.closing)
 	select {
 	case <-d.closed:
-	case <-time.After(closeLimit):
+	case <-time.After(closeTimeout):
 	}
 }
 
@@ -58,29 +59,29 @@
 	for {
 		select {
 		case line := <-d.lines:
-			d.put(w, line)
+			d.writeLine(w, line)
 		case <-d.closing:
-			d.rest(w)
+			d.drain(w)
 			return
 		}
 	}
 }
 
-func (d *Dropping) rest(w io.Writer) {
+func (d *Dropping) drain(w io.Writer) {
 	for {
 		select {
 		case line := <-d.lines:
-			d.put(w, line)
+			d.writeLine(w, line)
 		default:
 			return
 		}
 	}
 }
 
-// put writes a line, and before it how many were dropped.
-func (d *Dropping) put(w io.Writer, line []byte) {
+// writeLine writes a line, preceded by the number of dropped lines if there are any.
+func (d *Dropping) writeLine(w io.Writer, line []byte) {
 	if n := d.dropped.Swap(0); n > 0 {
 		fmt.Fprintf(w, "{\"level\":\"warning\",\"msg\":\"log lines dropped\",\"lines\":%d}\n", n)
 	}
-	_, _ = w.Write(line) // there is nowhere else to tell it
+	_, _ = w.Write(line) // there is nowhere else to report an error
 }
--- a/io/tacklog/log.go
+++ b/io/tacklog/log.go
@@ -1,6 +1,5 @@
-// Package tacklog sets up the daemon's log. Its lines carry the same few
-// fields everywhere, and nothing that came from outside can break out of its
-// own field.
+// Package tacklog configures the log of the daemon. All lines have the same few fields, and
+// text from outside the system cannot break out of its field.
 package tacklog
 
 import (
@@ -15,30 +14,28 @@
 )
 
 const (
-	// FieldVM names the VM of the system that writes the line. New puts it
-	// on every line.
+	// FieldVM is the VM of the system that writes the line. New adds it to every line.
 	FieldVM = "vm"
-	// FieldRequestID names one dispatch of a request.
+	// FieldRequestID is the id of one dispatch of a request.
 	FieldRequestID = "request_id"
 	// FieldRevision is a position in the replicated log.
 	FieldRevision = "revision"
 	// FieldTerm is a term of the replicated log.
 	FieldTerm = "term"
-	// FieldPeer names another VM of the system.
+	// FieldPeer is another VM of the system.
 	FieldPeer = "peer"
 )
 
-// longestOutside bounds, in bytes, what a line may hold of one text from
-// outside.
-const longestOutside = 256
+// maxTextBytes bounds the length of one text from outside the system in a line.
+const maxTextBytes = 256
 
-// vmHook puts the field vm on each line.
+// vmHook adds the field vm to each line.
 type vmHook struct {
 	vm tackid.Peer
 }
 
-// New returns a logger that writes to w as cfg says and puts vm on every
-// line.
+// New returns a logger that writes to w in the format and from the level of cfg, and adds vm
+// to every line.
 func New(cfg tacksettings.Log, vm tackid.Peer, w io.Writer) *logrus.Logger {
 	l := logrus.New()
 	l.SetOutput(w)
@@ -52,13 +49,13 @@
 	return l
 }
 
-// Outside returns text from outside as one line of printable ASCII, cut at
-// 256 bytes. A caller could otherwise write a line break into a name and so
-// forge a line of the log, or fill the disk with one header.
-func Outside(text string) string {
-	cut := len(text) > longestOutside
+// Sanitize returns text from outside the system as one line of printable ASCII, cut at 256
+// bytes. Otherwise a caller could put a line break into a name to forge a log line, or fill
+// the disk with one header.
+func Sanitize(text string) string {
+	cut := len(text) > maxTextBytes
 	if cut {
-		text = text[:longestOutside]
+		text = text[:maxTextBytes]
 	}
 	quoted := strconv.QuoteToASCII(text)
 	quoted = quoted[1 : len(quoted)-1]
@@ -68,13 +65,13 @@
 	return quoted
 }
 
-// Std returns a standard logger whose lines go to l as warnings, for the
-// libraries that want one. Its lines count as from outside.
+// Std returns a standard logger, for libraries that need one, whose lines are logged to l as
+// warnings. They are sanitized like text from outside the system.
 func Std(l *logrus.Logger) *log.Logger {
 	return log.New(stdWriter{log: l}, "", 0)
 }
 
-// stdWriter turns each write into one line of log.
+// stdWriter logs each write as one line.
 type stdWriter struct {
 	log *logrus.Logger
 }
@@ -85,7 +82,7 @@
 	for n > 0 && p[n-1] == '\n' {
 		n--
 	}
-	w.log.Warn(Outside(string(p[:n])))
+	w.log.Warn(Sanitize(string(p[:n])))
 	return len(p), nil
 }
 
--- a/io/tacklog/log_test.go
+++ b/io/tacklog/log_test.go
@@ -11,18 +11,16 @@
 	"auburntack/io/tacksettings"
 )
 
-// Symptom: the log shows msg="ready" for a VM that never was, or a terminal
-// is cleared by `tail`.
-// Sequence: a caller puts a line break and an escape into a path or header
-// that a warning quotes.
-// Cause: text from outside written to the log as it came.
+// Guards against a log that shows msg="ready" for a VM that was not, or that clears the
+// terminal when shown with `tail`: a caller puts a line break and an escape sequence into a
+// path or a header that a warning quotes, and the text is written to the log unchanged.
 func TestTextFromOutsideStaysInItsField(t *testing.T) {
 	hostile := "names\ntime=now msg=\"ready\" \x1b[2J\u202e" + strings.Repeat("x", 4096)
 	for _, format := range []tacksettings.LogFormat{tacksettings.LogText, tacksettings.LogJSON} {
 		t.Run(string(format), func(t *testing.T) {
 			var b bytes.Buffer
 			l := New(tacksettings.Log{Level: "info", Format: format}, "rennes-a-1", &b)
-			l.WithField("path", Outside(hostile)).Warn("slow header")
+			l.WithField("path", Sanitize(hostile)).Warn("slow header")
 			Std(l).Print(hostile)
 			assertPlainLines(t, b.String(), 2)
 		})
@@ -30,7 +28,7 @@
 }
 
 func TestLinesCarryTheFields(t *testing.T) {
-	Convey("Given loggers of both forms", t, func() {
+	Convey("Given loggers of both formats", t, func() {
 		var b bytes.Buffer
 		Convey("text quotes the message, as the contract shows it", func() {
 			l := New(tacksettings.Log{Format: tacksettings.LogText}, "rennes-a-1", &b)
@@ -39,7 +37,7 @@
 			So(b.String(), ShouldContainSubstring, `msg="ready" revision="7" vm="rennes-a-1"`)
 			So(b.String(), ShouldNotContainSubstring, "hidden")
 		})
-		Convey("json has one object a line", func() {
+		Convey("json has one object per line", func() {
 			l := New(tacksettings.Log{Level: "debug", Format: tacksettings.LogJSON}, "rennes-a-1", &b)
 			l.WithField(FieldRevision, 7).Debug("ready")
 			var line map[string]any
