--- a/io/tackbuild/build.go
+++ b/io/tackbuild/build.go
@@ -1,4 +1,4 @@
-// Package tackbuild says which build of auburntack a program is.
+// Package tackbuild reports the build of an auburntack program.
 package tackbuild
 
 import (
@@ -6,11 +6,11 @@
 	"runtime/debug"
 )
 
-// shortRevision is how much of a commit's hash is shown.
+// shortRevision is the number of characters of a commit's hash that are shown.
 const shortRevision = 12
 
-// Version returns one line with the module's version, the commit it was built
-// from where that is known, and the version of Go.
+// Version returns one line with the module's version, the version of Go, and the commit that
+// the program was built from if it is known.
 func Version(program string) string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
