--- a/io/tackcontrol/control_test.go
+++ b/io/tackcontrol/control_test.go
@@ -286,7 +286,7 @@
 // Guards against the loss of something that was acknowledged: the leader is lost right after
 // it accepted a job, the two others continue, it comes back with an empty folder, and another
 // VM is lost.
-func TestAcceptedJobOutlivesLeaderAndFolder(t *testing.T) {
+func TestAcceptedJobSurvivesLossOfLeaderAndFolder(t *testing.T) {
 	c := newRunningCluster(t)
 	c.assertAsk(tackwork.Submit, jobA, tackwork.Done)
 	lost := c.leader()
@@ -320,7 +320,7 @@
 // Guards against a system that stops with the next loss after a VM was lost for good. An
 // empty VM at a new address asks to become a member, a voter is lost for good, then another
 // one.
-func TestNewVMTakesOverForOneThatIsGone(t *testing.T) {
+func TestNewVMReplacesLostVoter(t *testing.T) {
 	c := newRunningCluster(t)
 	c.assertAsk(tackwork.Submit, jobA, tackwork.Done)
 	added := c.peer(4)
@@ -371,7 +371,7 @@
 }
 
 // A minority gives no answer that could be outdated, and reports this at once.
-func TestMinorityIsNotSure(t *testing.T) {
+func TestMinorityAnswersUnavailable(t *testing.T) {
 	c := newRunningCluster(t)
 	c.assertAsk(tackwork.Submit, jobA, tackwork.Done)
 	leader := c.leader()
@@ -380,7 +380,7 @@
 			c.stop(p)
 		}
 	}
-	c.await("the leader gives up", func() bool {
+	c.await("the leader loses its lease", func() bool {
 		_, sure := c.running[leader].control.Catalog()
 		return !sure
 	})
@@ -392,7 +392,7 @@
 // Guards against a second start of what already runs on a worker. Another program sends a
 // heartbeat with the worker's VM, a new id and a pool that no catalog names. The fault was
 // that it was taken for the VM's next worker, so the current one was considered ended.
-func TestHeartbeatOfAnUnknownPoolEndsNothing(t *testing.T) {
+func TestHeartbeatFromUnknownPoolEndsNoWorker(t *testing.T) {
 	c := newRunningCluster(t)
 	leader := c.running[c.leader()].control
 	sound := &worker{id: "i-1", control: leader}
--- a/io/tackcontrol/disk.go
+++ b/io/tackcontrol/disk.go
@@ -25,9 +25,9 @@
 // suspend keeps this VM running after a disk error; errors of other kinds are returned.
 //
 // A full disk rejects every write. If the process exited, it would start, fail and exit again
-// for as long as there is no space, with its ports closed most of the time. A suspended VM
-// does not lead, vote or acknowledge anything, since it could persist none of that, and it
-// redirects callers to the other control VMs.
+// for as long as there is no space, and its ports would be closed. A suspended VM does not
+// lead, vote or acknowledge anything, since it could persist none of that, and it redirects
+// callers to the other control VMs.
 func (c *Control) suspend(now tackclock.Time, err error) error {
 	if !errors.As(err, new(*tackdisk.FailedError)) {
 		return err
--- a/io/tackcontrol/members_test.go
+++ b/io/tackcontrol/members_test.go
@@ -36,10 +36,10 @@
 	const voters = 5
 	for _, members := range []int{6, 24, 96} {
 		if got := connects(members-1, members, voters); got != voters {
-			t.Errorf("one of %d connects to %d, want the %d that vote", members, got, voters)
+			t.Errorf("a VM without a vote among %d connects to %d, want the %d voters", members, got, voters)
 		}
 		if got := connects(0, members, voters); got != members-1 {
-			t.Errorf("one of %d that votes connects to %d, want all others", members, got)
+			t.Errorf("a voter among %d connects to %d, want all others", members, got)
 		}
 	}
 }
--- a/io/tackcontrol/moves.go
+++ b/io/tackcontrol/moves.go
@@ -15,7 +15,7 @@
 
 const (
 	// inventoryInterval is the interval between two reads of the platform's list of VMs. Each
-	// read costs money, and only VMs in the standby pool are learnt from it.
+	// read has a cost, and only VMs in the standby pool are learnt from it.
 	inventoryInterval = 4 * tackclock.Second
 	// inventoryRetryDelay is the delay before a failed read is retried.
 	inventoryRetryDelay = tackclock.Second
@@ -106,12 +106,12 @@
 	u.reserve.Observe(now, p, pools)
 	p.ParkAfter = u.parkDelay.After(now, p.ParkAfter)
 	p.Reserve, p.SinceFirstWork = u.reserve.MilliCores(now), u.reserve.SinceFirstWork(now)
-	if p.ParkAfter != u.parkAfter || p.Reserve != u.reserved {
+	if p.ParkAfter != u.parkAfter || p.Reserve != u.reserveMilliCores {
 		c.log.WithFields(logrus.Fields{
 			"after_ms": int64(p.ParkAfter), "before_ms": int64(u.parkAfter), "idle_times": u.parkDelay.Known(),
-			"reserve_millicores": p.Reserve, "reserve_before": u.reserved,
+			"reserve_millicores": p.Reserve, "reserve_before": u.reserveMilliCores,
 		}).Info("rest judged")
-		u.parkAfter, u.reserved = p.ParkAfter, p.Reserve
+		u.parkAfter, u.reserveMilliCores = p.ParkAfter, p.Reserve
 		c.meters.parkAfter.Update(int64(p.ParkAfter))
 		c.meters.reserve.Update(int64(p.Reserve))
 	}
--- a/io/tackcontrol/orders.go
+++ b/io/tackcontrol/orders.go
@@ -98,7 +98,7 @@
 }
 
 // allowance returns how many calls may be made now. The platform refuses calls above its rate
-// limit, and each refused call costs money.
+// limit, and each refused call has a cost.
 func (o *orders) allowance(now tackclock.Time, limit int) int {
 	if o.perSecond <= 0 {
 		return limit
--- a/io/tackcontrol/orders_test.go
+++ b/io/tackcontrol/orders_test.go
@@ -11,7 +11,7 @@
 // Guards against two leaders that give orders for the same VM within a moment, so that it
 // moves back and forth: a leader moves a VM and is lost, and the next leader does not know
 // which orders its predecessor gave last.
-func TestOrdersOfAnEarlierLeaderAreWaitedFor(t *testing.T) {
+func TestOrdersOfEarlierLeaderDelayNextOne(t *testing.T) {
 	const handover = 4 * tackclock.Second
 	began := tackclock.Time(1_000_000)
 	now := began.Add(60 * tackclock.Second)
@@ -49,7 +49,7 @@
 // control VMs restarted during its queue's turn. The new leader applies its whole log at
 // once. The fault was that all orders that the log contains, and all that an earlier part may
 // have contained, counted as given at that moment.
-func TestOrdersThatAStartReadsFromTheLog(t *testing.T) {
+func TestOrdersReadFromLogAtStart(t *testing.T) {
 	const handover = 4 * tackclock.Second
 	logged := tackclock.Time(5_000_000) // by the former leader's clock, far from this one's
 	now := tackclock.Time(1_000_000)
--- a/io/tackcontrol/propose.go
+++ b/io/tackcontrol/propose.go
@@ -22,8 +22,8 @@
 const maxOrderTime = 4 * tackclock.Second
 
 type (
-	// waiter is notified of the result of an entry. notify is called by the loop, exactly
-	// once.
+	// waiter is notified of the result of an entry. notify is called by the loop, at
+	// most once.
 	waiter struct {
 		term   tackreplica.Term
 		notify func(proposalStatus, tackwork.Outcome)
--- a/io/tackcontrol/relay.go
+++ b/io/tackcontrol/relay.go
@@ -36,10 +36,10 @@
 type (
 	// relay is the state of a VM that forwards reports to the leader.
 	relay struct {
-		mu     sync.Mutex
-		outbox tackrelay.Outbox
-		on     bool
-		heard  tackclock.Time // when the leader last reported the value of on
+		mu      sync.Mutex
+		outbox  tackrelay.Outbox
+		enabled bool
+		heard   tackclock.Time // when the leader last reported the value of enabled
 		// flushScheduled reports whether a flush is scheduled.
 		flushScheduled bool
 		nextHello      tackclock.Time
@@ -61,7 +61,7 @@
 func (c *Control) isRelay(now tackclock.Time) bool {
 	c.relay.mu.Lock()
 	defer c.relay.mu.Unlock()
-	return c.relay.on && now.Sub(c.relay.heard) <= relayStatusTTL
+	return c.relay.enabled && now.Sub(c.relay.heard) <= relayStatusTTL
 }
 
 // forwardReport forwards a worker's report to the leader and returns the leader's answer. The
@@ -194,7 +194,7 @@
 	c.relay.mu.Lock()
 	defer c.relay.mu.Unlock()
 	if from == c.Leader() {
-		c.relay.on, c.relay.heard = m.On, now
+		c.relay.enabled, c.relay.heard = m.On, now
 	}
 	c.relay.outbox.Deliver(now, from, m.List)
 }
--- a/io/tackcontrol/waves.go
+++ b/io/tackcontrol/waves.go
@@ -61,10 +61,9 @@
 		parkDelay tackpool.ParkDelay
 		// parkAfter is the idle time that parkDelay returned last.
 		parkAfter tackclock.Duration
-		// reserve determines the reserve of each pool; reserved is the last value, in
-		// thousandths of a core.
-		reserve  tackpool.Reserve
-		reserved int
+		// reserve determines the reserve of each pool; reserveMilliCores is the last value.
+		reserve           tackpool.Reserve
+		reserveMilliCores int
 	}
 )
 
@@ -77,7 +76,7 @@
 	u.leadingSince, u.inventoryAt = now, now
 	u.pendingCalls = make(map[tackid.VM]bool)
 	u.parkDelay, u.parkAfter = tackpool.ParkDelay{}, 0
-	u.reserve, u.reserved = tackpool.Reserve{}, 0
+	u.reserve, u.reserveMilliCores = tackpool.Reserve{}, 0
 }
 
 // StartWave starts an upkeep wave.
@@ -132,8 +131,8 @@
 }
 
 // waveRound takes VMs down for their upkeep. VMs that the previous leader took down may still
-// be down and count towards the limit of the wave, so a new leader waits until they are back.
-// The caller holds mu.
+// be down and count towards the number that may be down at once, so a new leader waits until
+// they are back. The caller holds mu.
 func (c *Control) waveRound(ctx context.Context, now tackclock.Time, order Order) {
 	if now.Sub(c.upkeep.leadingSince) < c.cfg.Handover {
 		return
