--- a/io/tackforward/client_test.go
+++ b/io/tackforward/client_test.go
@@ -109,7 +109,7 @@
 // Guards against callers that are told that their job will never run when only the second
 // attempt is known to have had no effect: the leader lost its leadership with the entry of
 // the first attempt in its log.
-func TestSecondTryDoesNotSpeakForTheFirst(t *testing.T) {
+func TestSecondAttemptDoesNotDecideFirst(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	for _, test := range []struct {
--- a/io/tackforward/watch.go
+++ b/io/tackforward/watch.go
@@ -141,7 +141,7 @@
 func (c *Client) probeSome(ctx context.Context) bool {
 	peers := c.callOrder()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	if !c.inMinority() { // a sample may miss the majority, so after a failure all are called
+	if !c.inMinority() { // a sample may miss the majority, so then all are called
 		peers = peers[:min(len(peers), maxProbes)]
 	}
 	var group sync.WaitGroup
