--- a/io/tackloop/loop_test.go
+++ b/io/tackloop/loop_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestLoopSettlesAfterWhatWasPosted(t *testing.T) {
+func TestLoopSettlesAfterPostedFunctions(t *testing.T) {
 	l := New(4)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -31,7 +31,7 @@
 
 // Guards against a process that never stops: its loop has ended, and a link's handler blocks
 // on a full queue that nobody empties.
-func TestPostGivesUpOnceTheLoopHasEnded(t *testing.T) {
+func TestPostReturnsAfterLoopEnded(t *testing.T) {
 	l := New(0)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
