--- a/io/tacklog/dropping_test.go
+++ b/io/tacklog/dropping_test.go
@@ -24,7 +24,7 @@
 
 // Guards against a process that hangs: its output is not read, the pipe is full, and the next
 // line blocks forever in the middle of a decision.
-func TestDroppingNeverWaits(t *testing.T) {
+func TestDroppingNeverBlocks(t *testing.T) {
 	w := &blockedWriter{first: make(chan struct{}, 1), release: make(chan struct{})}
 	d := NewDropping(w)
 	line := []byte("line\n")
--- a/io/tacklog/log_test.go
+++ b/io/tacklog/log_test.go
@@ -14,7 +14,7 @@
 // Guards against a log that shows msg="ready" for a VM that was not, or that clears the
 // terminal when shown with `tail`: a caller puts a line break and an escape sequence into a
 // path or a header that a warning quotes, and the text is written to the log unchanged.
-func TestTextFromOutsideStaysInItsField(t *testing.T) {
+func TestSanitizedTextStaysInItsField(t *testing.T) {
 	hostile := "names\ntime=now msg=\"ready\" \x1b[2J\u202e" + strings.Repeat("x", 4096)
 	for _, format := range []tacksettings.LogFormat{tacksettings.LogText, tacksettings.LogJSON} {
 		t.Run(string(format), func(t *testing.T) {
