--- a/io/tackcontrol/control_test.go
+++ b/io/tackcontrol/control_test.go
@@ -309,7 +309,7 @@
 
 // votes reports whether the leader counts p among the up-to-date voters.
 func (c *cluster) votes(p tackid.Peer) bool {
-	for _, m := range c.running[c.leader()].control.Standing() {
+	for _, m := range c.running[c.leader()].control.MemberStatuses() {
 		if m.Peer == p {
 			return m.Voter && m.Eligible
 		}
@@ -330,7 +330,7 @@
 	c.await("the new VM a voter", func() bool { return c.votes(added) })
 	c.await("three voters", func() bool {
 		n := 0
-		for _, m := range c.running[c.leader()].control.Standing() {
+		for _, m := range c.running[c.leader()].control.MemberStatuses() {
 			if m.Voter {
 				n++
 			}
--- a/io/tackcontrol/members.go
+++ b/io/tackcontrol/members.go
@@ -206,8 +206,8 @@
 	return slices.DeleteFunc(list, func(p tackid.Peer) bool { return p == c.cfg.Self })
 }
 
-// Standing returns what this VM knows of the members. Only the leader knows more than their
-// names.
-func (c *Control) Standing() []tackreplica.MemberStatus {
+// MemberStatuses returns what this VM knows of the members. Only the leader knows more than
+// their names.
+func (c *Control) MemberStatuses() []tackreplica.MemberStatus {
 	return c.status.Load().Members
 }
