--- a/io/tackpeer/accept.go
+++ b/io/tackpeer/accept.go
@@ -18,25 +18,26 @@
 )
 
 const (
-	// minHeartbeat and maxHeartbeat bound what a peer may say of its own
-	// heartbeat.
+	// minHeartbeat and maxHeartbeat bound the heartbeat interval that a peer announces for
+	// itself.
 	minHeartbeat = 10 * tackclock.Millisecond
 	maxHeartbeat = 30 * tackclock.Second
-	// userTimeoutHeartbeats is when the kernel gives a connection up, in
-	// heartbeats: after they would have found it, should they not run.
+	// userTimeoutHeartbeats is the time, in heartbeat intervals, after which the kernel closes
+	// a connection whose data is not acknowledged. It is longer than the time in which
+	// heartbeats detect a silent connection, and takes effect if they do not run.
 	userTimeoutHeartbeats = 4
-	// warnEvery spaces out the log lines about refused connections.
-	warnEvery = tackclock.Second
+	// warnInterval is the minimum interval between log lines about refused connections.
+	warnInterval = tackclock.Second
 )
 
 type (
-	// accepted is a connection on which a peer sends.
-	accepted struct {
-		nonce uint64
-		end   context.CancelCauseFunc
+	// incoming is an accepted connection, on which a peer sends messages.
+	incoming struct {
+		instance uint64
+		cancel   context.CancelCauseFunc
 	}
 
-	// countedListener wraps what it accepts.
+	// countedListener wraps the connections that it accepts in countedConn.
 	countedListener struct {
 		net.Listener
 		owner *Links
@@ -51,16 +52,16 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.owner.counted(conn), nil
+	return l.owner.wrapConn(conn), nil
 }
 
-// counted wraps a new connection and sets its socket up.
-func (l *Links) counted(conn net.Conn) *countedConn {
+// wrapConn sets the socket options of a new connection and wraps it.
+func (l *Links) wrapConn(conn net.Conn) *countedConn {
 	if raw, ok := conn.(syscall.Conn); ok {
 		l.setOptions(raw)
 	}
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetWriteBuffer(sendBufferBytes) // smaller delays only
+		_ = tcp.SetWriteBuffer(sendBufferBytes) // only reduces delays
 	}
 	return &countedConn{Conn: conn, clock: l.cfg.Clock}
 }
@@ -71,7 +72,7 @@
 		err = setUserTimeout(raw, userTimeoutHeartbeats*l.cfg.Heartbeat)
 	}
 	if err != nil {
-		l.cfg.Logger.WithError(err).Debug("socket option refused, heartbeats alone find silent links")
+		l.cfg.Logger.WithError(err).Debug("cannot set the TCP user timeout; only heartbeats detect silent connections")
 	}
 }
 
@@ -87,13 +88,13 @@
 	return listener, nil
 }
 
-// accept serves the peers' connections until ctx ends.
+// accept serves the connections of peers until ctx ends.
 func (l *Links) accept(ctx context.Context, listener net.Listener) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc(peerPath, func(w http.ResponseWriter, r *http.Request) {
-		if l.enter(ctx) {
+		if l.addRunning(ctx) {
 			defer l.running.Done()
-			l.receive(ctx, w, r)
+			l.serveConn(ctx, w, r)
 		}
 	})
 	server := &http.Server{
@@ -116,8 +117,8 @@
 	return fmt.Errorf("tackpeer: accept: %w", err)
 }
 
-// enter counts a connection as running, unless Serve is ending.
-func (l *Links) enter(ctx context.Context) bool {
+// addRunning adds a connection to l.running. It returns false if Serve is ending.
+func (l *Links) addRunning(ctx context.Context) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if ctx.Err() != nil {
@@ -127,8 +128,8 @@
 	return true
 }
 
-// receive handles one connection of a peer.
-func (l *Links) receive(ctx context.Context, w http.ResponseWriter, r *http.Request) {
+// serveConn handles one incoming connection.
+func (l *Links) serveConn(ctx context.Context, w http.ResponseWriter, r *http.Request) {
 	conn, ok := r.Context().Value(connKey{}).(*countedConn)
 	if !ok {
 		return
@@ -138,20 +139,20 @@
 		return
 	}
 	defer ws.CloseNow()
-	k, h, err := l.admit(ctx, ws, conn)
+	k, h, err := l.acceptHandshake(ctx, ws, conn)
 	if err != nil {
 		l.refuse(ctx, ws, conn, err)
 		return
 	}
-	err = l.carry(ctx, ws, conn, k, h)
+	err = l.serveIncoming(ctx, ws, conn, k, h)
 	if isSilent(err) {
 		k.counters.add(foundSilent, 1)
 	}
 	k.log().WithError(err).Debug("connection from peer ended")
 }
 
-// admit reads the hello, checks it and answers it.
-func (l *Links) admit(ctx context.Context, ws *websocket.Conn, conn *countedConn) (*link, hello, error) {
+// acceptHandshake reads and verifies the hello of an incoming connection and answers it.
+func (l *Links) acceptHandshake(ctx context.Context, ws *websocket.Conn, conn *countedConn) (*link, hello, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.cfg.DialTimeout.Std())
 	defer cancel()
 	ws.SetReadLimit(helloBytes)
@@ -172,15 +173,15 @@
 	return k, h, writeHello(ctx, ws, l.hello(h.From))
 }
 
-// verify checks that the sender of h is the peer it claims to be. The process
-// that answers at the peer's configured address is the peer; its nonce is
-// known while the link to it stands. Where it does not, the sender's IP number
-// must be the configured one.
+// verify checks that the sender of h is the peer that it claims to be. The process that
+// answers at the configured address of the peer is the peer, and its instance ID is known
+// while the link to it is up. While the link is down, the IP address of the sender must be the
+// configured one.
 func (k *link) verify(h hello, remote net.Addr) error {
 	k.mu.Lock()
-	up, nonce := k.up, k.nonce
+	up, instance := k.up, k.peerInstance
 	k.mu.Unlock()
-	if up && nonce != h.Nonce {
+	if up && instance != h.Instance {
 		return &IdentityError{Want: k.peer.ID, Got: h.From, Reason: "another life answers at " + k.peer.Address}
 	}
 	if !up && !sameHost(k.peer.Address, remote.String()) {
@@ -195,8 +196,7 @@
 	return errA == nil && errB == nil && net.ParseIP(hostA).Equal(net.ParseIP(hostB))
 }
 
-// refuse tells the sender why, so that its operators find the reason in its
-// own log.
+// refuse sends the reason to the peer, so that operators find it in the log of that VM too.
 func (l *Links) refuse(ctx context.Context, ws *websocket.Conn, conn *countedConn, err error) {
 	l.total.add(refused, 1)
 	log := l.cfg.Logger.WithError(err).WithField("remote", conn.RemoteAddr().String())
@@ -207,35 +207,35 @@
 	defer cancel()
 	answer := l.hello("")
 	answer.Refused = err.Error()
-	_ = writeHello(ctx, ws, answer) // the connection is closed next
+	_ = writeHello(ctx, ws, answer) // the connection is closed anyway
 }
 
-// mayWarn reports whether a refusal may be logged. Whoever can connect could
-// fill the disk with log lines otherwise.
+// mayWarn reports whether a refusal may be logged. Without this limit anyone who can connect
+// could fill the disk with log lines.
 func (l *Links) mayWarn() bool {
 	now := int64(l.cfg.Clock.Now())
-	last := l.warned.Load()
-	return now-last >= int64(warnEvery) && l.warned.CompareAndSwap(last, now)
+	last := l.lastWarning.Load()
+	return now-last >= int64(warnInterval) && l.lastWarning.CompareAndSwap(last, now)
 }
 
-// carry hands the connection's messages over until it ends. It takes the
-// place of an earlier connection of the same peer.
-func (l *Links) carry(ctx context.Context, ws *websocket.Conn, conn *countedConn, k *link, h hello) error {
+// serveIncoming passes the messages of an incoming connection to their handlers until it ends. The
+// connection replaces an earlier one of the same peer.
+func (l *Links) serveIncoming(ctx context.Context, ws *websocket.Conn, conn *countedConn, k *link, h hello) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	a := &accepted{nonce: h.Nonce, end: cancel}
-	conn.belongsTo(k)
-	conn.heardBy(k)
-	if !k.replaceAccepted(a) {
+	a := &incoming{instance: h.Instance, cancel: cancel}
+	conn.countFor(k)
+	conn.trackLastHeard(k)
+	if !k.replaceIncoming(a) {
 		return &UnknownPeerError{Peer: k.peer.ID}
 	}
-	defer k.dropAccepted(a)
-	notify(k.kick)
+	defer k.removeIncoming(a)
+	notify(k.peerConnected)
 
 	ws.SetReadLimit(int64(max(l.cfg.MaxMessageBytes, batchBytes)))
-	// A handler that panics ends the process, as on any other goroutine. On
-	// this one net/http would recover it, and the VM would go on with a state
-	// that is half changed.
+	// Handlers run on a separate goroutine so that a panic in one ends the process. On this
+	// goroutine net/http would recover it, and the VM would continue with a partly changed
+	// state.
 	var group sync.WaitGroup
 	group.Go(func() { cancel(l.deliver(ws, k)) })
 	heartbeat := min(max(tackclock.Duration(h.HeartbeatMS), minHeartbeat), maxHeartbeat)
@@ -268,27 +268,27 @@
 	f(e.From, e.Body)
 }
 
-// replaceAccepted ends the connection that a takes the place of. It reports
-// false where the peer is no longer one.
-func (k *link) replaceAccepted(a *accepted) bool {
+// replaceIncoming makes a the incoming connection and ends the previous one. It returns false
+// if the peer was removed.
+func (k *link) replaceIncoming(a *incoming) bool {
 	k.mu.Lock()
-	old := k.accepted
-	if !k.gone {
-		k.accepted = a
+	old := k.incoming
+	if !k.removed {
+		k.incoming = a
 	}
-	gone := k.gone
+	removed := k.removed
 	k.mu.Unlock()
 	if old != nil {
-		old.end(errReplaced)
+		old.cancel(errReplaced)
 	}
-	return !gone
+	return !removed
 }
 
-func (k *link) dropAccepted(a *accepted) {
+func (k *link) removeIncoming(a *incoming) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.accepted == a {
-		k.accepted = nil
+	if k.incoming == a {
+		k.incoming = nil
 	}
 }
 
--- a/io/tackpeer/bench_test.go
+++ b/io/tackpeer/bench_test.go
@@ -8,10 +8,10 @@
 	"auburntack/core/tackid"
 )
 
-// idleWindow is how long BenchmarkIdle counts bytes.
+// idleWindow is the time for which BenchmarkIdle counts bytes.
 const idleWindow = 20 * time.Second
 
-// total adds up what one VM sent and received.
+// total returns the bytes and messages that the VM sent and received on all links.
 func (n *node) total() (bytes, messages uint64) {
 	for _, s := range n.links.Status() {
 		bytes += s.SentBytes + s.ReceivedBytes
@@ -20,8 +20,8 @@
 	return bytes, messages
 }
 
-// BenchmarkIdle counts the bytes at the sockets of a mesh that has nothing to
-// say. Run it with -benchtime 1x.
+// BenchmarkIdle counts the bytes at the sockets of a mesh without messages. Run it with
+// -benchtime 1x.
 func BenchmarkIdle(b *testing.B) {
 	for _, size := range []int{3, 8, 12} {
 		b.Run(fmt.Sprintf("vms=%d", size), func(b *testing.B) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// BenchmarkMessages sends messages of 200 bytes in bursts and counts the bytes
-// at the socket and the time for each.
+// BenchmarkMessages sends messages of 200 bytes in bursts and measures the bytes at the socket
+// and the time per message.
 func BenchmarkMessages(b *testing.B) {
 	for _, burst := range []int{1, 16, 256} {
 		b.Run(fmt.Sprintf("burst=%d", burst), func(b *testing.B) {
@@ -74,9 +74,8 @@
 	}
 }
 
-// BenchmarkSilence takes the time from when a connection is forgotten until
-// the link that took its place is up, with the default heartbeat. Run it with
-// -benchtime 20x.
+// BenchmarkSilence measures the time from when a connection stops delivering data until a new
+// connection has replaced it, with the default heartbeat. Run it with -benchtime 20x.
 func BenchmarkSilence(b *testing.B) {
 	b.ReportAllocs()
 	la, lb := listen(b), listen(b)
@@ -90,7 +89,7 @@
 	for b.Loop() {
 		eventually(b, "up", func() bool { return x.up("b") })
 		began := time.Now()
-		r.forget(true, true)
+		r.blackhole(true, true)
 		eventually(b, "found", func() bool { return !x.up("b") })
 		eventually(b, "up again", func() bool { return x.up("b") })
 		longest = max(longest, time.Since(began))
--- a/io/tackpeer/codec.go
+++ b/io/tackpeer/codec.go
@@ -8,19 +8,18 @@
 	"auburntack/core/tackid"
 )
 
-// Version is the version of the protocol between peers. A peer that speaks a
-// later one goes on being understood as long as it only adds fields and kinds.
+// Version is the version of the protocol between peers. Messages of a later version are
+// understood if that version only adds fields and kinds.
 const Version = 1
 
 var decoding = mustDecMode()
 
 type (
-	// Kind says what a message is for. A peer passes over kinds that it does
-	// not know.
+	// Kind is the type of a message. A peer ignores kinds that it does not know.
 	Kind string
 
-	// Envelope is one message. Version and From are left out on the wire
-	// where they are those of the hello that opened the connection.
+	// Envelope is one message. Version and From are omitted on the wire if they equal those
+	// of the hello that opened the connection.
 	Envelope struct {
 		Version int             `cbor:"1,keyasint,omitempty"`
 		From    tackid.Peer     `cbor:"2,keyasint,omitempty"`
@@ -33,18 +32,18 @@
 		Version int         `cbor:"1,keyasint"`
 		From    tackid.Peer `cbor:"2,keyasint"`
 		To      tackid.Peer `cbor:"3,keyasint"`
-		// Nonce is random for each life of a process.
-		Nonce uint64 `cbor:"4,keyasint"`
-		// Oldest is the oldest version that the sender understands.
+		// Instance is a random number that identifies one run of the sender's process.
+		Instance uint64 `cbor:"4,keyasint"`
+		// Oldest is the oldest protocol version that the sender understands.
 		Oldest int `cbor:"5,keyasint"`
-		// HeartbeatMS is how often the sender is heard at least.
+		// HeartbeatMS is the maximum interval between two transmissions of the sender.
 		HeartbeatMS int64 `cbor:"6,keyasint,omitempty"`
-		// Refused says in an answer why the connection is not accepted.
+		// Refused is, in an answer, the reason why the connection is refused.
 		Refused string `cbor:"7,keyasint,omitempty"`
 	}
 )
 
-// encode returns the envelope of a message as it goes on the wire.
+// encode returns the encoded envelope of a message.
 func encode(kind Kind, body any) ([]byte, error) {
 	raw, err := cbor.Marshal(body)
 	if err != nil {
@@ -57,9 +56,9 @@
 	return data, nil
 }
 
-// decode calls f for each envelope of a batch, which is one after the other.
-// It stops at the first that is malformed or claims another sender than from;
-// the error is a *MalformedError or an *IdentityError.
+// decode calls f for each envelope of a batch, which is a concatenation of encoded envelopes.
+// It stops at the first that is malformed or names a sender other than from. The error is a
+// *MalformedError or an *IdentityError.
 func decode(batch []byte, from tackid.Peer, f func(Envelope)) error {
 	for len(batch) > 0 {
 		var e Envelope
--- a/io/tackpeer/codec_test.go
+++ b/io/tackpeer/codec_test.go
@@ -11,8 +11,8 @@
 	"auburntack/core/tackid"
 )
 
-// TestBatchKeepsMessages joins random messages into a batch and finds each of
-// them again, in order.
+// TestBatchKeepsMessages checks that random messages joined into a batch are decoded unchanged
+// and in order.
 func TestBatchKeepsMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bodies := rapid.SliceOf(rapid.SliceOf(rapid.Byte())).Draw(t, "bodies")
@@ -42,7 +42,7 @@
 	})
 }
 
-// TestEnvelopeIsSmall holds what an envelope adds to a body of 200 bytes.
+// TestEnvelopeIsSmall checks that the envelope of a body of 200 bytes adds at most 10 bytes.
 func TestEnvelopeIsSmall(t *testing.T) {
 	data, err := encode("data", make([]byte, 200))
 	if err != nil || len(data) > 210 {
@@ -50,9 +50,8 @@
 	}
 }
 
-// FuzzDecode feeds the decoders what a stranger might send: they must not
-// panic, must give errors of their own types, and no message under another
-// sender's id.
+// FuzzDecode passes arbitrary data to the decoders. They must not panic, must return errors of
+// this package's types, and must not return a message under the ID of another sender.
 func FuzzDecode(f *testing.F) {
 	data, _ := encode("text", "hello")
 	f.Add(data)
--- a/io/tackpeer/conn.go
+++ b/io/tackpeer/conn.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// silentAfter is how many heartbeats in a row nothing may arrive in. The
-	// last byte came up to one heartbeat before the first of them, so that a
-	// silent connection is found within three.
-	silentAfter = 2
-	// sendBufferBytes bounds what the kernel holds back for one connection,
-	// so that a heartbeat does not wait behind megabytes on a slow line.
+	// maxIdleHeartbeats is the number of consecutive heartbeat intervals without progress after
+	// which a connection counts as silent. The last byte may have arrived up to one interval
+	// before the first of them, so a silent connection is detected within three.
+	maxIdleHeartbeats = 2
+	// sendBufferBytes limits the kernel's send buffer of one connection, so that a heartbeat
+	// does not wait behind megabytes of data on a slow line.
 	sendBufferBytes = 256 << 10
 )
 
 type (
-	// countedConn counts the bytes that cross a connection.
+	// countedConn counts the bytes sent and received on a connection.
 	countedConn struct {
 		net.Conn
 		clock         *tackclock.Clock
 		counters      atomic.Pointer[counters]
 		sent          atomic.Int64
 		received      atomic.Int64
-		onHeard       atomic.Pointer[atomic.Int64]
+		lastHeard     atomic.Pointer[atomic.Int64]
 		sendingLarge  atomic.Bool
 		largeProgress atomic.Int64
 	}
 
-	// silence counts the heartbeats in a row in which nothing moved.
-	silence struct {
-		last   int64
-		missed int
+	// silenceDetector counts the consecutive heartbeat intervals without progress.
+	silenceDetector struct {
+		last int64
+		idle int
 	}
 )
 
@@ -47,7 +47,7 @@
 		if k := c.counters.Load(); k != nil {
 			k.add(receivedBytes, n)
 		}
-		if heard := c.onHeard.Load(); heard != nil {
+		if heard := c.lastHeard.Load(); heard != nil {
 			heard.Store(int64(c.clock.Now()))
 		}
 	}
@@ -69,33 +69,34 @@
 	return n, err
 }
 
-// belongsTo counts the connection's bytes, those so far among them, for the
-// link's peer.
-func (c *countedConn) belongsTo(k *link) {
+// countFor adds the bytes of the connection, including those transferred so far, to the
+// counters of the link.
+func (c *countedConn) countFor(k *link) {
 	k.counters.add(sentBytes, int(c.sent.Load()))
 	k.counters.add(receivedBytes, int(c.received.Load()))
 	c.counters.Store(k.counters)
 }
 
-// heardBy has what arrives from now on stamp the link's peer as heard.
-func (c *countedConn) heardBy(k *link) {
-	c.onHeard.Store(&k.lastHeard)
+// trackLastHeard sets the link's time of the last received byte to now, and has every later read
+// update it.
+func (c *countedConn) trackLastHeard(k *link) {
+	c.lastHeard.Store(&k.lastHeard)
 	k.lastHeard.Store(int64(c.clock.Now()))
 }
 
-// moved counts the bytes that show that the other end is there: those
-// received, and those of a large message, which the kernel takes only as the
-// other end takes them.
-func (c *countedConn) moved() int64 {
+// progress returns the number of bytes that prove that the other end is alive: those received,
+// and those sent of large messages, which the kernel accepts only as the other end
+// acknowledges earlier ones.
+func (c *countedConn) progress() int64 {
 	return c.received.Load() + c.largeProgress.Load()
 }
 
-// watch calls beat at every heartbeat and returns errSilent once nothing has
-// moved on the connection, ctx's error once that ends.
+// watch calls beat at every heartbeat. It returns errSilent when the connection has become
+// silent, or the error of ctx when ctx ends.
 func (c *countedConn) watch(ctx context.Context, every tackclock.Duration, beat func()) error {
 	ticker := time.NewTicker(every.Std())
 	defer ticker.Stop()
-	s := silence{last: c.moved()}
+	s := silenceDetector{last: c.progress()}
 	for {
 		beat()
 		select {
@@ -103,25 +104,25 @@
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		if s.beat(c.moved()) {
+		if s.observe(c.progress()) {
 			return errSilent
 		}
 	}
 }
 
-// beat is told at every heartbeat how much has moved, and reports whether the
-// connection is silent.
+// observe is called at every heartbeat with the progress of the connection so far, and reports
+// whether the connection is silent.
 //
-// A connection can stay open for good with nothing arriving, when a device
-// between the two ends has forgotten it: writes go on succeeding, nobody
-// reads them, and the peer looks lost although a new connection would work.
-// Heartbeats are counted rather than time, so that a process that was itself
-// stopped for a while does not take its own pause for the other's silence.
-func (s *silence) beat(moved int64) bool {
-	s.missed++
-	if moved != s.last {
-		s.missed = 0
+// A connection can stay open indefinitely without transferring anything if a device between
+// the two ends has dropped its state: writes succeed but nothing is delivered, and the peer
+// seems to be lost although a new connection would work. Heartbeats are counted instead of
+// elapsed time, so that a process that was suspended does not mistake its own pause for
+// silence of the peer.
+func (s *silenceDetector) observe(progress int64) bool {
+	s.idle++
+	if progress != s.last {
+		s.idle = 0
 	}
-	s.last = moved
-	return s.missed >= silentAfter
+	s.last = progress
+	return s.idle >= maxIdleHeartbeats
 }
--- a/io/tackpeer/counters.go
+++ b/io/tackpeer/counters.go
@@ -6,7 +6,7 @@
 	"auburntack/core/tackid"
 )
 
-// counters are the metrics of one peer, or of all.
+// counters are the metrics of one peer, or the totals of all peers.
 type counters struct {
 	sentBytes, receivedBytes       metrics.Counter
 	sentMessages, receivedMessages metrics.Counter
@@ -32,13 +32,13 @@
 	}
 }
 
-// metricPrefix begins the names of one peer's metrics.
+// metricPrefix returns the prefix of the names of a peer's metrics.
 func metricPrefix(id tackid.Peer) string {
 	return "peer_" + string(id) + "_"
 }
 
-// forget removes the metrics of a link that is gone.
-func (l *Links) forget(k *link) {
+// unregister unregisters the metrics of a link that was removed.
+func (l *Links) unregister(k *link) {
 	for _, name := range []string{
 		"sent_bytes", "received_bytes", "sent_messages", "received_messages",
 		"dropped_messages", "found_silent", "refused_connections", "unknown_kinds",
@@ -47,7 +47,7 @@
 	}
 }
 
-// add adds n to the counter that which picks, of the peer and of the total.
+// add adds n to the counter that which selects, in c and in its total.
 func (c *counters) add(which func(*counters) metrics.Counter, n int) {
 	which(c).Inc(int64(n))
 	if c.total != nil {
--- a/io/tackpeer/errors.go
+++ b/io/tackpeer/errors.go
@@ -8,9 +8,9 @@
 )
 
 var (
-	errSilent    = errors.New("tackpeer: connection went silent")
-	errBackwards = errors.New("message on the sender's connection")
-	errReplaced  = errors.New("tackpeer: replaced by a newer connection")
+	errSilent            = errors.New("tackpeer: connection went silent")
+	errUnexpectedMessage = errors.New("message received on an outgoing connection")
+	errReplaced          = errors.New("tackpeer: replaced by a newer connection")
 )
 
 type (
@@ -19,37 +19,37 @@
 		Peer tackid.Peer
 	}
 
-	// DownError reports that no connection to the peer stands.
+	// DownError reports that there is no connection to the peer.
 	DownError struct {
 		Peer tackid.Peer
 	}
 
-	// TooLargeError reports a message over its bound.
+	// TooLargeError reports a message that exceeds the size limit.
 	TooLargeError struct {
 		Bytes int
 		Limit int
 	}
 
-	// MalformedError reports bytes that are no message.
+	// MalformedError reports data that is not a valid message.
 	MalformedError struct {
 		Peer tackid.Peer
 		Err  error
 	}
 
-	// VersionError reports a peer whose protocol this release does not speak.
+	// VersionError reports a peer whose protocol version this release does not support.
 	VersionError struct {
 		Peer    tackid.Peer
 		Version int
 		Oldest  int
 	}
 
-	// RefusedError reports a peer that did not accept the connection.
+	// RefusedError reports that a peer refused the connection.
 	RefusedError struct {
 		Peer   tackid.Peer
 		Reason string
 	}
 
-	// IdentityError reports a peer that is not the one it should be.
+	// IdentityError reports a process that is not the expected peer.
 	IdentityError struct {
 		Want   tackid.Peer
 		Got    tackid.Peer
@@ -69,7 +69,7 @@
 
 // Error implements error.
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("tackpeer: message of %d bytes is over the bound of %d", e.Bytes, e.Limit)
+	return fmt.Sprintf("tackpeer: message of %d bytes exceeds the limit of %d", e.Bytes, e.Limit)
 }
 
 // Error implements error.
@@ -77,7 +77,7 @@
 	return fmt.Sprintf("tackpeer: malformed message from %q: %v", e.Peer, e.Err)
 }
 
-// Unwrap returns the error of the decoder.
+// Unwrap returns the underlying error.
 func (e *MalformedError) Unwrap() error { return e.Err }
 
 // Error implements error.
--- a/io/tackpeer/failure_test.go
+++ b/io/tackpeer/failure_test.go
@@ -20,12 +20,11 @@
 	"auburntack/core/tackid"
 )
 
-// shortHeartbeat lets tests of silence end soon; nothing depends on it.
+// shortHeartbeat shortens the tests of silent connections. No result depends on its value.
 const shortHeartbeat = 25 * tackclock.Millisecond
 
-// arrives sends numbered texts until one that was sent through the present
-// connection is received.
-func arrives(t testing.TB, from, to *node) {
+// assertArrives sends numbered texts until the receiver gets one.
+func assertArrives(t testing.TB, from, to *node) {
 	t.Helper()
 	n := 0
 	eventually(t, "message arrives", func() bool {
@@ -40,17 +39,16 @@
 	})
 }
 
-// Symptom: two VMs take each other for lost although both can be reached.
-// Sequence: something between them forgets their connection, both ways or one
-// way; writes go on succeeding; a new connection would work.
-// Cause: a connection on which nothing arrives is not closed by anybody.
+// Guards against two VMs that consider each other lost although both are reachable. A device
+// between them drops the state of their connection, in one or both directions: writes succeed
+// but nothing is delivered, and neither end closes the connection although a new one would work.
 func TestSilentConnection(t *testing.T) {
 	noLeaks(t)
 	for name, way := range map[string][2]bool{
 		"both ways": {true, true}, "towards the peer": {true, false}, "answers": {false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			Convey("It is found, counted and replaced", t, func() {
+			Convey("It is detected, counted and replaced", t, func() {
 				la, lb := listen(t), listen(t)
 				r := newRelay(t, lb.Addr().String())
 				defer r.stop()
@@ -60,53 +58,50 @@
 				b := serve(Config{Self: "b", Listener: lb, Heartbeat: shortHeartbeat,
 					Peers: []Peer{{ID: "a", Address: la.Addr().String()}}})
 				defer b.stop()
-				arrives(t, a, b)
+				assertArrives(t, a, b)
 				found := func() uint64 { return a.status("b").FoundSilent + b.status("a").FoundSilent }
-				before := found() // either end may be the first to find it
-				r.forget(way[0], way[1])
-				eventually(t, "found silent", func() bool { return found() > before })
+				before := found() // either end may detect it first
+				r.blackhole(way[0], way[1])
+				eventually(t, "silent connection detected", func() bool { return found() > before })
 				for len(b.got) > 0 {
 					<-b.got
 				}
-				arrives(t, a, b)
+				assertArrives(t, a, b)
 			})
 		})
 	}
 }
 
-// Symptom: a VM counts its own pause as the silence of all others, and drops
-// every link at once when it wakes.
-// Sequence: it is stopped for a minute; its timers fire late, and once.
-// Cause: the time since the last byte says nothing about a time in which the
-// VM did not look. Its counterpart: a large message on a slow line keeps the
-// heartbeats waiting, and the link is not silent.
+// Guards against a VM that mistakes its own pause for silence of its peers and closes every
+// connection when it resumes. It is suspended for a minute and its timers then fire late, and
+// only once, so the time since the last received byte includes time in which it did not read.
+// Also guards against a connection that is considered silent while a large message on a slow
+// line delays the heartbeats.
 func TestSilenceIsCountedInHeartbeats(t *testing.T) {
-	Convey("Only heartbeats in a row with nothing moved count", t, func() {
-		var s silence
-		So([]bool{s.beat(5), s.beat(5), s.beat(9), s.beat(9), s.beat(9)}, ShouldResemble,
+	Convey("Only consecutive heartbeats without progress count", t, func() {
+		var s silenceDetector
+		So([]bool{s.observe(5), s.observe(5), s.observe(9), s.observe(9), s.observe(9)}, ShouldResemble,
 			[]bool{false, false, false, false, true})
 	})
-	Convey("A large message that moves is a sign of life, a small one is not", t, func() {
+	Convey("Sent bytes of a large message are progress, those of a small one are not", t, func() {
 		near, far := net.Pipe()
 		c := &countedConn{Conn: near, clock: new(tackclock.Clock)}
 		go io.Copy(io.Discard, far)
 		_, _ = c.Write(make([]byte, 100))
-		So(c.moved(), ShouldEqual, 0)
+		So(c.progress(), ShouldEqual, 0)
 		c.sendingLarge.Store(true)
 		_, _ = c.Write(make([]byte, 100))
-		So(c.moved(), ShouldEqual, 100)
+		So(c.progress(), ShouldEqual, 100)
 		So(near.Close(), ShouldBeNil)
 	})
 }
 
-// Symptom: a VM acts on a message that was sent to its former life, or its
-// peers never reach the new one.
-// Sequence: a VM ends and comes back under the same id and address.
-// Cause: a queue that outlives the connection, or a check of identities that
-// holds on to the former life.
+// Guards against a VM that acts on a message sent to its earlier instance, or that its peers
+// never reach again, after it has restarted under the same ID and address: because a queue
+// outlives the connection, or because the identity check still expects the earlier instance.
 func TestPeerRestarts(t *testing.T) {
 	noLeaks(t)
-	Convey("Links come back both ways, with nothing left over", t, func() {
+	Convey("Links are restored in both directions, without earlier messages", t, func() {
 		nodes := mesh(t, 2, shortHeartbeat)
 		a, b := nodes[0], nodes[1]
 		defer a.stop()
@@ -114,7 +109,7 @@
 		b.stop()
 		eventually(t, "down", func() bool { return !a.up("vm-1") })
 		var down *DownError
-		So(errors.As(a.links.Send("vm-1", "text", "to the former life"), &down), ShouldBeTrue)
+		So(errors.As(a.links.Send("vm-1", "text", "to the earlier instance"), &down), ShouldBeTrue)
 
 		cfg := b.links.cfg
 		listener, err := net.Listen("tcp", address)
@@ -122,17 +117,16 @@
 		cfg.Listener = listener
 		b = serve(cfg)
 		defer b.stop()
-		arrives(t, b, a)
+		assertArrives(t, b, a)
 		eventually(t, "up", func() bool { return a.up("vm-1") })
-		So(a.links.Send("vm-1", "text", "to the new life"), ShouldBeNil)
-		So(<-b.got, ShouldEqual, "vm-0: to the new life")
+		So(a.links.Send("vm-1", "text", "to the new instance"), ShouldBeNil)
+		So(<-b.got, ShouldEqual, "vm-0: to the new instance")
 	})
 }
 
-// Symptom: a planned stop of the leader costs an election.
-// Sequence: it hands leadership over and stops; the message is still queued.
-// Cause: connections that are closed with messages waiting.
-func TestStopSendsWhatWaits(t *testing.T) {
+// Guards against an election caused by a planned stop of the leader: it transfers leadership
+// and stops, and its connections are closed while the message that does so is still queued.
+func TestStopSendsQueuedMessages(t *testing.T) {
 	noLeaks(t)
 	Convey("What was queued before the stop arrives", t, func() {
 		nodes := mesh(t, 2, 0)
@@ -147,15 +141,16 @@
 
 // assertEnded waits for the other end to close the connection.
 func assertEnded(ws *websocket.Conn) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	_, _, err := ws.Read(ctx)
 	So(err, ShouldNotBeNil)
 	So(ctx.Err(), ShouldBeNil)
 }
 
-// stranger connects by hand, says h and returns the connection and the answer.
-func stranger(address string, h map[int]any) (*websocket.Conn, hello, error) {
+// dialRaw dials address without Links, sends the hello h and returns the connection and the
+// answer.
+func dialRaw(address string, h map[int]any) (*websocket.Conn, hello, error) {
 	ctx := context.Background()
 	ws, _, err := websocket.Dial(ctx, "ws://"+address+peerPath, nil)
 	if err != nil {
@@ -167,13 +162,12 @@
 	return ws, answer, err
 }
 
-// Symptom: a VM counts the vote of one that is not there.
-// Sequence: a process claims an unknown id, the id of a VM that is up, or
-// sends under another id later; or the settings name a wrong address.
-// Cause: ids that are believed because they are said.
+// Guards against a VM that counts the vote of an impostor because it trusts the ID in a message.
+// A process claims an unknown ID or the ID of a VM that is up, or sends under another ID later,
+// or the settings contain a wrong address.
 func TestIdentityIsChecked(t *testing.T) {
 	noLeaks(t)
-	Convey("Of those that connect", t, func() {
+	Convey("Of processes that connect", t, func() {
 		nodes := mesh(t, 2, shortHeartbeat)
 		a := nodes[0]
 		defer nodes[0].stop()
@@ -182,46 +176,46 @@
 		for reason, h := range map[string]map[int]any{
 			"unknown peer": {1: 1, 2: "vm-9", 3: "vm-0", 4: 1},
 			"another life": {1: 1, 2: "vm-1", 3: "vm-0", 4: 1},
-			"another VM":   {1: 1, 2: "vm-1", 3: "vm-2", 4: nodes[1].links.nonce},
-			"version":      {1: 9, 2: "vm-1", 3: "vm-0", 4: nodes[1].links.nonce, 5: 9},
+			"another VM":   {1: 1, 2: "vm-1", 3: "vm-2", 4: nodes[1].links.instance},
+			"version":      {1: 9, 2: "vm-1", 3: "vm-0", 4: nodes[1].links.instance, 5: 9},
 		} {
-			ws, _, err := stranger(address, h)
+			ws, _, err := dialRaw(address, h)
 			var refused *RefusedError
 			So(errors.As(err, &refused), ShouldBeTrue)
 			So(refused.Reason, ShouldContainSubstring, reason)
 			_ = ws.CloseNow()
 		}
 		So(a.links.total.refused.Count(), ShouldEqual, 4)
-		arrives(t, nodes[1], a)
+		assertArrives(t, nodes[1], a)
 	})
-	Convey("Of the one that answers at a peer's address", t, func() {
+	Convey("Of the process that answers at the address of a peer", t, func() {
 		var ready atomic.Bool
 		ready.Store(true)
-		address := answering(t, hello{Version: 1, From: "b", Nonce: 5}, &ready)
+		address := newFakePeer(t, hello{Version: 1, From: "b", Instance: 5}, &ready)
 		k := newLink(New(Config{Self: "a"}), Peer{ID: "c", Address: address})
 		_, _, err := k.dial(context.Background())
 		var identity *IdentityError
 		So(errors.As(err, &identity), ShouldBeTrue)
 		So(identity.Got, ShouldEqual, tackid.Peer("b"))
 	})
-	Convey("Of one that came while the peer was down", t, func() {
+	Convey("Of a process that connected while the peer was down", t, func() {
 		var ready atomic.Bool
-		address := answering(t, hello{Version: 1, From: "b", Nonce: 5}, &ready)
+		address := newFakePeer(t, hello{Version: 1, From: "b", Instance: 5}, &ready)
 		la := listen(t)
 		a := serve(Config{Self: "a", Listener: la, Peers: []Peer{{ID: "b", Address: address}, {ID: "c", Address: "127.0.0.2:1"}}})
 		defer a.stop()
-		_, _, err := stranger(la.Addr().String(), map[int]any{1: 1, 2: "c", 3: "a", 4: 1})
+		_, _, err := dialRaw(la.Addr().String(), map[int]any{1: 1, 2: "c", 3: "a", 4: 1})
 		So(err.Error(), ShouldContainSubstring, "comes from 127.0.0.1")
-		ws, _, err := stranger(la.Addr().String(), map[int]any{1: 1, 2: "b", 3: "a", 4: 1, 6: 30_000})
+		ws, _, err := dialRaw(la.Addr().String(), map[int]any{1: 1, 2: "b", 3: "a", 4: 1, 6: 30_000})
 		So(err, ShouldBeNil)
 		ready.Store(true)
 		assertEnded(ws)
 	})
 }
 
-// answering answers every connection with h, once ready is set, and returns its
-// address.
-func answering(t *testing.T, h hello, ready *atomic.Bool) string {
+// newFakePeer starts a server that answers every connection with the hello h once ready is set,
+// and returns its address.
+func newFakePeer(t *testing.T, h hello, ready *atomic.Bool) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !ready.Load() {
 			http.Error(w, "down", http.StatusServiceUnavailable)
@@ -240,14 +234,13 @@
 	return server.Listener.Addr().String()
 }
 
-// Symptom: after an upgrade of one VM the others drop its connections.
-// Sequence: the newer release adds fields and kinds of messages.
-// Cause: a decoder that refuses what it does not know. What breaks the bounds
-// or is no message still ends the connection.
-func TestWhatIsUnknownIsPassedOver(t *testing.T) {
+// Guards against VMs that close the connections of a VM with a newer release, which adds fields
+// and kinds of messages, because the decoder refuses what it does not know. Messages that exceed
+// a limit or are malformed must still end the connection.
+func TestUnknownFieldsAndKindsAreIgnored(t *testing.T) {
 	noLeaks(t)
 	text, _ := cbor.Marshal("hello")
-	unknown, _ := cbor.Marshal(map[int]any{3: "kind of tomorrow", 4: 1, 99: "x"})
+	unknown, _ := cbor.Marshal(map[int]any{3: "future kind", 4: 1, 99: "x"})
 	known, _ := cbor.Marshal(map[int]any{3: "text", 4: cbor.RawMessage(text), 98: []int{1}})
 	long, _ := encode("text", strings.Repeat("x", batchBytes))
 	forged, _ := cbor.Marshal(Envelope{From: "c", Kind: "text", Body: text})
@@ -269,7 +262,7 @@
 				a := serve(Config{Self: "a", Listener: la, MaxMessageBytes: 1000, DialTimeout: shortHeartbeat,
 					Peers: []Peer{{ID: "b", Address: "127.0.0.1:1"}}})
 				defer a.stop()
-				ws, _, err := stranger(la.Addr().String(), map[int]any{1: 2, 2: "b", 3: "a", 4: 7, 6: 30_000, 77: "new"})
+				ws, _, err := dialRaw(la.Addr().String(), map[int]any{1: 2, 2: "b", 3: "a", 4: 7, 6: 30_000, 77: "new"})
 				So(err, ShouldBeNil)
 				defer ws.CloseNow()
 				So(ws.Write(context.Background(), websocket.MessageBinary, c.batch), ShouldBeNil)
@@ -288,9 +281,8 @@
 	}
 }
 
-// Symptom: a VM grows until it is killed while one peer is slow.
-// Sequence: the peer takes nothing for a while, messages go on being sent.
-// Cause: a queue without bounds. The oldest messages go, and are counted.
+// Guards against an unbounded queue: while a peer reads nothing and messages are still sent to
+// it, the process grows until it is killed. The oldest messages must be dropped and counted.
 func TestQueueIsBounded(t *testing.T) {
 	Convey("By number and by bytes", t, func() {
 		l := New(Config{Self: "a", Peers: []Peer{{ID: "b"}}, MaxQueue: 10, MaxQueueBytes: 1000, MaxMessageBytes: 600})
@@ -303,8 +295,8 @@
 		for range 3 {
 			So(l.Send("b", "text", make([]byte, 400)), ShouldBeNil)
 		}
-		So(k.queued, ShouldBeLessThanOrEqualTo, 1000)
-		_, n := k.take()
+		So(k.queuedBytes, ShouldBeLessThanOrEqualTo, 1000)
+		_, n := k.dequeueBatch()
 		So(n, ShouldEqual, 2)
 		var tooLarge *TooLargeError
 		So(errors.As(l.Send("b", "text", make([]byte, 600)), &tooLarge), ShouldBeTrue)
@@ -313,23 +305,22 @@
 	})
 }
 
-// Symptom: a VM that was taken out of the system goes on being heard.
-// Sequence: the set of peers changes while connections stand.
-// Cause: connections that are only checked when they are made.
+// Guards against messages of a removed VM that are still received, because connections are
+// checked only when they are established and the set of peers changes later.
 func TestPeersChange(t *testing.T) {
 	noLeaks(t)
-	Convey("A peer is taken out and comes back", t, func() {
+	Convey("A peer is removed and added again", t, func() {
 		nodes := mesh(t, 3, shortHeartbeat)
 		for _, n := range nodes {
 			defer n.stop()
 		}
 		all := nodes[0].links.cfg.Peers
 		nodes[0].links.SetPeers(all[:2])
-		eventually(t, "cut off", func() bool { return !nodes[2].up("vm-0") })
+		eventually(t, "disconnected", func() bool { return !nodes[2].up("vm-0") })
 		eventually(t, "refused", func() bool { return nodes[0].links.total.refused.Count() > 0 })
 		So(nodes[0].up("vm-1"), ShouldBeTrue)
 		nodes[0].links.SetPeers(all)
-		arrives(t, nodes[2], nodes[0])
-		arrives(t, nodes[0], nodes[2])
+		assertArrives(t, nodes[2], nodes[0])
+		assertArrives(t, nodes[0], nodes[2])
 	})
 }
--- a/io/tackpeer/link.go
+++ b/io/tackpeer/link.go
@@ -12,49 +12,49 @@
 )
 
 const (
-	// minBackoff is the first wait between two tries to connect.
+	// minBackoff is the initial delay between two attempts to connect.
 	minBackoff = 50 * tackclock.Millisecond
-	// batchBytes is how much is put into one WebSocket message where several
-	// wait, unless a single one is larger.
+	// batchBytes is the maximum size of a WebSocket message that combines several queued
+	// messages. A single larger message is sent on its own.
 	batchBytes = 64 << 10
 )
 
-// link is one peer and the connections with it.
+// link is the outgoing and the incoming connection of one peer.
 type link struct {
 	owner     *Links
 	peer      Peer
 	counters  *counters
 	lastHeard atomic.Int64
-	// problem is what the link was last down for; run alone uses it.
-	problem string
-	wake    chan struct{}
-	kick    chan struct{}
+	// problem is the last logged reason why the link is down. It is used by run only.
+	problem       string
+	wake          chan struct{} // signalled when a message is queued
+	peerConnected chan struct{} // signalled when the peer has connected
 
 	mu     sync.Mutex
 	cancel context.CancelFunc
 	up     bool
-	// nonce is that of the life which answered at the peer's address, while
-	// up.
-	nonce    uint64
-	queue    [][]byte
-	queued   int
-	accepted *accepted
-	// gone says that the peer was taken out of the set.
-	gone bool
+	// peerInstance identifies the process that answered at the address of the peer. It is valid
+	// while up is set.
+	peerInstance uint64
+	queue        [][]byte
+	queuedBytes  int
+	incoming     *incoming
+	// removed reports whether the peer was removed by SetPeers.
+	removed bool
 }
 
 func newLink(owner *Links, peer Peer) *link {
 	return &link{
-		owner:    owner,
-		peer:     peer,
-		counters: newCounters(owner.cfg.Registry, metricPrefix(peer.ID), owner.total),
-		wake:     make(chan struct{}, 1),
-		kick:     make(chan struct{}, 1),
-		cancel:   func() {},
+		owner:         owner,
+		peer:          peer,
+		counters:      newCounters(owner.cfg.Registry, metricPrefix(peer.ID), owner.total),
+		wake:          make(chan struct{}, 1),
+		peerConnected: make(chan struct{}, 1),
+		cancel:        func() {},
 	}
 }
 
-// run keeps a connection to the peer until ctx ends.
+// run maintains a connection to the peer until ctx ends.
 func (k *link) run(ctx context.Context) {
 	backoff := minBackoff
 	for k.awaitPeer(ctx) {
@@ -63,37 +63,36 @@
 		if ctx.Err() != nil {
 			return
 		}
-		k.report(err)
+		k.logDown(err)
 		if time.Since(began) > k.owner.cfg.MaxBackoff.Std() {
 			backoff = minBackoff
 		}
-		k.pause(ctx, backoff)
+		k.waitBackoff(ctx, backoff)
 		backoff = min(2*backoff, k.owner.cfg.MaxBackoff)
 	}
 }
 
-// awaitPeer waits until there is reason to connect to the peer; false once ctx has ended.
+// awaitPeer waits until this VM must connect to the peer. It returns false if ctx has ended.
 func (k *link) awaitPeer(ctx context.Context) bool {
-	for k.peer.Answering && !k.isAccepted() {
+	for k.peer.Answering && !k.hasIncoming() {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-k.kick:
+		case <-k.peerConnected:
 		}
 	}
 	return ctx.Err() == nil
 }
 
-// isAccepted reports whether the peer is connected to this VM.
-func (k *link) isAccepted() bool {
+// hasIncoming reports whether the peer is connected to this VM.
+func (k *link) hasIncoming() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.accepted != nil
+	return k.incoming != nil
 }
 
-// report logs why the link is down, aloud where it is for another reason than
-// the time before.
-func (k *link) report(err error) {
+// logDown logs why the link is down, as a warning if the reason differs from the previous one.
+func (k *link) logDown(err error) {
 	log := k.log().WithError(err)
 	if problem := err.Error(); problem != k.problem {
 		k.problem = problem
@@ -103,23 +102,22 @@
 	log.Debug("link to peer is still down")
 }
 
-// pause waits for about d, less by up to a half, so that peers that lost each
-// other together do not try again together. It ends early once the peer is
-// heard to be back.
-func (k *link) pause(ctx context.Context, d tackclock.Duration) {
+// waitBackoff waits for a random time between d/2 and d, so that peers that lost each other at the
+// same time do not reconnect at the same time. It ends early when the peer connects.
+func (k *link) waitBackoff(ctx context.Context, d tackclock.Duration) {
 	wait := d/2 + tackclock.Duration(rand.Int64N(int64(d/2)+1))
 	timer := time.NewTimer(wait.Std())
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-k.kick:
+	case <-k.peerConnected:
 	}
 }
 
-// enqueue adds a message to the queue. Where the queue is full the oldest go,
-// since a newer message of the protocols above makes up for an older one and
-// never the other way round.
+// enqueue adds a message to the queue. If the queue is full, the oldest messages are dropped:
+// in the protocols that use this package a newer message makes up for the loss of an older one,
+// but not the reverse.
 func (k *link) enqueue(data []byte) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -127,9 +125,9 @@
 		return &DownError{Peer: k.peer.ID}
 	}
 	k.queue = append(k.queue, data)
-	k.queued += len(data)
-	for len(k.queue) > k.owner.cfg.MaxQueue || (k.queued > k.owner.cfg.MaxQueueBytes && len(k.queue) > 1) {
-		k.queued -= len(k.queue[0])
+	k.queuedBytes += len(data)
+	for len(k.queue) > k.owner.cfg.MaxQueue || (k.queuedBytes > k.owner.cfg.MaxQueueBytes && len(k.queue) > 1) {
+		k.queuedBytes -= len(k.queue[0])
 		k.queue[0] = nil
 		k.queue = k.queue[1:]
 		k.counters.add(dropped, 1)
@@ -138,9 +136,9 @@
 	return nil
 }
 
-// take removes the messages of one batch from the queue and returns them
-// joined, with their number.
-func (k *link) take() ([]byte, int) {
+// dequeueBatch removes the messages of one batch from the queue and returns them concatenated, with
+// their number.
+func (k *link) dequeueBatch() ([]byte, int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	n, size := 0, 0
@@ -150,15 +148,15 @@
 	}
 	batch := slices.Concat(k.queue[:n]...)
 	k.queue = k.queue[n:]
-	k.queued -= size
+	k.queuedBytes -= size
 	if len(k.queue) == 0 {
 		k.queue = nil
 	}
 	return batch, n
 }
 
-// setUp marks the connection as standing or not. What is queued when it ends
-// is dropped: the peer must not get it later, after it was given up.
+// setUp records whether the outgoing connection is up. When it goes down, queued messages are
+// dropped: the peer must not receive them later, after their sender has given them up.
 func (k *link) setUp(up bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -167,20 +165,20 @@
 		return
 	}
 	k.counters.add(dropped, len(k.queue))
-	k.queue, k.queued = nil, 0
+	k.queue, k.queuedBytes = nil, 0
 }
 
-// stop ends the link for good.
+// stop ends the link permanently.
 func (k *link) stop() {
 	k.mu.Lock()
-	accepted := k.accepted
-	k.gone = true
+	conn := k.incoming
+	k.removed = true
 	k.mu.Unlock()
 	k.cancel()
-	if accepted != nil {
-		accepted.end(errReplaced)
+	if conn != nil {
+		conn.cancel(errReplaced)
 	}
-	k.owner.forget(k)
+	k.owner.unregister(k)
 }
 
 func (k *link) status() LinkStatus {
--- a/io/tackpeer/links.go
+++ b/io/tackpeer/links.go
@@ -1,9 +1,9 @@
-// Package tackpeer carries messages between the VMs of the system: WebSocket
-// connections with CBOR inside, one outgoing connection to each peer, on
-// which this VM sends, and the accepted ones, on which it receives.
+// Package tackpeer sends messages between the VMs of the system, as CBOR over WebSocket
+// connections. Each VM sends on one outgoing connection to each peer and receives on the
+// connections that it accepts.
 //
-// Messages may be lost, and those to one peer arrive in the order in which
-// they were sent. Who needs an answer asks again.
+// Messages to one peer arrive in the order in which they were sent, but may be lost. Senders
+// that need an answer must retry.
 package tackpeer
 
 import (
@@ -25,46 +25,46 @@
 )
 
 const (
-	// DefaultHeartbeat is the span between two heartbeats of a connection.
+	// DefaultHeartbeat is the interval between two heartbeats of a connection.
 	DefaultHeartbeat = 500 * tackclock.Millisecond
-	// DefaultDialTimeout bounds connecting and the exchange of hellos.
+	// DefaultDialTimeout is the timeout for connecting, including the exchange of hellos.
 	DefaultDialTimeout = tackclock.Second
-	// DefaultMaxBackoff bounds the wait between two tries to connect.
+	// DefaultMaxBackoff is the maximum delay between two attempts to connect.
 	DefaultMaxBackoff = tackclock.Second
-	// DefaultMaxMessageBytes bounds one message, a snapshot among them.
+	// DefaultMaxMessageBytes is the maximum size of a message. Messages include snapshots.
 	DefaultMaxMessageBytes = 64 << 20
-	// DefaultMaxQueueBytes bounds what waits for one peer.
+	// DefaultMaxQueueBytes is the maximum total size of the messages queued for one peer.
 	DefaultMaxQueueBytes = 96 << 20
-	// DefaultMaxQueue bounds the number of messages that wait for one peer.
+	// DefaultMaxQueue is the maximum number of messages queued for one peer.
 	DefaultMaxQueue = 4096
 )
 
 type (
-	// Peer is another VM of the system and where it listens.
+	// Peer is another VM of the system and the address on which it listens.
 	Peer struct {
 		ID         tackid.Peer
 		DataCentre tackid.DataCentre
-		// Address is an IP number with a port.
+		// Address is an IP address with a port.
 		Address string
-		// Answering says that this VM connects to the peer only while the peer is
+		// Answering reports whether this VM connects to the peer only while the peer is
 		// connected to this VM.
 		Answering bool
 	}
 
-	// Config says who this VM is and whom it talks to. Zero durations and
-	// bounds take the defaults.
+	// Config configures the links of a VM. Durations and limits that are zero are replaced
+	// by the defaults.
 	Config struct {
 		Self tackid.Peer
-		// Listen is an IP number with a port. A Listener, if one is given, is
-		// used in its place, for one call of Serve.
+		// Listen is an IP address with a port. If Listener is set, it is used instead, for one
+		// call of Serve.
 		Listen   string
 		Listener net.Listener
 		Peers    []Peer
-		// Clock stamps LastHeard; nil is the machine's.
+		// Clock provides the times of LastHeard. If nil, a new clock is used.
 		Clock *tackclock.Clock
-		// Logger is told of links that come and go; nil discards it.
+		// Logger logs changes of links. If nil, nothing is logged.
 		Logger logrus.FieldLogger
-		// Registry gets the counters; nil keeps them to Status.
+		// Registry registers the counters. If nil, they are available through Status only.
 		Registry metrics.Registry
 
 		Heartbeat       tackclock.Duration
@@ -75,47 +75,46 @@
 		MaxQueue        int
 	}
 
-	// LinkStatus is what is known of the link to one peer.
+	// LinkStatus is the status of the link to one peer.
 	LinkStatus struct {
 		Peer tackid.Peer
-		// Up says that the outgoing connection stands.
+		// Up reports whether the outgoing connection is established.
 		Up bool
-		// LastHeard is when the last byte came from the peer, zero if none
-		// ever did.
+		// LastHeard is when the last byte was received from the peer, or zero if none was.
 		LastHeard tackclock.Time
-		// Bytes are counted at the socket, in both directions of both
-		// connections, handshakes and heartbeats included.
+		// SentBytes and ReceivedBytes are counted at the sockets of both connections,
+		// including handshakes and heartbeats.
 		SentBytes, ReceivedBytes       uint64
 		SentMessages, ReceivedMessages uint64
-		// Dropped counts messages that were queued and not sent.
+		// Dropped is the number of messages that were queued but not sent.
 		Dropped uint64
-		// FoundSilent counts connections that stayed open with nothing
-		// moving and were closed for it.
+		// FoundSilent is the number of connections that were closed because nothing was
+		// transferred on them.
 		FoundSilent uint64
 	}
 
-	// Links holds the connections to all peers.
+	// Links manages the connections to all peers.
 	Links struct {
-		cfg   Config
-		nonce uint64
-		total *counters
-		// warned is when a refused connection was last logged.
-		warned atomic.Int64
+		cfg      Config
+		instance uint64
+		total    *counters
+		// lastWarning is when a refused connection was last logged.
+		lastWarning atomic.Int64
 
 		mu       sync.Mutex
 		handlers map[Kind]func(tackid.Peer, []byte)
 		links    map[tackid.Peer]*link
-		// serving is the context of the running Serve, nil outside of it.
+		// serving is the context of the running call of Serve, or nil if there is none.
 		serving context.Context
 		running sync.WaitGroup
 	}
 )
 
-// New returns links that carry nothing until Serve runs.
+// New returns links that connect to the peers when Serve is called.
 func New(cfg Config) *Links {
 	l := &Links{
 		cfg:      cfg.withDefaults(),
-		nonce:    newNonce(),
+		instance: newInstanceID(),
 		handlers: make(map[Kind]func(tackid.Peer, []byte)),
 		links:    make(map[tackid.Peer]*link),
 	}
@@ -124,20 +123,19 @@
 	return l
 }
 
-// Handle has f called for each message of the kind that arrives. It is to be
-// called before Serve. Messages of one peer come one after the other on the
-// goroutine that reads its connection, so f must not block: while it does,
-// heartbeats go unanswered.
+// Handle registers f as the handler of received messages of the kind. It must be called before
+// Serve. The messages of one peer are handled one at a time on the goroutine that reads its
+// connection, so f must not block: until it returns, heartbeats are not answered.
 func (l *Links) Handle(kind Kind, f func(from tackid.Peer, body []byte)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.handlers[kind] = f
 }
 
-// Send queues body, which must encode as CBOR, for the peer. It never blocks.
-// An error says that the message surely does not arrive: an
-// *UnknownPeerError, a *DownError while no connection stands, a
-// *TooLargeError. Without one it may still be lost.
+// Send queues body, which is encoded as CBOR, for the peer. It never blocks. If it returns an
+// error, the message is not sent: an *UnknownPeerError, a *DownError if there is no connection,
+// a *TooLargeError, or an error of the encoding. If it returns nil, the message may still be
+// lost.
 func (l *Links) Send(to tackid.Peer, kind Kind, body any) error {
 	l.mu.Lock()
 	k := l.links[to]
@@ -155,8 +153,7 @@
 	return k.enqueue(data)
 }
 
-// SetPeers replaces the set of peers. Links to peers that stay, under the same
-// address, go on undisturbed.
+// SetPeers replaces the set of peers. Links to peers that are unchanged are not interrupted.
 func (l *Links) SetPeers(peers []Peer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -180,7 +177,7 @@
 	}
 }
 
-// Status returns the state of every link, by peer.
+// Status returns the status of every link, sorted by peer.
 func (l *Links) Status() []LinkStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -194,8 +191,8 @@
 	return list
 }
 
-// Serve listens for the peers and keeps a connection to each until ctx ends.
-// It is a suture service, and returns ctx's error or that of the listener.
+// Serve accepts connections of peers and maintains a connection to each of them until ctx ends.
+// It implements suture.Service, and returns the error of ctx or of the listener.
 func (l *Links) Serve(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -223,7 +220,7 @@
 	return err
 }
 
-// start runs the link's outgoing side if Serve runs. The caller holds mu.
+// start maintains the outgoing connection of the link if Serve runs. The caller must hold l.mu.
 func (l *Links) start(k *link) {
 	if l.serving == nil {
 		return
@@ -278,7 +275,7 @@
 	return value
 }
 
-func newNonce() uint64 {
+func newInstanceID() uint64 {
 	var random [8]byte
 	_, _ = rand.Read(random[:]) // never fails
 	return binary.LittleEndian.Uint64(random[:])
--- a/io/tackpeer/links_test.go
+++ b/io/tackpeer/links_test.go
@@ -15,9 +15,9 @@
 	"auburntack/core/tackid"
 )
 
-// patience bounds how long a test waits for what must happen; it is never
-// reached where the code is right.
-const patience = 20 * time.Second
+// testTimeout is the maximum time that a test waits for a condition. It is reached only if the
+// code is wrong.
+const testTimeout = 20 * time.Second
 
 // node is one VM of a test's mesh.
 type node struct {
@@ -27,7 +27,7 @@
 	got    chan string
 }
 
-// noLeaks checks after the test and its cleanups that no goroutine is left.
+// noLeaks checks after the test and its cleanups that no goroutine is still running.
 func noLeaks(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 }
@@ -60,12 +60,12 @@
 	<-n.done
 }
 
-// eventually waits until ok holds.
+// eventually waits until ok returns true.
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never came about: %s", what)
+			t.Fatalf("timed out: %s", what)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 	return LinkStatus{}
 }
 
-// mesh starts n VMs that know each other.
+// mesh starts n VMs that are peers of each other.
 func mesh(t testing.TB, n int, heartbeat tackclock.Duration) []*node {
 	t.Helper()
 	var peers []Peer
@@ -106,7 +106,7 @@
 
 func TestMessagesArrive(t *testing.T) {
 	noLeaks(t)
-	Convey("Messages arrive whole, in order and under the sender's id", t, func() {
+	Convey("Messages arrive unchanged, in order and under the ID of the sender", t, func() {
 		nodes := mesh(t, 2, 0)
 		defer nodes[0].stop()
 		defer nodes[1].stop()
@@ -119,8 +119,8 @@
 	})
 }
 
-// Guards against peers that connect to each other without need, and against one that is
-// connected to and cannot answer.
+// Guards against peers that connect to each other unnecessarily, and against a peer that
+// accepts a connection and cannot send its answers.
 func TestAnsweringPeers(t *testing.T) {
 	noLeaks(t)
 	pair := func(t *testing.T, answering ...bool) []*node {
--- a/io/tackpeer/outgoing.go
+++ b/io/tackpeer/outgoing.go
@@ -19,9 +19,9 @@
 
 const (
 	peerPath = "/peer"
-	// helloBytes bounds a hello.
+	// helloBytes is the maximum size of a hello.
 	helloBytes = 4 << 10
-	// writeBufferBytes is how much of a message goes to the kernel at once.
+	// writeBufferBytes is the maximum number of bytes of a message in one write to the socket.
 	writeBufferBytes = 32 << 10
 )
 
@@ -30,12 +30,12 @@
 	*link
 	ws   *websocket.Conn
 	conn *countedConn
-	// pinging is set while the answer to a heartbeat is awaited.
+	// pinging is set while a heartbeat is unanswered.
 	pinging atomic.Bool
 	group   sync.WaitGroup
 }
 
-// connect dials the peer and carries messages until the connection ends.
+// connect dials the peer and sends messages until the connection ends.
 func (k *link) connect(ctx context.Context) error {
 	ws, conn, err := k.dial(ctx)
 	if err != nil {
@@ -46,15 +46,15 @@
 	k.setUp(true)
 	defer k.setUp(false)
 	k.log().Info("link to peer is up")
-	err = o.carry(ctx)
+	err = o.serve(ctx)
 	if isSilent(err) {
 		k.counters.add(foundSilent, 1)
 	}
 	return err
 }
 
-// carry sends messages and heartbeats until the connection ends.
-func (o *outgoing) carry(ctx context.Context) error {
+// serve sends messages and heartbeats until the connection ends.
+func (o *outgoing) serve(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	written := make(chan struct{})
@@ -70,14 +70,14 @@
 	return context.Cause(ctx)
 }
 
-// isSilent reports whether a connection ended because nothing moved on it,
-// found by heartbeats or by the kernel.
+// isSilent reports whether a connection ended because nothing was transferred on it, as
+// detected by heartbeats or by the kernel.
 func isSilent(err error) bool {
 	return errors.Is(err, errSilent) || errors.Is(err, syscall.ETIMEDOUT)
 }
 
-// closeAfter closes a connection that ctx ended, one that was stopped only
-// once the writer is through or a heartbeat has passed.
+// closeAfter closes the connection after ctx has ended. If the connection was stopped rather
+// than failed, it first waits until the writer has finished, for at most one heartbeat interval.
 func (o *outgoing) closeAfter(ctx context.Context, written <-chan struct{}) {
 	if errors.Is(context.Cause(ctx), context.Canceled) {
 		timer := time.NewTimer(o.owner.cfg.Heartbeat.Std())
@@ -109,11 +109,11 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("tackpeer: dial %s: %w", k.peer.ID, err)
 	}
-	if err := k.greet(ctx, ws); err != nil {
+	if err := k.dialHandshake(ctx, ws); err != nil {
 		ws.CloseNow()
 		return nil, nil, err
 	}
-	conn.heardBy(k)
+	conn.trackLastHeard(k)
 	return ws, conn, nil
 }
 
@@ -123,15 +123,14 @@
 	if err != nil {
 		return nil, err
 	}
-	conn := k.owner.counted(plain)
-	conn.belongsTo(k)
+	conn := k.owner.wrapConn(plain)
+	conn.countFor(k)
 	return conn, nil
 }
 
-// localAddr returns the IP number that this VM listens on, for connecting
-// from there too, or nil where it listens on all that it has. A VM with
-// several numbers would else come from one that its peers don't know it by,
-// and two such VMs would refuse each other for good.
+// localAddr returns the IP address that this VM listens on, which it also connects from, or nil
+// if it listens on all its addresses. A VM with several addresses could otherwise connect from
+// one that its peers do not know, and two such VMs would refuse each other permanently.
 func (l *Links) localAddr() net.Addr {
 	address := l.cfg.Listen
 	if l.cfg.Listener != nil {
@@ -148,8 +147,8 @@
 	return &net.TCPAddr{IP: ip}
 }
 
-// greet says who this VM is and checks that the peer is the one wanted.
-func (k *link) greet(ctx context.Context, ws *websocket.Conn) error {
+// dialHandshake exchanges hellos with the peer and verifies its identity.
+func (k *link) dialHandshake(ctx context.Context, ws *websocket.Conn) error {
 	ws.SetReadLimit(helloBytes)
 	if err := writeHello(ctx, ws, k.owner.hello(k.peer.ID)); err != nil {
 		return err
@@ -162,28 +161,28 @@
 		return &IdentityError{Want: k.peer.ID, Got: answer.From, Reason: "answered at " + k.peer.Address}
 	}
 	k.mu.Lock()
-	k.nonce = answer.Nonce
-	stale := k.accepted
+	k.peerInstance = answer.Instance
+	stale := k.incoming
 	k.mu.Unlock()
-	if stale != nil && stale.nonce != answer.Nonce {
-		stale.end(errReplaced)
+	if stale != nil && stale.instance != answer.Instance {
+		stale.cancel(errReplaced)
 	}
 	return nil
 }
 
-// read takes the answers to heartbeats and waits for the connection to end;
-// the peer sends no messages on it.
+// read processes the answers to heartbeats until the connection ends. It returns an error if
+// the peer sends a message, since peers send on connections of their own.
 func (o *outgoing) read() error {
 	_, _, err := o.ws.Read(context.Background())
 	if err == nil {
-		err = &MalformedError{Peer: o.peer.ID, Err: errBackwards}
+		err = &MalformedError{Peer: o.peer.ID, Err: errUnexpectedMessage}
 	}
 	return err
 }
 
-// ping sends a heartbeat, unless the last one is still unanswered. It gets no
-// deadline of its own: the library would close the connection in the middle
-// of a large message on a slow line. That an answer stays out, watch sees.
+// ping sends a heartbeat, unless the last one is still unanswered. The heartbeat has no
+// deadline, because the library would close the connection in the middle of a large message on
+// a slow line. A missing answer is detected by watch.
 func (o *outgoing) ping() {
 	if !o.pinging.CompareAndSwap(false, true) {
 		return
@@ -194,9 +193,9 @@
 	})
 }
 
-// write sends what is queued, as long as ctx lasts. What waits when it ends
-// is still sent, with a bounded time, so that a planned stop does not lose
-// its last messages.
+// write sends queued messages until ctx ends. Messages that are queued at that time are still
+// sent, for at most one heartbeat interval, so that a planned stop does not lose the last
+// messages.
 func (o *outgoing) write(ctx context.Context) error {
 	for {
 		select {
@@ -213,10 +212,10 @@
 	}
 }
 
-// flush sends until the queue is empty.
+// flush sends messages until the queue is empty.
 func (o *outgoing) flush(ctx context.Context) error {
 	for {
-		batch, n := o.take()
+		batch, n := o.dequeueBatch()
 		if n == 0 {
 			return nil
 		}
@@ -252,7 +251,7 @@
 		Version:     Version,
 		From:        l.cfg.Self,
 		To:          to,
-		Nonce:       l.nonce,
+		Instance:    l.instance,
 		Oldest:      1,
 		HeartbeatMS: int64(l.cfg.Heartbeat),
 	}
--- a/io/tackpeer/relay_test.go
+++ b/io/tackpeer/relay_test.go
@@ -7,18 +7,18 @@
 	"testing"
 )
 
-// relay stands between two VMs. Connections that stand when it is told to
-// forget stay open with nothing arriving in the ways it names; new ones work.
+// relay forwards connections between two VMs. After blackhole, existing connections stay open but
+// deliver nothing in the given directions; new connections work.
 type relay struct {
 	net.Listener
 	target string
 	mu     sync.Mutex
-	open   []*relayed
+	open   []*relayedConn
 	conns  sync.WaitGroup
 }
 
-// relayed is one connection through a relay.
-type relayed struct {
+// relayedConn is one connection through a relay.
+type relayedConn struct {
 	ends            [2]net.Conn
 	forward, answer atomic.Bool
 }
@@ -40,7 +40,7 @@
 			_ = in.Close()
 			continue
 		}
-		c := &relayed{ends: [2]net.Conn{in, out}}
+		c := &relayedConn{ends: [2]net.Conn{in, out}}
 		r.mu.Lock()
 		r.open = append(r.open, c)
 		r.mu.Unlock()
@@ -49,9 +49,9 @@
 	}
 }
 
-// copy passes bytes on, or swallows them once forgotten is set, and with them
-// the news that the connection was closed.
-func (c *relayed) copy(to, from net.Conn, forgotten *atomic.Bool) {
+// copy forwards data. Once forgotten is set, it discards both data and the end of the
+// connection.
+func (c *relayedConn) copy(to, from net.Conn, forgotten *atomic.Bool) {
 	buffer := make([]byte, 4096)
 	for {
 		n, err := from.Read(buffer)
@@ -70,7 +70,7 @@
 	}
 }
 
-func (r *relay) forget(forward, answer bool) {
+func (r *relay) blackhole(forward, answer bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.open {
--- a/io/tackpeer/socket_linux.go
+++ b/io/tackpeer/socket_linux.go
@@ -8,9 +8,9 @@
 	"auburntack/core/tackclock"
 )
 
-// setUserTimeout has the kernel give up a connection whose sent bytes stay
-// unacknowledged for d. Without it a connection to a VM that lost its power
-// is kept for a quarter of an hour.
+// setUserTimeout sets the TCP user timeout: the kernel closes a connection whose data stays
+// unacknowledged for d. Without it a connection to a VM that lost power stays open for a
+// quarter of an hour.
 func setUserTimeout(raw syscall.RawConn, d tackclock.Duration) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
--- a/io/tackpeer/socket_linux_test.go
+++ b/io/tackpeer/socket_linux_test.go
@@ -9,12 +9,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Symptom: a link to a VM that lost its power stands for a quarter of an hour.
-// Sequence: bytes are sent, nothing acknowledges them, and the heartbeats of
-// this process do not run.
-// Cause: the kernel's own limit, which is that long. Both ends set another.
+// Guards against a link to a VM that lost power and stays up for a quarter of an hour, the
+// default timeout of the kernel: data is sent and not acknowledged, and the heartbeats of this
+// process do not run. Both ends set a shorter timeout.
 func TestUserTimeoutIsSet(t *testing.T) {
-	Convey("On the connections that are made and on those that are accepted", t, func() {
+	Convey("On outgoing and accepted connections", t, func() {
 		l := New(Config{Self: "a"})
 		listener := &countedListener{Listener: listen(t), owner: l}
 		defer listener.Close()
@@ -37,13 +36,12 @@
 	})
 }
 
-// Symptom: two VMs refuse each other from the first start on.
-// Sequence: each has several IP numbers and listens on one that is not its
-// first; the kernel has them connect from the first.
-// Cause: neither comes from the number that the other knows it by.
-func TestConnectsFromWhereItListens(t *testing.T) {
+// Guards against two VMs that refuse each other from the first start on: each has several IP
+// addresses and listens on one that is not its first, but the kernel has them connect from the
+// first, which the other VM does not know.
+func TestDialsFromListenAddress(t *testing.T) {
 	noLeaks(t)
-	Convey("Two VMs that each listen on a second number", t, func() {
+	Convey("Two VMs that each listen on their second address", t, func() {
 		la, err := net.Listen("tcp", "127.0.0.2:0")
 		So(err, ShouldBeNil)
 		lb, err := net.Listen("tcp", "127.0.0.3:0")
@@ -52,7 +50,7 @@
 		defer a.stop()
 		b := serve(Config{Self: "b", Listener: lb, Peers: []Peer{{ID: "a", Address: la.Addr().String()}}})
 		defer b.stop()
-		arrives(t, a, b)
-		arrives(t, b, a)
+		assertArrives(t, a, b)
+		assertArrives(t, b, a)
 	})
 }
--- a/io/tackpeer/socket_other.go
+++ b/io/tackpeer/socket_other.go
@@ -8,6 +8,6 @@
 	"auburntack/core/tackclock"
 )
 
-// setUserTimeout does nothing where the kernel has no such option; heartbeats
-// find the silent connection there.
+// setUserTimeout does nothing on systems without this option. Heartbeats detect silent
+// connections there.
 func setUserTimeout(syscall.RawConn, tackclock.Duration) error { return nil }
