--- a/io/tackdisk/bench_test.go
+++ b/io/tackdisk/bench_test.go
@@ -8,8 +8,8 @@
 	"auburntack/core/tackreplica"
 )
 
-// entryBytes is the data of one entry in these benchmarks, about a command
-// with its id.
+// entryBytes is the size of the data of one entry in these benchmarks, about that of a command
+// with its ID.
 const entryBytes = 160
 
 func largeEntries(from tackid.Revision, n int) []tackreplica.Entry {
--- a/io/tackdisk/crash_test.go
+++ b/io/tackdisk/crash_test.go
@@ -14,11 +14,11 @@
 )
 
 type (
-	// model is what a disk must hold: what was acknowledged, and what one
-	// call that was not acknowledged may have left besides.
+	// model is the expected content of a disk: the acknowledged state, and the state that one
+	// unacknowledged call may have produced.
 	model struct {
-		stored  tackreplica.Stored
-		attempt *tackreplica.Stored
+		stored         tackreplica.Stored
+		unacknowledged *tackreplica.Stored
 	}
 
 	// step is one call on a disk.
@@ -29,8 +29,8 @@
 	}
 )
 
-// after returns what a disk holds after a step on s, by the rules of the
-// package comment and written without regard to how a disk does it.
+// after returns the expected content of a disk after a step on s. It follows the documented
+// behaviour and is independent of the implementation.
 func (p step) after(s tackreplica.Stored) tackreplica.Stored {
 	s.Entries = slices.Clone(s.Entries)
 	if p.snapshot != nil {
@@ -63,21 +63,21 @@
 	return s
 }
 
-func (p step) take(d *Disk) error {
+func (p step) applyTo(d *Disk) error {
 	if p.snapshot != nil {
 		return d.SaveSnapshot(*p.snapshot)
 	}
 	return d.Save(p.hard, p.entries)
 }
 
-// show makes two Stored comparable whatever is nil in them.
-func show(s tackreplica.Stored) string { return fmt.Sprintf("%+v", s) }
+// format formats s for comparison, so that nil and empty slices are equal.
+func format(s tackreplica.Stored) string { return fmt.Sprintf("%+v", s) }
 
-// matches reports whether stored is what the model allows, and takes it as
-// what is acknowledged from now on: its owner goes on from there.
+// matches reports whether the model allows stored, which becomes the acknowledged state, since
+// the owner of the disk continues from it.
 func (m *model) matches(stored tackreplica.Stored) bool {
-	ok := show(stored) == show(m.stored) || (m.attempt != nil && show(stored) == show(*m.attempt))
-	m.stored, m.attempt = stored, nil
+	ok := format(stored) == format(m.stored) || (m.unacknowledged != nil && format(stored) == format(*m.unacknowledged))
+	m.stored, m.unacknowledged = stored, nil
 	return ok
 }
 
@@ -93,14 +93,12 @@
 	}
 }
 
-// Symptom: a VM that restarts has forgotten a vote or an entry that it
-// answered for, or shows one that nobody gave it.
-// Sequence: any one write, sync, rename or removal fails, is cut short or is
-// the last before the power fails, and the disk keeps any part of what was
-// not synced.
-// Cause: an answer before the sync, a name before its content, a log dropped
-// before its snapshot is durable, or a torn record taken for a whole one.
-func TestPowerCutAtEveryOperation(t *testing.T) {
+// Guards against a VM that after a restart has lost a vote or an entry that it acknowledged, or
+// has one that was never saved. Any one write, sync, rename or removal fails, is cut short or is
+// the last before a power failure, and the disk keeps any part of the data that was not synced.
+// Possible faults are an acknowledgement before the sync, a rename before the content is synced,
+// a log removed before its snapshot is durable, or a torn record accepted as a whole one.
+func TestPowerFailureAtEveryOperation(t *testing.T) {
 	keeps := map[string]func(n int) bool{
 		"nothing":     func(int) bool { return false },
 		"everything":  func(int) bool { return true },
@@ -108,18 +106,18 @@
 		"all but one": func(n int) bool { return n != 9 },
 	}
 	for name, keep := range keeps {
-		for kind := failOperation; kind < faults; kind++ {
+		for kind := failOperation; kind < faultCount; kind++ {
 			t.Run(fmt.Sprintf("%s/fault %d", name, kind), func(t *testing.T) {
-				for at := 1; cutAt(t, kind, at, keep); at++ {
+				for at := 1; injectFaultAt(t, kind, at, keep); at++ {
 				}
 			})
 		}
 	}
 }
 
-// cutAt has operation at go wrong, cuts the power and checks what is left. It
-// reports false where the script ends before that operation.
-func cutAt(t *testing.T, kind fault, at int, keep func(n int) bool) bool {
+// injectFaultAt injects a fault into operation at, simulates a power failure and checks the content of
+// the disk. It returns false if the script ends before that operation.
+func injectFaultAt(t *testing.T, kind fault, at int, keep func(n int) bool) bool {
 	files := newFaultyFiles()
 	files.inject(kind, at)
 	m := runScript(files)
@@ -127,7 +125,7 @@
 		return false
 	}
 	n := 0
-	files.powerCut(func() bool {
+	files.powerFailure(func() bool {
 		n++
 		return keep(n)
 	})
@@ -135,7 +133,7 @@
 	return true
 }
 
-// runScript takes the steps of script until one fails.
+// runScript runs the steps of script until one fails.
 func runScript(files *faultyFiles) model {
 	var m model
 	d, _, err := Open("/state", Options{Peer: "a", Files: files})
@@ -144,8 +142,8 @@
 			break
 		}
 		next := p.after(m.stored)
-		if err = p.take(d); err != nil {
-			m.attempt = &next
+		if err = p.applyTo(d); err != nil {
+			m.unacknowledged = &next
 			break
 		}
 		m.stored = next
@@ -153,8 +151,8 @@
 	return m
 }
 
-// assertHolds opens the folder and, since its owner relies on what it finds,
-// cuts the power once more right after.
+// assertHolds checks the content of the folder twice, with a power failure in between, since the
+// owner of the folder relies on what it has read.
 func assertHolds(t interface {
 	Helper()
 	Fatalf(string, ...any)
@@ -167,19 +165,18 @@
 			t.Fatalf("operation %d: %v", files.at, err)
 		}
 		if !m.matches(stored) {
-			t.Fatalf("operation %d: found %s\nwant %s\nor %v", files.at, show(stored), show(want.stored), want.attempt)
+			t.Fatalf("operation %d: found %s\nwant %s\nor %v", files.at, format(stored), format(want.stored), want.unacknowledged)
 		}
-		files.powerCut(func() bool { return false })
+		files.powerFailure(func() bool { return false })
 	}
 }
 
-// Symptom: entries that were acknowledged are gone after a later power cut.
-// Sequence: a sync fails, the process ends, its successor reads the record
-// from the kernel's cache, builds on it, and the power fails.
-// Cause: the kernel marks pages as clean when their write failed. The
-// successor must write them once more, into another file.
-func TestFailedSyncIsNotBuiltOn(t *testing.T) {
-	Convey("What the successor found is durable once it has opened", t, func() {
+// Guards against the loss of acknowledged entries after a power failure. A sync fails and the
+// process ends. The next process reads the record from the kernel's cache and relies on it, but
+// the kernel has marked the pages as clean although their write failed. The next process must
+// write them again, into another file.
+func TestDataOfFailedSyncIsRewritten(t *testing.T) {
+	Convey("The data that the next process reads is durable after Open", t, func() {
 		files := newFaultyFiles()
 		d, _, err := Open("/state", Options{Peer: "a", Files: files})
 		So(err, ShouldBeNil)
@@ -196,24 +193,24 @@
 		So(err, ShouldBeNil)
 		So(len(found.Entries), ShouldEqual, 3)
 		So(d.Save(nil, entries(1, 4, 4)), ShouldBeNil)
-		files.powerCut(func() bool { return false })
+		files.powerFailure(func() bool { return false })
 		_, stored, err := Open("/state", Options{Peer: "a", Files: files})
 		So(err, ShouldBeNil)
 		So(stored.Entries, ShouldResemble, entries(1, 1, 4))
 	})
 }
 
-// TestRandomFaults takes random steps with random faults, kills and power
-// cuts in between. Nothing acknowledged is lost, nothing is invented, and a
-// disk that failed acknowledges nothing more.
+// TestRandomFaults runs random steps with random faults, kills and power failures. Acknowledged
+// data must not be lost, data that was never saved must not appear, and a failed disk must not
+// acknowledge anything.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		files := newFaultyFiles()
 		var m model
-		for range rapid.IntRange(1, 6).Draw(t, "lives") {
-			live(t, files, &m)
+		for range rapid.IntRange(1, 6).Draw(t, "processes") {
+			runProcess(t, files, &m)
 			if rapid.Bool().Draw(t, "power cut") {
-				files.powerCut(func() bool { return rapid.Bool().Draw(t, "keep") })
+				files.powerFailure(func() bool { return rapid.Bool().Draw(t, "keep") })
 			} else {
 				files.kill()
 			}
@@ -222,9 +219,9 @@
 	})
 }
 
-// live is one process on the folder.
-func live(t *rapid.T, files *faultyFiles, m *model) {
-	files.inject(fault(rapid.IntRange(0, int(faults)-1).Draw(t, "fault")), rapid.IntRange(1, 40).Draw(t, "after"))
+// runProcess runs one process that uses the folder.
+func runProcess(t *rapid.T, files *faultyFiles, m *model) {
+	files.inject(fault(rapid.IntRange(0, int(faultCount)-1).Draw(t, "fault")), rapid.IntRange(1, 40).Draw(t, "after"))
 	d, stored, err := Open("/state", Options{Peer: "a", Files: files})
 	if err != nil {
 		if files.operations < files.at {
@@ -233,19 +230,19 @@
 		return
 	}
 	if !m.matches(stored) {
-		t.Fatalf("found %s", show(stored))
+		t.Fatalf("found %s", format(stored))
 	}
 	for range rapid.IntRange(0, 12).Draw(t, "steps") {
 		p := drawStep(t, m.stored)
 		next := p.after(m.stored)
-		err := p.take(d)
+		err := p.applyTo(d)
 		switch {
-		case err == nil && m.attempt != nil:
+		case err == nil && m.unacknowledged != nil:
 			t.Fatalf("acknowledged after a failure")
 		case err == nil:
 			m.stored = next
-		case m.attempt == nil:
-			m.attempt = &next
+		case m.unacknowledged == nil:
+			m.unacknowledged = &next
 		}
 	}
 }
--- a/io/tackdisk/disk.go
+++ b/io/tackdisk/disk.go
@@ -1,9 +1,9 @@
-// Package tackdisk keeps what a voter must not forget in a data folder: its
-// term and vote, its log entries, and the newest snapshot.
+// Package tackdisk stores the durable state of a voter in a data folder: its term and vote, its
+// log entries, and the newest snapshot.
 //
-// The folder holds one log file and at most one snapshot, besides a lock and
-// an identity. Opening the folder and saving a snapshot both write a new log
-// file, so that no file is ever written to by two processes in turn.
+// The folder contains one log file, at most one snapshot, a lock file and an identity file.
+// Opening the folder and saving a snapshot both start a new log file, so that no file is ever
+// written by two processes one after the other.
 package tackdisk
 
 import (
@@ -21,30 +21,29 @@
 )
 
 const (
-	// DefaultMaxRecordBytes bounds one record of the log, and with it what
-	// one call of Save may carry.
+	// DefaultMaxRecordBytes is the maximum size of a record of the log, and so of what one
+	// call of Save can store.
 	DefaultMaxRecordBytes = 64 << 20
-	// DefaultMaxSnapshotBytes bounds a snapshot.
+	// DefaultMaxSnapshotBytes is the maximum size of a snapshot.
 	DefaultMaxSnapshotBytes = 1 << 30
 )
 
 type (
-	// Options says whose folder is opened. Only Peer is required.
+	// Options are the options of Open. Only Peer is required.
 	Options struct {
 		// Peer is the VM that owns the folder.
 		Peer tackid.Peer
-		// Logger is told of torn records and failures; nil discards them.
+		// Logger logs torn records and failures. If nil, nothing is logged.
 		Logger logrus.FieldLogger
-		// Files is where the folder lies; nil is the operating system.
+		// Files is the file system. If nil, it is that of the operating system.
 		Files Files
-		// MaxRecordBytes and MaxSnapshotBytes are bounds in bytes; zero takes
-		// the defaults.
+		// MaxRecordBytes and MaxSnapshotBytes are size limits. If zero, the defaults are used.
 		MaxRecordBytes   int
 		MaxSnapshotBytes int
 	}
 
-	// Disk is an open data folder. Its methods may be called from several
-	// goroutines; saves go on while a snapshot is written.
+	// Disk is an open data folder. It is safe for concurrent use, and Save does not wait while
+	// a snapshot is written.
 	Disk struct {
 		folder string
 		opt    Options
@@ -54,11 +53,11 @@
 		syncs  atomic.Uint64
 		bytes  atomic.Uint64
 
-		// snapshots lets one snapshot be saved at a time; it is taken before
-		// mu, and without mu while the snapshot itself is written.
+		// snapshots serializes SaveSnapshot. It is locked before mu, and is held without mu
+		// while the snapshot file is written.
 		snapshots sync.Mutex
 		mu        sync.Mutex
-		state     replay
+		state     logState
 		// sequence is the number of the newest log file.
 		sequence uint64
 		log      *logFile
@@ -67,12 +66,11 @@
 	}
 )
 
-// Open opens the data folder, creates it where there is none, and returns
-// what it holds. A torn last record is left out and logged: it was never
-// answered as durable. The error is a *CorruptError where anything else is
-// broken, an *InUseError where another process has the folder open, an
-// *IdentityError where the folder belongs to another VM, a *VersionError where
-// a later release wrote it.
+// Open opens the data folder, creating it if necessary, and returns its contents. A torn last
+// record is dropped and logged, since it was never acknowledged as durable. The error is a
+// *CorruptError if anything else is damaged, an *InUseError if another process has the folder
+// open, an *IdentityError if the folder belongs to another VM, or a *VersionError if a later
+// release wrote it.
 func Open(folder string, opt Options) (*Disk, tackreplica.Stored, error) {
 	d := &Disk{folder: folder, opt: opt.withDefaults()}
 	d.files = d.opt.Files
@@ -84,11 +82,10 @@
 	return d, stored, nil
 }
 
-// Save makes hard, unless it is nil, and entries durable with one write and
-// one sync. Entries that overlap earlier ones replace them and all that
-// follow. After any failed write or sync the disk has failed for good, and
-// this and every later call returns a *FailedError. A *TooLargeError or
-// *GapError says that nothing was written and the disk is still good.
+// Save makes hard, unless it is nil, and entries durable with one write and one sync. Entries
+// that overlap earlier ones replace them and all that follow. After a failed write or sync the
+// disk is not used again: this and every later call returns a *FailedError. After a
+// *TooLargeError or a *GapError nothing was written and the disk is still usable.
 func (d *Disk) Save(hard *tackreplica.HardState, entries []tackreplica.Entry) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -113,10 +110,10 @@
 	return nil
 }
 
-// SaveSnapshot makes s durable and then drops the log up to it. A snapshot
-// that is not newer than the one on disk changes nothing. Save may be called
-// meanwhile, but not with entries that follow a snapshot which the log
-// disagrees with: those wait until this returns. Errors are those of Save.
+// SaveSnapshot makes s durable and then removes the log entries that it covers. If s is not
+// newer than the snapshot on disk, nothing is changed. Save may be called concurrently, except
+// with entries that follow s if the log conflicts with s: these must be saved after
+// SaveSnapshot has returned. The errors are those of Save.
 func (d *Disk) SaveSnapshot(s tackreplica.Snapshot) error {
 	d.snapshots.Lock()
 	defer d.snapshots.Unlock()
@@ -137,8 +134,8 @@
 	if err := d.usable(); err != nil {
 		return err
 	}
-	d.state.compact(mark{Index: s.Index, Term: s.Term})
-	if err := d.rewrite(); err != nil {
+	d.state.compact(snapshotMeta{Index: s.Index, Term: s.Term})
+	if err := d.rewriteLog(); err != nil {
 		return d.fail(err)
 	}
 	return nil
@@ -148,7 +145,7 @@
 func (d *Disk) newer(s tackreplica.Snapshot) (bool, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return s.Index > d.state.mark.Index, d.usable()
+	return s.Index > d.state.snapshot.Index, d.usable()
 }
 
 // Syncs returns the number of syncs of files and folders since Open.
@@ -156,7 +153,7 @@
 	return d.syncs.Load()
 }
 
-// Bytes returns the number of bytes written since Open.
+// Bytes returns the number of bytes written to files since Open.
 func (d *Disk) Bytes() uint64 {
 	return d.bytes.Load()
 }
@@ -171,7 +168,7 @@
 	return d.failed
 }
 
-// Close releases the folder. All that was saved is durable already.
+// Close releases the folder. Saved data is already durable.
 func (d *Disk) Close() error {
 	d.snapshots.Lock()
 	defer d.snapshots.Unlock()
@@ -194,18 +191,17 @@
 	return nil
 }
 
-// fail gives the disk up. After a failed sync the kernel may have marked the
-// lost pages as clean, so that a second sync of the same file succeeds with
-// nothing on the disk; a short write leaves half a record that a later one
-// would follow. One would notice either only at the next restart, as a vote
-// or an entry that was answered for and is gone.
+// fail marks the disk as failed. After a failed sync the kernel may have marked the lost pages
+// as clean, so that a second sync of the same file succeeds although the data is not on the
+// disk. A short write leaves a partial record, which a later record would follow. Either would
+// be noticed only at the next restart, as the loss of a vote or an entry that was acknowledged.
 func (d *Disk) fail(err error) error {
 	if d.failed != nil {
 		return d.failed
 	}
 	d.failed = &FailedError{Folder: d.folder, Err: err}
 	d.opt.Logger.WithError(err).WithField("folder", d.folder).
-		Error("data folder failed, it is not used again before a restart")
+		Error("data folder failed; it is not used again until a restart")
 	return d.failed
 }
 
--- a/io/tackdisk/disk_test.go
+++ b/io/tackdisk/disk_test.go
@@ -20,7 +20,7 @@
 }
 
 func TestReopen(t *testing.T) {
-	Convey("What was saved is there after a restart", t, func() {
+	Convey("Saved data is present after a restart", t, func() {
 		folder := t.TempDir() + "/state"
 		d, stored, err := Open(folder, Options{Peer: "rennes-a-1"})
 		So(err, ShouldBeNil)
@@ -44,11 +44,9 @@
 	})
 }
 
-// Symptom: a leader loses its lease each time it takes a snapshot.
-// Sequence: the snapshot is large, entries are to be saved while it is
-// written.
-// Cause: a save that waits for the snapshot. It must not, and what it saved
-// meanwhile must outlast the dropping of the log.
+// Guards against a leader that loses its lease at each snapshot because saves wait while a large
+// snapshot is written. Saves must not wait, and the entries saved in the meantime must not be
+// lost when the log is compacted.
 func TestSaveDuringSnapshot(t *testing.T) {
 	Convey("Entries are saved while the snapshot is written", t, func() {
 		files := newFaultyFiles()
@@ -60,19 +58,20 @@
 			So(d.Save(nil, entries(1, 4, 5)), ShouldBeNil)
 		}
 		So(d.SaveSnapshot(tackreplica.Snapshot{Index: 3, Term: 1}), ShouldBeNil)
-		files.powerCut(func() bool { return false })
+		files.powerFailure(func() bool { return false })
 		_, stored, err := Open("/state", Options{Peer: "a", Files: files})
 		So(err, ShouldBeNil)
 		So(stored.Entries, ShouldResemble, entries(1, 4, 5))
 	})
 }
 
-// TestCostOfSaves holds what a save costs the disk, whatever the machine.
+// TestCostOfSaves checks the number of syncs and bytes of a save, which do not depend on the
+// machine.
 func TestCostOfSaves(t *testing.T) {
 	cases := []struct{ entries, maxBytes int }{{1, 200}, {16, 3_000}, {256, 47_000}}
 	for _, c := range cases {
 		t.Run(fmt.Sprintf("entries=%d", c.entries), func(t *testing.T) {
-			Convey("One sync, and few bytes beyond the entries", t, func() {
+			Convey("One sync, and few bytes more than the entries", t, func() {
 				d, _, err := Open("/state", Options{Peer: "a", Files: newFaultyFiles()})
 				So(err, ShouldBeNil)
 				bytes, syncs := d.Bytes(), d.Syncs()
--- a/io/tackdisk/errors.go
+++ b/io/tackdisk/errors.go
@@ -8,17 +8,16 @@
 )
 
 var (
-	errClosed   = errors.New("closed")
-	errFrame    = errors.New("length or checksum is wrong")
-	errCut      = errors.New("ends before the records it began with")
-	errSnapshot = errors.New("the snapshot that the log follows is missing")
-	errIdentity = errors.New("missing beside a log or a snapshot")
-	errHeader   = errors.New("header is missing or stands twice")
+	errClosed     = errors.New("closed")
+	errFrame      = errors.New("length or checksum is wrong")
+	errTruncated  = errors.New("file is truncated")
+	errNoSnapshot = errors.New("the snapshot that the log refers to is missing")
+	errNoIdentity = errors.New("identity is missing although there is a log or a snapshot")
+	errHeader     = errors.New("header is missing or duplicate")
 )
 
 type (
-	// CorruptError reports a file whose content cannot be what was written:
-	// something other than the last write of a process was damaged.
+	// CorruptError reports a damaged file. A torn last write is not reported as damage.
 	CorruptError struct {
 		File   string
 		Offset int64
@@ -38,25 +37,24 @@
 		Got    tackid.Peer
 	}
 
-	// FailedError reports a disk that is not used again, and what it failed
-	// with.
+	// FailedError reports a disk that can no longer be used. Err is the reason.
 	FailedError struct {
 		Folder string
 		Err    error
 	}
 
-	// TooLargeError reports a record or snapshot over its bound.
+	// TooLargeError reports a record or snapshot that exceeds its size limit.
 	TooLargeError struct {
 		Bytes int
 		Limit int
 	}
 
-	// VersionError reports a format that a later release wrote.
+	// VersionError reports a folder written in the format of a later release.
 	VersionError struct {
 		Version int
 	}
 
-	// GapError reports an entry that does not follow the log.
+	// GapError reports an entry that would leave a gap in the log.
 	GapError struct {
 		Index tackid.Revision
 		Want  tackid.Revision
@@ -68,7 +66,7 @@
 	return fmt.Sprintf("tackdisk: %s is corrupt at byte %d: %v", e.File, e.Offset, e.Err)
 }
 
-// Unwrap returns what is wrong there.
+// Unwrap returns the kind of damage.
 func (e *CorruptError) Unwrap() error { return e.Err }
 
 // Error implements error.
@@ -76,7 +74,7 @@
 	return fmt.Sprintf("tackdisk: %s is in use by another process: %v", e.Folder, e.Err)
 }
 
-// Unwrap returns the error of the lock.
+// Unwrap returns the error of locking the folder.
 func (e *InUseError) Unwrap() error { return e.Err }
 
 // Error implements error.
@@ -89,17 +87,17 @@
 	return fmt.Sprintf("tackdisk: %s has failed: %v", e.Folder, e.Err)
 }
 
-// Unwrap returns what the disk failed with.
+// Unwrap returns the error that the disk failed with.
 func (e *FailedError) Unwrap() error { return e.Err }
 
 // Error implements error.
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("tackdisk: %d bytes are over the bound of %d", e.Bytes, e.Limit)
+	return fmt.Sprintf("tackdisk: %d bytes exceed the limit of %d", e.Bytes, e.Limit)
 }
 
 // Error implements error.
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("tackdisk: format version %d, this release reads up to %d", e.Version, formatVersion)
+	return fmt.Sprintf("tackdisk: format version %d is not supported, this release reads versions up to %d", e.Version, formatVersion)
 }
 
 // Error implements error.
--- a/io/tackdisk/fault_test.go
+++ b/io/tackdisk/fault_test.go
@@ -11,34 +11,35 @@
 var errFault = errors.New("injected fault")
 
 type (
-	// fault is what happens to one operation of a faultyFiles.
+	// fault is the kind of fault injected into an operation of a faultyFiles.
 	fault int
 
-	// faultyFiles is a file system in memory. A power cut takes away what was
-	// not synced, or any part of it; a fault makes an operation fail.
+	// faultyFiles is an in-memory file system. A power failure discards all or part of the data
+	// that was not synced. A fault makes an operation fail.
 	faultyFiles struct {
-		// names are what a process sees, durable what is on the disk.
-		names, durable map[string]*inode
-		pending        []renaming
-		locked         bool
-		// operations counts what was asked; at is the one that fault hits.
+		// visible are the files that a process sees, durable those on the disk.
+		visible, durable map[string]*inode
+		pending          []nameChange
+		locked           bool
+		// operations is the number of operations so far. The fault is injected into the one
+		// with number at.
 		operations int
 		at         int
 		fault      fault
 		onCreate   func(name string)
 	}
 
-	// inode is a file. A failed sync leaves its bytes readable and no longer
-	// due for writing, as Linux does.
+	// inode is a file. After a failed sync the data can still be read but is not written to
+	// the disk by a later sync, as on Linux.
 	inode struct {
 		data   []byte
 		synced int
 		lost   [][2]int
 	}
 
-	// renaming is a change of names that is not durable yet; a nil file
-	// removes the name.
-	renaming struct {
+	// nameChange is a change of a directory entry that is not durable yet. A nil file removes
+	// the entry.
+	nameChange struct {
 		name string
 		file *inode
 	}
@@ -53,22 +54,22 @@
 
 const (
 	noFault fault = iota
-	// failOperation fails with no effect; a sync loses what it should sync.
+	// failOperation makes an operation fail without effect; a sync loses its data.
 	failOperation
-	// shortWrite writes half and says so.
+	// shortWrite writes half of the data and returns an error.
 	shortWrite
-	// silentShortWrite writes half and gives no error.
+	// silentShortWrite writes half of the data and returns no error.
 	silentShortWrite
-	// stopProcess fails this operation and all that follow.
+	// stopProcess makes this operation and all later ones fail.
 	stopProcess
-	faults
+	faultCount
 )
 
 func newFaultyFiles() *faultyFiles {
-	return &faultyFiles{names: map[string]*inode{}, durable: map[string]*inode{}}
+	return &faultyFiles{visible: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
-// next returns the fault of the operation that begins.
+// next starts an operation and returns its fault.
 func (f *faultyFiles) next() fault {
 	f.operations++
 	if f.operations == f.at || (f.operations > f.at && f.fault == stopProcess) {
@@ -81,30 +82,30 @@
 	f.fault, f.at = kind, f.operations+after
 }
 
-// kill ends the process: its lock goes, the kernel's cache stays.
+// kill simulates the end of the process: its lock is released, the kernel's cache is kept.
 func (f *faultyFiles) kill() {
 	f.locked = false
 	f.fault = noFault
 }
 
-// powerCut leaves what was synced and what keep says of the rest: keep is
-// asked for each pending name, and for each byte that was not synced.
-func (f *faultyFiles) powerCut(keep func() bool) {
+// powerFailure simulates a power failure. It keeps the synced data and those pending directory
+// entries and unsynced bytes for which keep returns true.
+func (f *faultyFiles) powerFailure(keep func() bool) {
 	f.kill()
 	for _, r := range f.pending {
 		if keep() {
-			f.settle(r)
+			f.makeDurable(r)
 		}
 	}
 	f.pending = nil
-	f.names = map[string]*inode{}
+	f.visible = map[string]*inode{}
 	for name, file := range f.durable {
-		file.cut(keep)
-		f.names[name] = file
+		file.truncate(keep)
+		f.visible[name] = file
 	}
 }
 
-func (f *faultyFiles) settle(r renaming) {
+func (f *faultyFiles) makeDurable(r nameChange) {
 	if r.file == nil {
 		delete(f.durable, r.name)
 		return
@@ -112,8 +113,9 @@
 	f.durable[r.name] = r.file
 }
 
-// cut ends the file after the last byte that keep kept and spoils the others.
-func (i *inode) cut(keep func() bool) {
+// truncate truncates the file after the last unsynced byte for which keep returns true, and zeroes the
+// unsynced bytes that are not kept.
+func (i *inode) truncate(keep func() bool) {
 	for _, span := range append(i.lost, [2]int{i.synced, len(i.data)}) {
 		end := span[0]
 		for n := span[0]; n < span[1]; n++ {
@@ -130,9 +132,9 @@
 	i.synced, i.lost = len(i.data), nil
 }
 
-func (f *faultyFiles) MkdirAll(string) error { return f.simple() }
+func (f *faultyFiles) MkdirAll(string) error { return f.operation() }
 
-func (f *faultyFiles) simple() error {
+func (f *faultyFiles) operation() error {
 	if f.next() != noFault {
 		return errFault
 	}
@@ -140,7 +142,7 @@
 }
 
 func (f *faultyFiles) Create(name string) (File, error) {
-	if err := f.simple(); err != nil {
+	if err := f.operation(); err != nil {
 		return nil, err
 	}
 	if f.onCreate != nil {
@@ -152,18 +154,18 @@
 }
 
 func (f *faultyFiles) change(name string, file *inode) {
-	f.names[name] = file
+	f.visible[name] = file
 	if file == nil {
-		delete(f.names, name)
+		delete(f.visible, name)
 	}
-	f.pending = append(f.pending, renaming{name: name, file: file})
+	f.pending = append(f.pending, nameChange{name: name, file: file})
 }
 
 func (f *faultyFiles) ReadFile(name string) ([]byte, error) {
-	if err := f.simple(); err != nil {
+	if err := f.operation(); err != nil {
 		return nil, err
 	}
-	file := f.names[name]
+	file := f.visible[name]
 	if file == nil {
 		return nil, fs.ErrNotExist
 	}
@@ -171,11 +173,11 @@
 }
 
 func (f *faultyFiles) List(folder string) ([]string, error) {
-	if err := f.simple(); err != nil {
+	if err := f.operation(); err != nil {
 		return nil, err
 	}
 	var names []string
-	for name := range f.names {
+	for name := range f.visible {
 		if filepath.Dir(name) == folder {
 			names = append(names, filepath.Base(name))
 		}
@@ -185,17 +187,17 @@
 }
 
 func (f *faultyFiles) Rename(from, to string) error {
-	if err := f.simple(); err != nil {
+	if err := f.operation(); err != nil {
 		return err
 	}
-	file := f.names[from]
+	file := f.visible[from]
 	f.change(from, nil)
 	f.change(to, file)
 	return nil
 }
 
 func (f *faultyFiles) Remove(name string) error {
-	if err := f.simple(); err != nil {
+	if err := f.operation(); err != nil {
 		return err
 	}
 	f.change(name, nil)
@@ -203,11 +205,11 @@
 }
 
 func (f *faultyFiles) SyncFolder(string) error {
-	if err := f.simple(); err != nil {
+	if err := f.operation(); err != nil {
 		return err
 	}
 	for _, r := range f.pending {
-		f.settle(r)
+		f.makeDurable(r)
 	}
 	f.pending = nil
 	return nil
--- a/io/tackdisk/files.go
+++ b/io/tackdisk/files.go
@@ -10,36 +10,36 @@
 )
 
 type (
-	// Files is what a Disk needs of a file system. Tests put one in its place
-	// that fails, or that loses what was not synced.
+	// Files is the file system that a Disk uses. Tests implement one that fails or loses data
+	// that was not synced.
 	Files interface {
 		// MkdirAll creates a folder and its parents.
 		MkdirAll(folder string) error
-		// Create creates or empties a file for writing.
+		// Create creates or truncates a file and opens it for writing.
 		Create(name string) (File, error)
-		// ReadFile returns the content of a file; the error is fs.ErrNotExist
-		// where there is none.
+		// ReadFile returns the content of a file. The error is fs.ErrNotExist if there is no
+		// such file.
 		ReadFile(name string) ([]byte, error)
-		// List returns the names in a folder.
+		// List returns the names of the files in a folder.
 		List(folder string) ([]string, error)
-		// Rename replaces the file at to, in one step.
+		// Rename renames a file and atomically replaces the file at to.
 		Rename(from, to string) error
 		// Remove removes a file.
 		Remove(name string) error
-		// SyncFolder makes the names in a folder durable.
+		// SyncFolder makes the directory entries of a folder durable.
 		SyncFolder(folder string) error
-		// Lock takes the lock file for this process until it is closed.
+		// Lock acquires an exclusive lock on a file, until the result is closed.
 		Lock(name string) (io.Closer, error)
 	}
 
 	// File is an open file of Files.
 	File interface {
 		io.WriteCloser
-		// Sync makes what was written durable.
+		// Sync makes the written data durable.
 		Sync() error
 	}
 
-	// OSFiles are the files of the operating system.
+	// OSFiles is the file system of the operating system.
 	OSFiles struct{}
 )
 
--- a/io/tackdisk/folder.go
+++ b/io/tackdisk/folder.go
@@ -26,8 +26,8 @@
 	identityLimit   = 1 << 16
 )
 
-// identity says whose folder this is. Folder is random, so that no two
-// folders' records can be taken for each other's.
+// identity identifies the folder and its owner. Folder is a random number, so that the records
+// of one folder are not accepted in another.
 type identity struct {
 	Version int         `cbor:"1,keyasint"`
 	Peer    tackid.Peer `cbor:"2,keyasint"`
@@ -36,34 +36,34 @@
 
 func (i identity) salt() uint64 { return i.Folder }
 
-// open takes the folder and reads it, then starts a new log file.
+// open locks and reads the folder, then starts a new log file.
 func (d *Disk) open() (tackreplica.Stored, error) {
-	if err := d.enter(); err != nil {
+	if err := d.lockFolder(); err != nil {
 		return tackreplica.Stored{}, err
 	}
 	names, err := d.files.List(d.folder)
 	if err != nil {
 		return tackreplica.Stored{}, fmt.Errorf("tackdisk: list %s: %w", d.folder, err)
 	}
-	if err := d.identify(names); err != nil {
+	if err := d.loadIdentity(names); err != nil {
 		return tackreplica.Stored{}, err
 	}
 	snapshot, err := d.readSnapshot(names)
 	if err != nil {
 		return tackreplica.Stored{}, err
 	}
-	if err := d.readState(names, mark{Index: snapshot.Index, Term: snapshot.Term}); err != nil {
+	if err := d.readState(names, snapshotMeta{Index: snapshot.Index, Term: snapshot.Term}); err != nil {
 		return tackreplica.Stored{}, err
 	}
-	if err := d.rewrite(); err != nil {
+	if err := d.rewriteLog(); err != nil {
 		return tackreplica.Stored{}, fmt.Errorf("tackdisk: start a log file: %w", err)
 	}
 	return d.stored(snapshot), nil
 }
 
-// enter creates the folder where there is none, and locks it. Two processes
-// on one folder would each overwrite what the other answered for.
-func (d *Disk) enter() error {
+// lockFolder creates the folder if necessary and locks it. Without the lock, two processes that use
+// the same folder would overwrite data that the other has acknowledged.
+func (d *Disk) lockFolder() error {
 	if err := d.files.MkdirAll(d.folder); err != nil {
 		return fmt.Errorf("tackdisk: create folder: %w", err)
 	}
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// identify reads the identity, or gives the folder one where it is new.
-func (d *Disk) identify(names []string) error {
+// loadIdentity reads the identity of the folder, or creates it if the folder is new.
+func (d *Disk) loadIdentity(names []string) error {
 	data, err := d.files.ReadFile(d.path(identityName))
 	if errors.Is(err, fs.ErrNotExist) {
 		return d.createIdentity(names)
@@ -87,7 +87,7 @@
 	if err != nil {
 		return fmt.Errorf("tackdisk: read identity: %w", err)
 	}
-	payload, ok := unframe(data, place{}, identityLimit)
+	payload, ok := unframe(data, recordLocation{}, identityLimit)
 	if !ok {
 		return d.corrupt(identityName, 0, errFrame)
 	}
@@ -108,7 +108,7 @@
 		_, isLog := parseName(name, logPrefix)
 		_, isSnapshot := parseName(name, snapshotPrefix)
 		if isLog || isSnapshot {
-			return d.corrupt(identityName, 0, errIdentity)
+			return d.corrupt(identityName, 0, errNoIdentity)
 		}
 	}
 	var random [8]byte
@@ -118,7 +118,7 @@
 	if err != nil {
 		return err
 	}
-	if err := d.writeFile(identityName, frame(payload, place{})); err != nil {
+	if err := d.writeFile(identityName, frame(payload, recordLocation{})); err != nil {
 		return fmt.Errorf("tackdisk: write identity: %w", err)
 	}
 	return nil
@@ -126,7 +126,7 @@
 
 // readSnapshot returns the newest snapshot, or the zero value.
 func (d *Disk) readSnapshot(names []string) (tackreplica.Snapshot, error) {
-	index, ok := newest(names, snapshotPrefix)
+	index, ok := highestNumber(names, snapshotPrefix)
 	if !ok {
 		return tackreplica.Snapshot{}, nil
 	}
@@ -135,7 +135,7 @@
 	if err != nil {
 		return tackreplica.Snapshot{}, fmt.Errorf("tackdisk: read snapshot: %w", err)
 	}
-	payload, ok := unframe(data, place{salt: d.id.salt()}, d.opt.MaxSnapshotBytes)
+	payload, ok := unframe(data, recordLocation{salt: d.id.salt()}, d.opt.MaxSnapshotBytes)
 	if !ok || len(data) != frameBytes+len(payload) {
 		return tackreplica.Snapshot{}, d.corrupt(name, 0, errFrame)
 	}
@@ -154,16 +154,16 @@
 	if len(payload) > limit {
 		return nil, &TooLargeError{Bytes: len(payload), Limit: limit}
 	}
-	return frame(payload, place{salt: salt}), nil
+	return frame(payload, recordLocation{salt: salt}), nil
 }
 
-// readState reads the newest log file and takes it together with the
-// snapshot. A process that ended between the two left a snapshot that is
-// newer than the log's header; the log is then dropped up to it here.
-func (d *Disk) readState(names []string, snapshot mark) error {
-	sequence, ok := newest(names, logPrefix)
+// readState reads the newest log file and combines it with the snapshot. If a process ended
+// after it saved a snapshot and before it started a new log file, the snapshot is newer than the
+// one in the log header. The entries that the snapshot covers are then removed here.
+func (d *Disk) readState(names []string, snapshot snapshotMeta) error {
+	sequence, ok := highestNumber(names, logPrefix)
 	if !ok {
-		d.state.mark = snapshot
+		d.state.snapshot = snapshot
 		return nil
 	}
 	content, err := d.readLog(sequence)
@@ -172,14 +172,14 @@
 	}
 	if content.torn >= 0 {
 		d.opt.Logger.WithField("file", d.path(logName(sequence))).WithField("offset", content.torn).
-			Warn("last record is torn and left out, it was never answered as durable")
+			Warn("dropped a torn last record, which was never acknowledged as durable")
 	}
 	d.state = content.state
 	d.sequence = sequence
-	if d.state.mark.Index > snapshot.Index {
-		return d.corrupt(logName(sequence), 0, errSnapshot)
+	if d.state.snapshot.Index > snapshot.Index {
+		return d.corrupt(logName(sequence), 0, errNoSnapshot)
 	}
-	if d.state.mark.Index < snapshot.Index {
+	if d.state.snapshot.Index < snapshot.Index {
 		d.state.compact(snapshot)
 	}
 	return nil
@@ -193,7 +193,7 @@
 	}
 }
 
-// writeFile makes a whole file durable under its name.
+// writeFile creates a file with the given content and makes it durable.
 func (d *Disk) writeFile(name string, data []byte) error {
 	file, err := d.createFile(name, data)
 	if err != nil {
@@ -202,16 +202,16 @@
 	return file.Close()
 }
 
-// createFile writes a file under a temporary name, syncs it, gives it its
-// name and syncs the folder, so that after a crash the name stands for the
-// whole content or does not exist. The file is left open for appending.
+// createFile writes a file under a temporary name, syncs it, renames it and syncs the folder, so
+// that after a crash the file either has its whole content or does not exist. The file stays
+// open for appending.
 func (d *Disk) createFile(name string, data []byte) (File, error) {
 	temporary := d.path(name + temporarySuffix)
 	file, err := d.files.Create(temporary)
 	if err != nil {
 		return nil, err
 	}
-	if err := d.fill(file, data); err != nil {
+	if err := d.writeAndSync(file, data); err != nil {
 		return nil, errors.Join(err, file.Close())
 	}
 	if err := d.files.Rename(temporary, d.path(name)); err != nil {
@@ -224,7 +224,7 @@
 	return file, nil
 }
 
-func (d *Disk) fill(file File, data []byte) error {
+func (d *Disk) writeAndSync(file File, data []byte) error {
 	n, err := file.Write(data)
 	d.bytes.Add(uint64(max(n, 0)))
 	if err == nil && n != len(data) {
@@ -256,8 +256,8 @@
 
 func isTemporary(name string) bool { return strings.HasSuffix(name, temporarySuffix) }
 
-// newest returns the highest number among the names with prefix.
-func newest(names []string, prefix string) (uint64, bool) {
+// highestNumber returns the highest number in the names with prefix.
+func highestNumber(names []string, prefix string) (uint64, bool) {
 	highest, found := uint64(0), false
 	for _, name := range names {
 		if n, ok := parseName(name, prefix); ok && (!found || n > highest) {
--- a/io/tackdisk/log.go
+++ b/io/tackdisk/log.go
@@ -11,18 +11,18 @@
 )
 
 type (
-	// mark is the place in the log that a snapshot stands for.
-	mark struct {
+	// snapshotMeta is the index and term of the last entry that a snapshot covers.
+	snapshotMeta struct {
 		Index tackid.Revision  `cbor:"1,keyasint"`
 		Term  tackreplica.Term `cbor:"2,keyasint"`
 	}
 
-	// replay is what the records read or written so far add up to: the
-	// entries that follow mark, without gaps.
-	replay struct {
-		mark    mark
-		hard    tackreplica.HardState
-		entries []tackreplica.Entry
+	// logState is the state that results from the records read or written so far. The entries
+	// follow the snapshot without gaps.
+	logState struct {
+		snapshot snapshotMeta
+		hard     tackreplica.HardState
+		entries  []tackreplica.Entry
 	}
 
 	// logFile is the log file that is being written.
@@ -34,17 +34,17 @@
 		offset   int64
 	}
 
-	// logContent is what was read from a log file.
+	// logContent is the content of a log file.
 	logContent struct {
-		state replay
-		// torn is the offset of a last record that is not whole, or -1.
+		state logState
+		// torn is the offset of an incomplete last record, or -1.
 		torn int64
 	}
 )
 
-// check returns an error where next does not follow from the state.
-func (p *replay) check(next record) error {
-	want := p.mark.Index + tackid.Revision(len(p.entries)) + 1
+// check returns a *GapError if the entries of next would leave a gap.
+func (p *logState) check(next record) error {
+	want := p.snapshot.Index + tackid.Revision(len(p.entries)) + 1
 	for _, e := range next.Entries {
 		if e.Index > want || e.Index == 0 {
 			return &GapError{Index: e.Index, Want: want}
@@ -54,41 +54,40 @@
 	return nil
 }
 
-// apply adds a record that passed check. Entries that the snapshot already
-// covers are passed over.
-func (p *replay) apply(next record) {
+// apply applies a record that passed check. Entries that the snapshot covers are skipped.
+func (p *logState) apply(next record) {
 	if next.Hard != nil {
 		p.hard = *next.Hard
 	}
 	for _, e := range next.Entries {
-		if e.Index <= p.mark.Index {
+		if e.Index <= p.snapshot.Index {
 			continue
 		}
-		keep := int(e.Index - p.mark.Index - 1)
+		keep := int(e.Index - p.snapshot.Index - 1)
 		p.entries = append(p.entries[:keep], e)
 	}
 }
 
-// compact drops what the snapshot at m covers. Where the log disagrees with
-// the snapshot, or ends before it, none of the log may stay: what follows the
-// place of disagreement was never committed.
-func (p *replay) compact(m mark) {
+// compact removes the entries that the snapshot at m covers. If the log conflicts with the
+// snapshot or ends before it, all entries are removed, since those after the conflict were never
+// committed.
+func (p *logState) compact(m snapshotMeta) {
 	agrees := func(e tackreplica.Entry) bool { return e.Index == m.Index && e.Term == m.Term }
 	i := slices.IndexFunc(p.entries, agrees)
 	p.entries = slices.Clone(p.entries[i+1:])
 	if i < 0 {
 		p.entries = nil
 	}
-	p.mark = m
+	p.snapshot = m
 }
 
 // frame encodes r for the end of the file.
 func (l *logFile) frame(r record, limit int) ([]byte, error) {
-	return encodeRecord(r, l.place(l.offset), limit)
+	return encodeRecord(r, l.location(l.offset), limit)
 }
 
-func (l *logFile) place(offset int64) place {
-	return place{salt: l.salt, sequence: l.sequence, offset: offset}
+func (l *logFile) location(offset int64) recordLocation {
+	return recordLocation{salt: l.salt, sequence: l.sequence, offset: offset}
 }
 
 // readLog reads the log file with the given sequence number.
@@ -98,19 +97,19 @@
 	if err != nil {
 		return logContent{}, fmt.Errorf("tackdisk: read log: %w", err)
 	}
-	at := place{salt: d.id.salt(), sequence: sequence}
+	at := recordLocation{salt: d.id.salt(), sequence: sequence}
 	return d.decodeLog(name, data, at)
 }
 
-// decodeLog adds up the records of a log file. Only a last record that was
-// written after the file got its name can be torn, since each is synced
-// before the next; anything else that is broken is damage.
-func (d *Disk) decodeLog(name string, data []byte, at place) (logContent, error) {
+// decodeLog decodes and applies the records of a log file. Only the last record can be torn, and
+// only if it was written after the file got its name, since each record is synced before the
+// next is written. Any other invalid record is reported as damage.
+func (d *Disk) decodeLog(name string, data []byte, at recordLocation) (logContent, error) {
 	content := logContent{torn: -1}
-	whole, n := 1, 0
+	initial, n := 1, 0
 	for ; at.offset < int64(len(data)); n++ {
 		payload, ok := unframe(data[at.offset:], at, d.opt.MaxRecordBytes)
-		if !ok && n >= whole && !anyRecord(data, at, d.opt.MaxRecordBytes) {
+		if !ok && n >= initial && !hasRecordAfter(data, at, d.opt.MaxRecordBytes) {
 			content.torn = at.offset
 			return content, nil
 		}
@@ -125,18 +124,17 @@
 			return content, d.corrupt(name, at.offset, err)
 		}
 		if next.Header != nil {
-			whole = next.Header.Records
+			initial = next.Header.Records
 		}
 		at.offset += frameBytes + int64(len(payload))
 	}
-	if n < whole {
-		return content, d.corrupt(name, at.offset, errCut)
+	if n < initial {
+		return content, d.corrupt(name, at.offset, errTruncated)
 	}
 	return content, nil
 }
 
-// add decodes one record and adds it up. The first must have a header, and
-// no other.
+// add decodes and applies one record. The first record, and no other, must have a header.
 func (c *logContent) add(payload []byte, first bool) (record, error) {
 	next, err := decodeRecord(payload)
 	if err != nil {
@@ -149,7 +147,7 @@
 		return record{}, &VersionError{Version: next.Header.Version}
 	}
 	if first {
-		c.state.mark = next.Header.Mark
+		c.state.snapshot = next.Header.Snapshot
 	}
 	if err := c.state.check(next); err != nil {
 		return record{}, err
@@ -158,10 +156,9 @@
 	return next, nil
 }
 
-// anyRecord reports whether a whole record begins anywhere after at. If one
-// does, the broken bytes at that place were followed by a later write, and
-// are no torn last record.
-func anyRecord(data []byte, at place, limit int) bool {
+// hasRecordAfter reports whether a valid record begins anywhere after at. If so, the invalid data at
+// that offset was followed by a later write and is not a torn last record.
+func hasRecordAfter(data []byte, at recordLocation, limit int) bool {
 	for at.offset++; at.offset < int64(len(data)); at.offset++ {
 		if _, ok := unframe(data[at.offset:], at, limit); ok {
 			return true
@@ -174,14 +171,12 @@
 	return &CorruptError{File: d.path(name), Offset: offset, Err: err}
 }
 
-// rewrite starts a new log file that holds the whole state, and removes the
-// files that it makes superfluous.
+// rewriteLog starts a new log file with the whole state and removes the files that it replaces.
 //
-// A process that met a failed sync may have left pages in the kernel's cache
-// that read well and are not on the disk. Its successor would build on them
-// and lose them at the next power cut. Written once more into a new file,
-// they are synced for certain or the error shows.
-func (d *Disk) rewrite() error {
+// After a failed sync, the kernel's cache may contain pages that can be read but are not on the
+// disk. The next process would rely on them and lose them at the next power failure. Writing
+// them into a new file guarantees that they are synced or that an error is reported.
+func (d *Disk) rewriteLog() error {
 	next := &logFile{salt: d.id.salt(), sequence: d.sequence + 1}
 	next.name = logName(next.sequence)
 	data, err := d.encodeState(next)
@@ -194,7 +189,7 @@
 	}
 	next.file, next.offset = file, int64(len(data))
 	if d.log != nil {
-		_ = d.log.file.Close() // synced, and about to be removed
+		_ = d.log.file.Close() // it is synced, and is removed below
 	}
 	d.log, d.sequence = next, next.sequence
 	return d.removeOld()
@@ -206,7 +201,7 @@
 	head := header{
 		Version:  formatVersion,
 		Sequence: next.sequence,
-		Mark:     d.state.mark,
+		Snapshot: d.state.snapshot,
 		Records:  1 + len(chunks),
 	}
 	hard := d.state.hard
@@ -216,7 +211,7 @@
 	}
 	var data []byte
 	for _, r := range records {
-		framed, err := encodeRecord(r, next.place(int64(len(data))), d.opt.MaxRecordBytes)
+		framed, err := encodeRecord(r, next.location(int64(len(data))), d.opt.MaxRecordBytes)
 		if err != nil {
 			return nil, err
 		}
@@ -225,8 +220,7 @@
 	return data, nil
 }
 
-// chunkEntries splits entries so that each chunk's data is about limit bytes
-// at most.
+// chunkEntries splits entries into chunks of at most about limit bytes of data.
 func chunkEntries(entries []tackreplica.Entry, limit int) [][]tackreplica.Entry {
 	const overhead = 64
 	var chunks [][]tackreplica.Entry
@@ -244,15 +238,15 @@
 	return chunks
 }
 
-// removeOld removes the files that the newest log and snapshot replace. Where
-// it is interrupted, the next Open removes the rest.
+// removeOld removes the files that the newest log and snapshot replace. If it is interrupted,
+// the next Open removes the rest.
 func (d *Disk) removeOld() error {
 	names, err := d.files.List(d.folder)
 	if err != nil {
 		return err
 	}
 	for _, name := range names {
-		if !d.superfluous(name) {
+		if !d.obsolete(name) {
 			continue
 		}
 		if err := d.files.Remove(d.path(name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -262,12 +256,12 @@
 	return nil
 }
 
-func (d *Disk) superfluous(name string) bool {
+func (d *Disk) obsolete(name string) bool {
 	if sequence, ok := parseName(name, logPrefix); ok {
 		return sequence < d.sequence
 	}
 	if index, ok := parseName(name, snapshotPrefix); ok {
-		return tackid.Revision(index) < d.state.mark.Index
+		return tackid.Revision(index) < d.state.snapshot.Index
 	}
 	return isTemporary(name)
 }
--- a/io/tackdisk/record.go
+++ b/io/tackdisk/record.go
@@ -11,8 +11,8 @@
 
 const (
 	formatVersion = 1
-	// frameBytes is the length of what precedes each record: its length, its
-	// checksum, and a checksum of these two, four bytes each.
+	// frameBytes is the size of the prefix of each record: its length, its checksum, and a
+	// checksum of these two, four bytes each.
 	frameBytes = 12
 )
 
@@ -22,38 +22,38 @@
 )
 
 type (
-	// record is what one write puts into the log. The first of a file has a
-	// Header; the others are one call of Save each.
+	// record is a record of the log. The first of a file has a Header. Records that are
+	// appended later contain the data of one call of Save each.
 	record struct {
 		Header  *header                `cbor:"1,keyasint,omitempty"`
 		Hard    *tackreplica.HardState `cbor:"2,keyasint,omitempty"`
 		Entries []tackreplica.Entry    `cbor:"3,keyasint,omitempty"`
 	}
 
-	// header opens a log file.
+	// header is the header of a log file.
 	header struct {
 		Version  int    `cbor:"1,keyasint"`
 		Sequence uint64 `cbor:"2,keyasint"`
-		// Mark is the snapshot that the file's entries follow.
-		Mark mark `cbor:"3,keyasint"`
-		// Records is how many records were written before the file got its
-		// name, this one among them. They were synced as a whole, so that a
-		// broken one among them is never a torn write.
+		// Snapshot is the snapshot that the entries of the file follow.
+		Snapshot snapshotMeta `cbor:"3,keyasint"`
+		// Records is the number of records, including this one, that were written before the
+		// file got its name. They were synced together, so an invalid one among them is never
+		// a torn write.
 		Records int `cbor:"4,keyasint"`
 	}
 
-	// place is where a record was written. It goes into the checksum, so that
-	// bytes left over from another file, or a copy of a record inside an
-	// entry's data, are not taken for a record of this place.
-	place struct {
+	// recordLocation is the location at which a record was written. It is included in the checksums, so
+	// that data of another file, or a copy of a record inside the data of an entry, is not
+	// accepted as a record at this location.
+	recordLocation struct {
 		salt     uint64
 		sequence uint64
 		offset   int64
 	}
 )
 
-// frame returns payload with its length and checksums in front.
-func frame(payload []byte, at place) []byte {
+// frame returns payload with its length and checksums prepended.
+func frame(payload []byte, at recordLocation) []byte {
 	framed := make([]byte, frameBytes, frameBytes+len(payload))
 	seed := at.seed()
 	binary.LittleEndian.PutUint32(framed, uint32(len(payload)))
@@ -62,9 +62,9 @@
 	return append(framed, payload...)
 }
 
-// unframe returns the payload at the head of data, or false where no whole
-// record with right checksums begins there.
-func unframe(data []byte, at place, limit int) ([]byte, bool) {
+// unframe returns the payload of the record at the start of data, or false if there is no
+// complete record with valid checksums.
+func unframe(data []byte, at recordLocation, limit int) ([]byte, bool) {
 	if len(data) < frameBytes {
 		return nil, false
 	}
@@ -80,8 +80,8 @@
 	return payload, binary.LittleEndian.Uint32(data[4:]) == crc32.Update(seed, castagnoli, payload)
 }
 
-// seed is what the checksums of a record at this place begin with.
-func (p place) seed() uint32 {
+// seed returns the initial value of the checksums of a record at this location.
+func (p recordLocation) seed() uint32 {
 	var where [24]byte
 	binary.LittleEndian.PutUint64(where[:], p.salt)
 	binary.LittleEndian.PutUint64(where[8:], p.sequence)
@@ -89,15 +89,15 @@
 	return crc32.Checksum(where[:], castagnoli)
 }
 
-// decodeRecord decodes the payload of a record. Unknown fields are passed
-// over, so that an older release can read what a newer one wrote.
+// decodeRecord decodes the payload of a record. Unknown fields are ignored, so that an older
+// release can read the records of a newer one.
 func decodeRecord(payload []byte) (record, error) {
 	var r record
 	err := decoding.Unmarshal(payload, &r)
 	return r, err
 }
 
-func encodeRecord(r record, at place, limit int) ([]byte, error) {
+func encodeRecord(r record, at recordLocation, limit int) ([]byte, error) {
 	payload, err := cbor.Marshal(r)
 	if err != nil {
 		return nil, err
