--- a/io/tackreport/html.go
+++ b/io/tackreport/html.go
@@ -60,10 +60,10 @@
 
 var pageTemplate = template.Must(template.New("page").Parse(pageText))
 
-// HTML writes the report as one self-contained page: its style and its plots
-// are in it, and it loads nothing.
+// HTML writes the report as a self-contained page, which includes its style and plots and loads
+// no other resources.
 func HTML(w io.Writer, r tackburn.Report) error {
-	p := page{Time: r.Time.String(), Period: days(tackburn.Period)}
+	p := page{Time: r.Time.String(), Period: formatDuration(tackburn.Period)}
 	for _, s := range sections(r) {
 		ps, err := newPageSection(s)
 		if err != nil {
@@ -82,7 +82,7 @@
 	for i, l := range s.Lines {
 		if i == 0 {
 			for _, win := range l.Windows {
-				ps.Windows = append(ps.Windows, span(win.Span))
+				ps.Windows = append(ps.Windows, formatSpan(win.Span))
 			}
 		}
 		ps.Rows = append(ps.Rows, pageRow{Alert: string(l.Alert), Cells: cells(l)})
--- a/io/tackreport/plot.go
+++ b/io/tackreport/plot.go
@@ -21,13 +21,14 @@
 	lineHeight = 7 * vg.Centimeter
 	barHeight  = 0.6 * vg.Centimeter
 	barPadding = 2.5 * vg.Centimeter
-	maxLines   = 6 // of the plot over time; more cannot be told apart
+	maxLines   = 6 // of the plot over time; more lines cannot be distinguished
 
-	// legendRoom lengthens an axis so that the legend hides nothing.
-	legendRoom = 1.5
+	// legendScale is the factor by which an axis is extended, so that the legend covers no
+	// data.
+	legendScale = 1.5
 )
 
-// palette holds colours that stay apart for readers with colour blindness.
+// palette contains colours that readers with colour blindness can distinguish.
 var palette = []color.Color{
 	color.RGBA{R: 0x00, G: 0x72, B: 0xb2, A: 0xff},
 	color.RGBA{R: 0xe6, G: 0x9f, B: 0x00, A: 0xff},
@@ -42,7 +43,7 @@
 	if len(s.Lines) == 0 {
 		return nil, nil
 	}
-	spent, err := spentPlot(s)
+	spent, err := budgetPlot(s)
 	if err != nil {
 		return nil, err
 	}
@@ -53,8 +54,8 @@
 	return []template.HTML{spent, overTime}, nil
 }
 
-// spentPlot shows for each line how much of the budget went, stacked by cause.
-func spentPlot(s section) (template.HTML, error) {
+// budgetPlot plots the used share of the budget of each line, stacked by cause.
+func budgetPlot(s section) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text = "error budget spent by cause"
 	p.X.Label.Text = "per cent of the budget"
@@ -64,7 +65,7 @@
 	slices.Reverse(lines)
 	var below *plotter.BarChart
 	for i, k := range causesOf(tackburn.Counts{}) {
-		bars, err := plotter.NewBarChart(shares(lines, i), barHeight*2/3)
+		bars, err := plotter.NewBarChart(budgetShares(lines, i), barHeight*2/3)
 		if err != nil {
 			return "", fmt.Errorf("tackreport: plot causes: %w", err)
 		}
@@ -79,13 +80,12 @@
 		p.Legend.Add(k.Name, bars)
 	}
 	p.NominalY(names(lines)...)
-	p.X.Max = max(p.X.Max, 100) * legendRoom
+	p.X.Max = max(p.X.Max, 100) * legendScale
 	return svg(p, barPadding+barHeight*vg.Length(len(lines)))
 }
 
-// shares returns, for each line, the per cent of its budget that its ith cause
-// used.
-func shares(lines []tackburn.Summary, i int) plotter.Values {
+// budgetShares returns, for each line, the percentage of its budget that the ith cause used.
+func budgetShares(lines []tackburn.Summary, i int) plotter.Values {
 	v := make(plotter.Values, len(lines))
 	for n, l := range lines {
 		if bad := l.Period.Bad(); bad > 0 {
@@ -104,8 +104,8 @@
 	return list
 }
 
-// burnPlot shows the burn rate by six hours over three days of the lines with
-// the least budget left.
+// burnPlot plots the burn rate over three days, in steps of six hours, of the lines with the
+// least budget left.
 func burnPlot(s section) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text = "burn rate by six hours"
@@ -114,8 +114,8 @@
 	p.X.Tick.Marker = plot.TimeTicks{Format: "01-02 15:04"}
 	p.Legend.Top = true
 	p.Add(plotter.NewGrid())
-	for i, l := range worst(s.Lines) {
-		line, err := plotter.NewLine(burns(l))
+	for i, l := range leastBudget(s.Lines) {
+		line, err := plotter.NewLine(burnPoints(l))
 		if err != nil {
 			return "", fmt.Errorf("tackreport: plot burn: %w", err)
 		}
@@ -124,12 +124,13 @@
 		p.Add(line)
 		p.Legend.Add(printable(l.Name), line)
 	}
-	p.Y.Max = max(p.Y.Max, 1) * legendRoom
+	p.Y.Max = max(p.Y.Max, 1) * legendScale
 	return svg(p, lineHeight)
 }
 
-// worst returns the lines that burnt most in three days, at most maxLines.
-func worst(lines []tackburn.Summary) []tackburn.Summary {
+// leastBudget returns the lines with the least budget left that have data for the plot, at most
+// maxLines.
+func leastBudget(lines []tackburn.Summary) []tackburn.Summary {
 	list := slices.DeleteFunc(slices.Clone(lines), func(l tackburn.Summary) bool { return len(l.Quarters) == 0 })
 	slices.SortStableFunc(list, func(a, b tackburn.Summary) int {
 		switch {
@@ -143,9 +144,9 @@
 	return list[:min(len(list), maxLines)]
 }
 
-// burns returns the burn rate over the quarters of days, to the end of the
-// last one.
-func burns(l tackburn.Summary) plotter.XYs {
+// burnPoints returns the points of the burn rate per quarter of a day, up to the end of the last
+// quarter.
+func burnPoints(l tackburn.Summary) plotter.XYs {
 	xys := make(plotter.XYs, 0, len(l.Quarters)+1)
 	for _, q := range l.Quarters {
 		xys = append(xys, plotter.XY{X: float64(q.Start) / 1000, Y: q.Counts.Burn(l.Objective)})
@@ -155,8 +156,7 @@
 	return append(xys, plotter.XY{X: float64(end) / 1000, Y: last.Counts.Burn(l.Objective)})
 }
 
-// svg draws a plot as an SVG element to stand inside HTML. The library
-// escapes all text.
+// svg renders a plot as an SVG element for inclusion in HTML. The library escapes all text.
 func svg(p *plot.Plot, height vg.Length) (template.HTML, error) {
 	canvas := vgsvg.New(plotWidth, height)
 	p.Draw(draw.New(canvas))
--- a/io/tackreport/report_test.go
+++ b/io/tackreport/report_test.go
@@ -16,12 +16,11 @@
 )
 
 const (
-	noon  = tackclock.Time(20_000 * tackclock.Day)
-	nasty = `</text><script src="http://x/">alert("1")</script>`
+	noon          = tackclock.Time(20_000 * tackclock.Day)
+	maliciousName = `</text><script src="http://x/">alert("1")</script>`
 )
 
-// report returns the report of a few days of n services, and one team whose
-// caller named it badly.
+// report returns a report on a few days of n services and one team with a malicious name.
 func report(n int) tackburn.Report {
 	var s tackburn.State
 	now := noon
@@ -32,17 +31,16 @@
 			c := tackburn.Counts{Good: 100_000, Late: uint64(i * 7), Refused: uint64(h % 5), Wave: uint64(h % 24), LatencyMS: 1_200_000}
 			sample.Services = append(sample.Services, tackburn.ServiceCounts{Service: tackid.Service(fmt.Sprintf("dawn-svc-%02d", i)), Counts: c})
 		}
-		sample.Teams = []tackburn.TeamCounts{{Team: tackid.Team(nasty + "\n\x1b[2J"), Counts: tackburn.Counts{Good: 1, Lost: 1}}}
+		sample.Teams = []tackburn.TeamCounts{{Team: tackid.Team(maliciousName + "\n\x1b[2J"), Counts: tackburn.Counts{Good: 1, Lost: 1}}}
 		s.Apply(now, sample)
 	}
 	return s.Report(now, tackburn.Settings{})
 }
 
-// Symptom: a report runs a caller's script in an operator's browser, moves the
-// operator's cursor, or needs the network to be shown.
-// Sequence: a caller sends requests under a team's name made of markup and
-// control characters; an operator opens the report.
-// Cause: names went into the page, its plots or the table as they came.
+// Guards against a report that runs a caller's script in the browser of an operator, sends
+// control sequences to the terminal, or loads resources from the network. A caller sends requests
+// with a team name that contains markup and control characters, and the name is written to the
+// page, its plots or the table without escaping.
 func TestNamesAreEscaped(t *testing.T) {
 	var page, text strings.Builder
 	if err := HTML(&page, report(3)); err != nil {
@@ -51,7 +49,7 @@
 	if err := Text(&text, report(3)); err != nil {
 		t.Fatal(err)
 	}
-	convey.Convey("nothing of the name is markup or control", t, func() {
+	convey.Convey("the name contains no markup or control characters", t, func() {
 		convey.So(page.String(), convey.ShouldNotContainSubstring, "<script")
 		convey.So(page.String(), convey.ShouldNotContainSubstring, "\x1b")
 		convey.So(page.String(), convey.ShouldContainSubstring, "&lt;script")
@@ -60,18 +58,18 @@
 	})
 	for _, loads := range []string{"<link", "<img", "<image", "@import", "url("} {
 		if strings.Contains(page.String(), loads) {
-			t.Errorf("the page holds %s", loads)
+			t.Errorf("the page contains %s", loads)
 		}
 	}
-	assertDrawn(t, page.String(), 4)
+	assertPlots(t, page.String(), 4)
 }
 
-// assertDrawn checks that the page holds n plots, each well-formed.
-func assertDrawn(t *testing.T, page string, n int) {
+// assertPlots checks that the page contains n plots and that each is well-formed.
+func assertPlots(t *testing.T, page string, n int) {
 	t.Helper()
 	parts := strings.Split(page, "<svg")
 	if len(parts) != n+1 {
-		t.Fatalf("the page holds %d plots, want %d", len(parts)-1, n)
+		t.Fatalf("the page contains %d plots, want %d", len(parts)-1, n)
 	}
 	for _, p := range parts[1:] {
 		body, _, _ := strings.Cut(p, "</svg>")
--- a/io/tackreport/text.go
+++ b/io/tackreport/text.go
@@ -1,5 +1,5 @@
-// Package tackreport renders the account of service levels for people: as a
-// table of text and as one HTML page that needs no other file.
+// Package tackreport formats the report of service levels as a text table and as a
+// self-contained HTML page.
 package tackreport
 
 import (
@@ -14,16 +14,15 @@
 	"auburntack/core/tackclock"
 )
 
-// section is one of the report's lists with its title.
+// section is one of the lists of the report, with its title.
 type section struct {
 	Title string
 	Lines []tackburn.Summary
 }
 
-// Text writes the report as a table for each of services, teams and labels
-// that has any.
+// Text writes the report as a table of services and, if there are any, of teams and of labels.
 func Text(w io.Writer, r tackburn.Report) error {
-	if _, err := fmt.Fprintf(w, "service levels at %s, error budget over %s\n", r.Time, days(tackburn.Period)); err != nil {
+	if _, err := fmt.Fprintf(w, "service levels at %s, error budget over %s\n", r.Time, formatDuration(tackburn.Period)); err != nil {
 		return fmt.Errorf("tackreport: write text: %w", err)
 	}
 	for _, s := range sections(r) {
@@ -34,8 +33,8 @@
 	return nil
 }
 
-// sections returns the lists of the report that hold anything; services
-// always, so that an empty report says so.
+// sections returns the lists of the report that are not empty. The list of services is always
+// included, so that an empty report says that there were no requests.
 func sections(r tackburn.Report) []section {
 	list := []section{{Title: "service", Lines: r.Services}}
 	for _, s := range []section{{"team", r.Teams}, {"label", r.Labels}} {
@@ -57,7 +56,7 @@
 	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(tab, "%s\tobjective\trequests\tbudget left", s.Title)
 	for _, win := range s.Lines[0].Windows {
-		fmt.Fprintf(tab, "\t%s", span(win.Span))
+		fmt.Fprintf(tab, "\t%s", formatSpan(win.Span))
 	}
 	fmt.Fprintln(tab, "\ttime left\tburnt by\tmean\talert")
 	for _, l := range s.Lines {
@@ -66,17 +65,17 @@
 	return tab.Flush()
 }
 
-// cells returns the columns of one line.
+// cells returns the cells of one line.
 func cells(l tackburn.Summary) []string {
-	list := []string{printable(l.Name), fmt.Sprintf("%g%%", l.Objective), fmt.Sprint(l.Period.Total()), percent(l.BudgetLeft)}
+	list := []string{printable(l.Name), fmt.Sprintf("%g%%", l.Objective), fmt.Sprint(l.Period.Total()), formatPercent(l.BudgetLeft)}
 	for _, win := range l.Windows {
-		list = append(list, burn(win))
+		list = append(list, formatBurn(win))
 	}
-	return append(list, timeLeft(l), causes(l.Period), mean(l.Period), cmp.Or(string(l.Alert), "-"))
+	return append(list, formatTimeLeft(l), formatCauses(l.Period), formatMean(l.Period), cmp.Or(string(l.Alert), "-"))
 }
 
-// printable replaces what would break a table or a terminal. Names of teams
-// come from callers.
+// printable replaces characters that are not printable, which could break the table or control
+// the terminal. The names of teams come from callers.
 func printable(name string) string {
 	return strings.Map(func(r rune) rune {
 		if !unicode.IsPrint(r) {
@@ -86,30 +85,30 @@
 	}, name)
 }
 
-func percent(share float64) string {
+func formatPercent(share float64) string {
 	return fmt.Sprintf("%.1f%%", share*100)
 }
 
-// burn formats a burn rate, "-" where nothing was counted.
-func burn(w tackburn.Window) string {
+// formatBurn formats a burn rate, or returns "-" if there were no requests.
+func formatBurn(w tackburn.Window) string {
 	if w.Counts.Total() == 0 {
 		return "-"
 	}
 	return fmt.Sprintf("%.2f", w.Burn)
 }
 
-func timeLeft(l tackburn.Summary) string {
+func formatTimeLeft(l tackburn.Summary) string {
 	switch {
 	case l.Lasting:
 		return "lasts"
 	case l.TimeLeft == 0:
 		return "spent"
 	}
-	return days(l.TimeLeft)
+	return formatDuration(l.TimeLeft)
 }
 
-// days formats a long duration in its two largest units.
-func days(d tackclock.Duration) string {
+// formatDuration formats a duration in days and hours or in hours and minutes.
+func formatDuration(d tackclock.Duration) string {
 	day, hour, minute := d/tackclock.Day, d%tackclock.Day/tackclock.Hour, d%tackclock.Hour/tackclock.Minute
 	switch {
 	case day > 0 && hour > 0:
@@ -122,8 +121,8 @@
 	return fmt.Sprintf("%dm", minute)
 }
 
-// span formats the span of a window.
-func span(d tackclock.Duration) string {
+// formatSpan formats the length of a window in its largest unit.
+func formatSpan(d tackclock.Duration) string {
 	switch {
 	case d >= tackclock.Day:
 		return fmt.Sprintf("%dd", d/tackclock.Day)
@@ -133,19 +132,19 @@
 	return fmt.Sprintf("%dm", d/tackclock.Minute)
 }
 
-// cause is one way in which requests went bad.
+// cause is the number of bad requests with one cause.
 type cause struct {
 	Name  string
 	Count uint64
 }
 
-// causesOf returns the ways in which requests went bad, in a fixed order.
+// causesOf returns the causes of bad requests, in a fixed order.
 func causesOf(c tackburn.Counts) []cause {
 	return []cause{{"late", c.Late}, {"refused", c.Refused}, {"lost", c.Lost}, {"wave", c.Wave}}
 }
 
-// causes says what burnt the budget, each cause with its share.
-func causes(c tackburn.Counts) string {
+// formatCauses formats the causes of bad requests with their percentages.
+func formatCauses(c tackburn.Counts) string {
 	var list []string
 	for _, k := range causesOf(c) {
 		if k.Count > 0 {
@@ -158,8 +157,8 @@
 	return strings.Join(list, ", ")
 }
 
-// mean formats the mean time of an answer.
-func mean(c tackburn.Counts) string {
+// formatMean formats the mean latency of answered requests.
+func formatMean(c tackburn.Counts) string {
 	answered := c.Good + c.Late
 	if answered == 0 {
 		return "-"
