--- a/io/tackmeasure/announcers.go
+++ b/io/tackmeasure/announcers.go
@@ -16,19 +16,18 @@
 )
 
 const (
-	announceLimit = 5 * time.Second
-	tryAgain      = 500 * time.Millisecond
-	// operatorConns bounds the connections to one operators' port.
+	announceTimeout = 5 * time.Second
+	retryInterval   = 500 * time.Millisecond
+	// operatorConns is the maximum number of connections to the operators' port of a daemon.
 	operatorConns = 32
-	perRack       = 4
+	vmsPerRack    = 4
 	pools         = 36
 	teams         = 45
 )
 
 type (
-	// Announcers are light backend servers and workers: they announce
-	// themselves and listen on nothing. Each announcement has a connection of
-	// its own, as it has where announcements are a minute apart.
+	// Announcers simulate backend servers and workers: they send announcements but do not
+	// listen. Each announcement uses a new connection, as those that are a minute apart do.
 	Announcers struct {
 		daemons []*tackstandin.Daemon
 		client  *http.Client
@@ -40,14 +39,14 @@
 		failed  atomic.Int64
 	}
 
-	// announcer is a backend server or a worker.
+	// announcer is a simulated backend server or worker.
 	announcer struct {
-		mu     sync.Mutex
-		says   announcement
-		silent bool
-		home   int
-		anew   chan struct{}
-		parent *Announcers
+		mu           sync.Mutex
+		announcement announcement
+		silent       bool
+		home         int
+		restarted    chan struct{}
+		parent       *Announcers
 	}
 
 	announcement struct {
@@ -66,21 +65,21 @@
 		State         string `json:"state"`
 	}
 
-	// countedConn adds what passes over a connection to bytes.
+	// countedConn adds the number of bytes sent and received on a connection to bytes.
 	countedConn struct {
 		net.Conn
 		bytes *atomic.Int64
 	}
 )
 
-// NewAnnouncers returns announcers that announce to the daemons.
+// NewAnnouncers returns announcers that send announcements to the daemons.
 func NewAnnouncers(daemons []*tackstandin.Daemon) *Announcers {
 	a := &Announcers{daemons: daemons, bytes: make(map[string]*atomic.Int64), stop: make(chan struct{})}
 	for _, d := range daemons {
 		a.bytes[d.Operator] = new(atomic.Int64)
 	}
 	a.client = &http.Client{
-		Timeout: announceLimit,
+		Timeout: announceTimeout,
 		Transport: &http.Transport{
 			DialContext:       a.dial,
 			DisableKeepAlives: true,
@@ -113,7 +112,7 @@
 	return n, err
 }
 
-// Grow adds backend servers and workers until there are n of each.
+// Grow adds backend servers and workers until there are n of each kind.
 func (a *Announcers) Grow(n int) {
 	for i := len(a.all) / 2; i < n; i++ {
 		a.start(i, a.backendServer(i))
@@ -121,8 +120,8 @@
 	}
 }
 
-func (a *Announcers) start(i int, says announcement) {
-	x := &announcer{says: says, home: i % len(a.daemons), anew: make(chan struct{}, 1), parent: a}
+func (a *Announcers) start(i int, body announcement) {
+	x := &announcer{announcement: body, home: i % len(a.daemons), restarted: make(chan struct{}, 1), parent: a}
 	a.all = append(a.all, x)
 	a.running.Add(1)
 	go x.run()
@@ -158,36 +157,36 @@
 }
 
 func rackName(d *tackstandin.Daemon, i, daemons int) string {
-	return fmt.Sprintf("%s-r%d", d.DataCentre, i/daemons/perRack)
+	return fmt.Sprintf("%s-r%d", d.DataCentre, i/daemons/vmsPerRack)
 }
 
 func vmName(i int) string      { return fmt.Sprintf("w-%d", i) }
 func serviceName(i int) string { return fmt.Sprintf("service-%d", i) }
 
-// Restart has the first n backend servers announce a new incarnation at once,
-// as after a restart.
+// Restart makes the first n backend servers announce a new incarnation immediately, as after a
+// restart.
 func (a *Announcers) Restart(n int) {
 	left := n
 	for _, x := range a.all {
-		if left > 0 && x.says.BackendServer != "" {
+		if left > 0 && x.announcement.BackendServer != "" {
 			x.restart()
 			left--
 		}
 	}
 }
 
-// RestartAll has everything announce a new incarnation at once.
+// RestartAll makes all backend servers and workers announce a new incarnation immediately.
 func (a *Announcers) RestartAll() {
 	for _, x := range a.all {
 		x.restart()
 	}
 }
 
-// Silence has everything in the data centre fall silent, or come back with a
-// new incarnation.
-func (a *Announcers) Silence(dataCentre string, silent bool) {
+// SetSilent stops the announcements of all backend servers and workers in the data centre, or
+// restarts them with a new incarnation.
+func (a *Announcers) SetSilent(dataCentre string, silent bool) {
 	for _, x := range a.all {
-		if x.says.DataCentre != dataCentre {
+		if x.announcement.DataCentre != dataCentre {
 			continue
 		}
 		x.mu.Lock()
@@ -199,13 +198,13 @@
 	}
 }
 
-// Counts returns how many announcements were taken and how many were not.
+// Counts returns the numbers of accepted and of failed announcements.
 func (a *Announcers) Counts() (taken, failed int64) {
 	return a.sent.Load(), a.failed.Load()
 }
 
-// Bytes returns what passed between the announcers and the daemon, without
-// the headers of TCP and IP.
+// Bytes returns the number of bytes transferred between the announcers and the daemon, without
+// TCP and IP headers.
 func (a *Announcers) Bytes(d *tackstandin.Daemon) int64 {
 	return a.bytes[d.Operator].Load()
 }
@@ -218,10 +217,10 @@
 
 func (x *announcer) restart() {
 	x.mu.Lock()
-	x.says.Incarnation++
+	x.announcement.Incarnation++
 	x.mu.Unlock()
 	select {
-	case x.anew <- struct{}{}:
+	case x.restarted <- struct{}{}:
 	default:
 	}
 }
@@ -234,23 +233,23 @@
 		case <-x.parent.stop:
 			timer.Stop()
 			return
-		case <-x.anew:
+		case <-x.restarted:
 			timer.Stop()
 		case <-timer.C:
 		}
 	}
 }
 
-// announce announces to the first daemon that takes it, those of home first,
-// and returns when to do so again: somewhat before it is due, by chance, so
-// that not all come together.
+// announce sends the announcement to the daemons, starting with home, until one accepts it. It
+// returns the delay until the next announcement, which is randomly shorter than the requested
+// one so that announcements are spread over time.
 func (x *announcer) announce() time.Duration {
 	x.mu.Lock()
 	silent := x.silent
-	body, err := json.Marshal(x.says)
+	body, err := json.Marshal(x.announcement)
 	x.mu.Unlock()
 	if err != nil || silent {
-		return tryAgain
+		return retryInterval
 	}
 	daemons := x.parent.daemons
 	for i := range daemons {
@@ -261,7 +260,7 @@
 		}
 		x.parent.failed.Add(1)
 	}
-	return tryAgain
+	return retryInterval
 }
 
 func (a *Announcers) post(operator string, body []byte) (time.Duration, bool) {
--- a/io/tackmeasure/cluster.go
+++ b/io/tackmeasure/cluster.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	dataCentres = 10
-	startLimit  = time.Minute
-	senders     = 32
-	doTries     = 20
+	dataCentres       = 10
+	startTimeout      = time.Minute
+	concurrentSenders = 32
+	maxAttempts       = 20
 )
 
-// cluster is a number of daemons with announcers.
+// cluster is a cluster of daemons with announcers and a platform.
 type cluster struct {
 	daemons    []*tackstandin.Daemon
 	announcers *Announcers
@@ -27,8 +27,8 @@
 	serial     atomic.Int64
 }
 
-// newCluster starts n daemons, of which the first replicas have a disk, in as
-// many data centres as there are up to ten.
+// newCluster starts n daemons, distributed over up to ten data centres. The first replicas of
+// them have a disk.
 func newCluster(ctx context.Context, binary, folder string, n, replicas int) (*cluster, error) {
 	var places []tackstandin.Place
 	for i := range n {
@@ -42,8 +42,8 @@
 		return nil, err
 	}
 	var err error
-	more := fmt.Sprintf("[platform]\naddress = %s\n", c.platform.address)
-	c.daemons, err = tackstandin.NewCluster(binary, folder, more, places)
+	settings := fmt.Sprintf("[platform]\naddress = %s\n", c.platform.address)
+	c.daemons, err = tackstandin.NewCluster(binary, folder, settings, places)
 	if err != nil {
 		c.stop()
 		return nil, err
@@ -59,7 +59,7 @@
 func (c *cluster) startDaemons() error {
 	failed := make(chan error, len(c.daemons))
 	for _, d := range c.daemons {
-		go func() { failed <- d.Start(startLimit) }()
+		go func() { failed <- d.Start(startTimeout) }()
 	}
 	var first error
 	for range c.daemons {
@@ -70,7 +70,7 @@
 	return first
 }
 
-// stop ends the announcers and every daemon that was started.
+// stop stops the announcers and all running daemons.
 func (c *cluster) stop() {
 	if c.announcers != nil {
 		c.announcers.Stop()
@@ -83,7 +83,7 @@
 	c.platform.stop()
 }
 
-// prepare makes the pools with a service each and the teams' quotas.
+// prepare creates the pools with one service each, and the quotas of the teams.
 func (c *cluster) prepare(ctx context.Context) error {
 	var first, second []string
 	for i := range pools {
@@ -93,13 +93,13 @@
 	for i := range teams {
 		first = append(first, fmt.Sprintf("set quota team-%d slots %d", i, 100))
 	}
-	if err := c.do(ctx, first); err != nil {
+	if err := c.doAll(ctx, first); err != nil {
 		return err
 	}
-	return c.do(ctx, second)
+	return c.doAll(ctx, second)
 }
 
-// grow adds VMs, each with a backend server and a worker, until there are n.
+// grow adds VMs, each with a backend server and a worker, until there are n VMs.
 func (c *cluster) grow(ctx context.Context, n int) error {
 	var commands []string
 	for i := c.vms; i < n; i++ {
@@ -107,15 +107,15 @@
 	}
 	c.vms = n
 	c.announcers.Grow(n)
-	return c.do(ctx, commands)
+	return c.doAll(ctx, commands)
 }
 
-// do has the commands accepted, some at the same time, through every daemon.
-func (c *cluster) do(ctx context.Context, commands []string) error {
+// doAll sends the commands concurrently, distributed over the daemons, until all are accepted.
+func (c *cluster) doAll(ctx context.Context, commands []string) error {
 	var sending sync.WaitGroup
 	var next atomic.Int64
-	failed := make(chan error, senders)
-	for range senders {
+	failed := make(chan error, concurrentSenders)
+	for range concurrentSenders {
 		sending.Add(1)
 		go func() {
 			defer sending.Done()
@@ -136,26 +136,26 @@
 	}
 }
 
-// doOne sends a command, with the same id, until it is accepted.
+// doOne sends a command until it is accepted, with the same ID in each attempt.
 func (c *cluster) doOne(ctx context.Context, i int, command string) error {
 	id := fmt.Sprintf("measure-%d", c.serial.Add(1))
 	var last string
-	for try := range doTries {
+	for try := range maxAttempts {
 		d := c.daemons[(i+try)%len(c.daemons)]
 		reply, err := d.Do(command, id)
 		if err == nil && reply.Status == http.StatusOK {
 			return nil
 		}
 		last = fmt.Sprint(err, reply.Status, reply.Error.Message)
-		if !sleep(ctx, tryAgain) {
+		if !sleep(ctx, retryInterval) {
 			return ctx.Err()
 		}
 	}
 	return fmt.Errorf("measure: %q was not accepted: %s", command, last)
 }
 
-// load sends changes of configuration at a rate until ctx ends and returns
-// how long they took, and how many were not accepted.
+// load sends configuration changes at the given rate until ctx ends. It returns the latencies of
+// the accepted ones and the number of failed ones.
 func (c *cluster) load(ctx context.Context, perSecond float64) (took []time.Duration, failed int) {
 	var mu sync.Mutex
 	var sending sync.WaitGroup
@@ -184,7 +184,7 @@
 	}
 }
 
-// leader returns the daemon that leads.
+// leader waits until there is a leader and returns it.
 func (c *cluster) leader(ctx context.Context) (*tackstandin.Daemon, error) {
 	for {
 		for _, d := range c.daemons {
@@ -192,13 +192,13 @@
 				return d, nil
 			}
 		}
-		if !sleep(ctx, tryAgain/10) {
+		if !sleep(ctx, retryInterval/10) {
 			return nil, fmt.Errorf("measure: no leader: %w", ctx.Err())
 		}
 	}
 }
 
-// sleep reports whether d passed before ctx ended.
+// sleep waits for d and returns true, or returns false as soon as ctx ends.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/io/tackmeasure/fit.go
+++ b/io/tackmeasure/fit.go
@@ -12,9 +12,8 @@
 		Value float64
 	}
 
-	// Fit is the straight line that is nearest to some points by least
-	// squares. Residual is the greatest distance of a point from it, in the
-	// unit of the values.
+	// Fit is a straight line fitted to points by least squares. Residual is the maximum
+	// difference between a value and the line.
 	Fit struct {
 		Slope     float64
 		Intercept float64
@@ -23,8 +22,8 @@
 	}
 )
 
-// NewFit returns the line through points. With fewer than two sizes it is flat
-// and goes through the mean.
+// NewFit fits a line to points. If the points have fewer than two different sizes, the line is
+// the mean of the values, with slope zero.
 func NewFit(points []Point) Fit {
 	f := Fit{Points: len(points)}
 	if len(points) == 0 {
--- a/io/tackmeasure/fits.go
+++ b/io/tackmeasure/fits.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// quantity is one figure of a Use that is fitted against sizes.
+// quantity is a value of a Usage to which lines are fitted.
 type quantity struct {
 	name string
-	of   func(Use) float64
+	of   func(Usage) float64
 }
 
 var quantities = []quantity{
@@ -17,7 +17,7 @@
 	{"memory MB", memory},
 }
 
-// write writes the tables and the lines fitted to them.
+// write writes the tables of measurements and of fitted lines.
 func (r *run) write() error {
 	fits := r.fits()
 	for _, t := range []*Table{&r.steady, &r.minute, &fits} {
@@ -43,9 +43,9 @@
 	return err
 }
 
-// fits returns the lines of each quantity and role by the number of VMs, of
-// daemons and of changes a second, each with the other two as in the largest
-// cluster.
+// fits returns the lines fitted to each quantity and role by the number of VMs, of daemons and of
+// changes per second. In each fit the other two numbers are those of the largest cluster, without
+// changes for the first two.
 func (r *run) fits() Table {
 	t := Table{Columns: []string{"role", "quantity", "by", "at none", "slope", "residual", "points"}}
 	largest := r.Daemons[len(r.Daemons)-1]
@@ -69,11 +69,12 @@
 	return t
 }
 
-// points returns the means of a role's samples at each size.
+// points returns the mean of the samples of a role at each size. size returns the size of a
+// sample and whether to include it.
 func (r *run) points(role Role, q quantity, size func(sample) (int, bool)) []Point {
-	uses := make(map[int][]Use)
+	uses := make(map[int][]Usage)
 	var order []int
-	for _, s := range r.uses {
+	for _, s := range r.samples {
 		n, ok := size(s)
 		if !ok || s.Role != role {
 			continue
@@ -81,7 +82,7 @@
 		if uses[n] == nil {
 			order = append(order, n)
 		}
-		uses[n] = append(uses[n], s.Use)
+		uses[n] = append(uses[n], s.Usage)
 	}
 	var points []Point
 	for _, n := range order {
--- a/io/tackmeasure/measure.go
+++ b/io/tackmeasure/measure.go
@@ -1,8 +1,7 @@
-// Package tackmeasure measures what the daemons use: bytes on the links
-// between them and on the operators' port, processor time and memory, by the
-// number of daemons, of VMs and of changes a second, and in the worst minutes.
-// It starts real daemons on loopback, with light announcers in the place of
-// backend servers and workers.
+// Package tackmeasure measures the resource usage of the daemons: bytes on the links between them
+// and on the operators' port, CPU time and memory. It measures them by the number of daemons, of
+// VMs and of changes per second, and in the worst minutes, such as after the loss of a data
+// centre. It starts real daemons on loopback, and simulates the backend servers and workers.
 package tackmeasure
 
 import (
@@ -19,24 +18,26 @@
 )
 
 type (
-	// Plan says what to measure. Its zero value measures nothing.
+	// Plan describes what to measure. Its zero value measures nothing.
 	Plan struct {
-		// Binary is the built auburntackd, Folder where its files go.
+		// Binary is the path of the auburntackd binary, Folder that of the folder for its
+		// files.
 		Binary string
 		Folder string
-		// Daemons are the numbers of daemons, each a cluster of its own.
+		// Daemons are the sizes of the clusters, in numbers of daemons.
 		Daemons []int
-		// VMs are the numbers of VMs, each with a backend server and a
-		// worker, in ascending order.
+		// VMs are the numbers of VMs, each with a backend server and a worker, in ascending
+		// order.
 		VMs []int
-		// Changes are the rates of configuration changes a second.
+		// Changes are the rates of configuration changes per second.
 		Changes []float64
-		// Worst has the worst minutes measured too.
+		// Worst enables the measurement of the worst minutes.
 		Worst bool
-		// Settle is how long each size is left alone before the window.
+		// Settle is the time for which the cluster is left alone between measurements, Window
+		// the duration of a measurement.
 		Settle time.Duration
 		Window time.Duration
-		// Tabs writes tables for programs in the place of Markdown.
+		// Tabs selects tab-separated tables instead of Markdown.
 		Tabs bool
 		Out  io.Writer
 	}
@@ -44,24 +45,24 @@
 	// run is one execution of a Plan.
 	run struct {
 		Plan
-		steady Table
-		minute Table
-		uses   []sample
+		steady  Table
+		minute  Table
+		samples []sample
 	}
 
-	// sample is what a daemon used in a phase.
+	// sample is the resource usage of a daemon in a phase.
 	sample struct {
-		Use
+		Usage
 		daemons int
 		vms     int
 		changes float64
 	}
 )
 
-// worstMinute marks a sample that is of no steady window.
+// worstMinute is the value of sample.changes for samples of a worst minute.
 const worstMinute = -1
 
-// replicasOf returns how many of n daemons have a disk.
+// replicasOf returns the number of daemons with a disk in a cluster of n daemons.
 func replicasOf(n int) int {
 	if n < 5 {
 		return min(n, 3)
@@ -69,8 +70,7 @@
 	return 5
 }
 
-// Full returns the plan that docs/CAPACITY.md is made by; it takes under ten
-// minutes.
+// Full returns the plan whose results are in docs/CAPACITY.md. It takes less than ten minutes.
 func Full() Plan {
 	return Plan{
 		Daemons: []int{3, 8, 12},
@@ -93,8 +93,8 @@
 	}
 }
 
-// Run measures by the plan and writes the tables to Out, after an error with
-// what was measured until then.
+// Run executes the plan and writes the tables to Out. After an error it writes the measurements
+// made so far.
 func (p Plan) Run(ctx context.Context) error {
 	r := &run{Plan: p}
 	r.steady.Columns = []string{
@@ -103,16 +103,16 @@
 	}
 	r.minute.Columns = []string{"worst minute", "took s", "what was counted"}
 	for _, n := range p.Daemons {
-		if err := r.cluster(ctx, n, n == p.Daemons[len(p.Daemons)-1]); err != nil {
+		if err := r.measureCluster(ctx, n, n == p.Daemons[len(p.Daemons)-1]); err != nil {
 			return errors.Join(err, r.write())
 		}
 	}
 	return r.write()
 }
 
-// cluster measures one number of daemons at all sizes, and with last also
-// changes and the worst minutes.
-func (r *run) cluster(ctx context.Context, n int, last bool) error {
+// measureCluster measures a cluster of n daemons at all numbers of VMs and, if last is set, with changes
+// and in the worst minutes.
+func (r *run) measureCluster(ctx context.Context, n int, last bool) error {
 	folder := filepath.Join(r.Folder, fmt.Sprintf("daemons-%d", n))
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return fmt.Errorf("measure: %w", err)
@@ -128,7 +128,7 @@
 		if err := c.grow(ctx, vms); err != nil {
 			return err
 		}
-		if err := r.window(ctx, c, "steady", 0); err != nil {
+		if err := r.measureWindow(ctx, c, "steady", 0); err != nil {
 			return err
 		}
 	}
@@ -136,18 +136,18 @@
 		return nil
 	}
 	for _, rate := range r.Changes {
-		if err := r.changes(ctx, c, rate); err != nil {
+		if err := r.measureChanges(ctx, c, rate); err != nil {
 			return err
 		}
 	}
 	if r.Worst {
-		return r.worst(ctx, c)
+		return r.measureWorst(ctx, c)
 	}
 	return nil
 }
 
-// changes measures while configuration changes come at a rate.
-func (r *run) changes(ctx context.Context, c *cluster, rate float64) error {
+// measureChanges measures the cluster under configuration changes at the given rate.
+func (r *run) measureChanges(ctx context.Context, c *cluster, rate float64) error {
 	loading, stop := context.WithCancel(ctx)
 	type loaded struct {
 		took   []time.Duration
@@ -158,21 +158,21 @@
 		took, failed := c.load(loading, rate)
 		done <- loaded{took, failed}
 	}()
-	err := r.window(ctx, c, fmt.Sprintf("%g changes/s", rate), rate)
+	err := r.measureWindow(ctx, c, fmt.Sprintf("%g changes/s", rate), rate)
 	stop()
 	l := <-done
 	slices.Sort(l.took)
-	r.minute.Add(fmt.Sprintf("%g changes/s", rate), share(l.took, 1),
-		fmt.Sprintf("%d in force, median %v, p99 %v, failed %d", len(l.took), short(l.took, 0.5), short(l.took, 0.99), l.failed))
+	r.minute.Add(fmt.Sprintf("%g changes/s", rate), quantileSeconds(l.took, 1),
+		fmt.Sprintf("%d in force, median %v, p99 %v, failed %d", len(l.took), quantile(l.took, 0.5), quantile(l.took, 0.99), l.failed))
 	return err
 }
 
-// window waits for the cluster to settle and measures it.
-func (r *run) window(ctx context.Context, c *cluster, phase string, changes float64) error {
+// measureWindow waits for the cluster to settle and measures it.
+func (r *run) measureWindow(ctx context.Context, c *cluster, phase string, changes float64) error {
 	if !sleep(ctx, r.Settle) {
 		return ctx.Err()
 	}
-	uses, err := c.during(func() error {
+	uses, err := c.measureWhile(func() error {
 		if !sleep(ctx, r.Window) {
 			return ctx.Err()
 		}
@@ -181,13 +181,13 @@
 	if err != nil {
 		return err
 	}
-	r.keep(c, phase, changes, uses)
+	r.record(c, phase, changes, uses)
 	return nil
 }
 
-// during returns what each daemon used while f ran, of those that run at both
-// ends of it.
-func (c *cluster) during(f func() error) ([]Use, error) {
+// measureWhile calls f and returns the resource usage during the call of each daemon that runs both
+// before and after it.
+func (c *cluster) measureWhile(f func() error) ([]Usage, error) {
 	from, err := c.readAll()
 	if err != nil {
 		return nil, err
@@ -199,12 +199,12 @@
 	if err != nil {
 		return nil, err
 	}
-	var uses []Use
+	var uses []Usage
 	for _, d := range c.daemons {
 		first, ok := from[d]
 		last, still := to[d]
 		if ok && still {
-			u := use(first, last)
+			u := usageBetween(first, last)
 			u.Role = roleOf(d)
 			if u.Role != RoleLeader {
 				u.Platform = 0
@@ -230,13 +230,13 @@
 	return readings, nil
 }
 
-// keep notes what was used and adds it to the table by role.
-func (r *run) keep(c *cluster, phase string, changes float64, uses []Use) {
+// record records the resource usage of the daemons and adds a row per role to the table.
+func (r *run) record(c *cluster, phase string, changes float64, uses []Usage) {
 	for _, u := range uses {
-		r.uses = append(r.uses, sample{Use: u, daemons: len(c.daemons), vms: c.vms, changes: changes})
+		r.samples = append(r.samples, sample{Usage: u, daemons: len(c.daemons), vms: c.vms, changes: changes})
 	}
 	for _, role := range []Role{RoleLeader, RoleReplica, RoleLearner} {
-		var of []Use
+		var of []Usage
 		for _, u := range uses {
 			if u.Role == role {
 				of = append(of, u)
@@ -246,19 +246,19 @@
 			continue
 		}
 		r.steady.Add(phase, len(c.daemons), c.vms, role, len(of),
-			mean(of, peerBytes), most(of, peerBytes), mean(of, messages), mean(of, operatorBytes), mean(of, platformBytes),
-			mean(of, cpu), most(of, cpu), most(of, memory))
+			mean(of, peerBytes), maxOf(of, peerBytes), mean(of, messages), mean(of, operatorBytes), mean(of, platformBytes),
+			mean(of, cpu), maxOf(of, cpu), maxOf(of, memory))
 	}
 }
 
-func peerBytes(u Use) float64     { return u.Sent + u.Received }
-func messages(u Use) float64      { return u.Messages }
-func operatorBytes(u Use) float64 { return u.Operator }
-func platformBytes(u Use) float64 { return u.Platform }
-func cpu(u Use) float64           { return u.CPU }
-func memory(u Use) float64        { return u.Memory }
+func peerBytes(u Usage) float64     { return u.Sent + u.Received }
+func messages(u Usage) float64      { return u.Messages }
+func operatorBytes(u Usage) float64 { return u.Operator }
+func platformBytes(u Usage) float64 { return u.Platform }
+func cpu(u Usage) float64           { return u.CPU }
+func memory(u Usage) float64        { return u.Memory }
 
-func mean(uses []Use, of func(Use) float64) float64 {
+func mean(uses []Usage, of func(Usage) float64) float64 {
 	var sum float64
 	for _, u := range uses {
 		sum += of(u)
@@ -266,7 +266,7 @@
 	return sum / float64(len(uses))
 }
 
-func most(uses []Use, of func(Use) float64) float64 {
+func maxOf(uses []Usage, of func(Usage) float64) float64 {
 	var m float64
 	for _, u := range uses {
 		m = max(m, of(u))
@@ -274,14 +274,14 @@
 	return m
 }
 
-// share returns the time in seconds that the share p of sorted took at most.
-func share(sorted []time.Duration, p float64) float64 {
+// quantileSeconds returns the p-quantile of sorted, in seconds.
+func quantileSeconds(sorted []time.Duration, p float64) float64 {
 	if len(sorted) == 0 {
 		return 0
 	}
 	return sorted[min(int(p*float64(len(sorted))), len(sorted)-1)].Seconds()
 }
 
-func short(sorted []time.Duration, p float64) time.Duration {
-	return time.Duration(share(sorted, p) * float64(time.Second)).Round(time.Millisecond)
+func quantile(sorted []time.Duration, p float64) time.Duration {
+	return time.Duration(quantileSeconds(sorted, p) * float64(time.Second)).Round(time.Millisecond)
 }
--- a/io/tackmeasure/measure_test.go
+++ b/io/tackmeasure/measure_test.go
@@ -14,13 +14,13 @@
 }
 
 func TestFit(t *testing.T) {
-	Convey("Points on a line give the line and no residual", t, func() {
+	Convey("Points on a line give that line and no residual", t, func() {
 		f := NewFit([]Point{{100, 25}, {500, 45}, {2300, 135}})
 		assertNear(f.Slope, 0.05)
 		assertNear(f.Intercept, 20)
 		assertNear(f.Residual, 0)
 	})
-	Convey("The residual is that of the point farthest off", t, func() {
+	Convey("The residual is that of the most distant point", t, func() {
 		f := NewFit([]Point{{0, 0}, {1, 3}, {2, 0}})
 		assertNear(f.Slope, 0)
 		assertNear(f.Residual, 2)
@@ -30,15 +30,14 @@
 	})
 }
 
-// Symptom: a daemon that was restarted seems to have used less than nothing.
-// Sequence: a window in which the daemon was killed and started again.
-// Cause: its counters began again at zero, and the former ones were taken off.
+// Guards against negative resource usage of a daemon that was restarted during the measurement:
+// its counters start again at zero, and the earlier values must not be subtracted.
 func TestUseOverARestart(t *testing.T) {
 	began := time.Unix(1000, 0)
 	from := reading{at: began, pid: 1, sent: 9000, cpuMS: 700, operator: 100}
 	to := reading{at: began.Add(10 * time.Second), pid: 2, sent: 500, cpuMS: 50, operator: 300, memory: 1000}
-	u := use(from, to)
-	Convey("Only what the new process used counts", t, func() {
+	u := usageBetween(from, to)
+	Convey("Only the usage of the new process counts", t, func() {
 		assertNear(u.Sent, 50)
 		assertNear(u.CPU, 5)
 		assertNear(u.Operator, 20)
@@ -46,26 +45,25 @@
 	})
 }
 
-// Symptom: the slope by changes is that of a restart.
-// Sequence: steady windows and worst minutes of several sizes are fitted.
-// Cause: windows of another kind or cluster were taken among the points.
+// Guards against a fitted slope that includes samples of another kind or cluster, such as a slope
+// by changes that is affected by the restart of a daemon.
 func TestTablesOfARun(t *testing.T) {
 	var out strings.Builder
 	r := &run{Plan: Plan{Daemons: []int{3, 5}, VMs: []int{100, 200}, Out: &out}}
 	r.steady.Columns = []string{"phase", "daemons"}
 	r.minute.Columns = []string{"worst minute"}
 	for _, s := range []sample{
-		{daemons: 3, vms: 200, Use: Use{CPU: 7}},
-		{daemons: 5, vms: 100, Use: Use{CPU: 10}},
-		{daemons: 5, vms: 200, Use: Use{CPU: 11}},
-		{daemons: 5, vms: 200, changes: 4, Use: Use{CPU: 19}},
-		{daemons: 5, vms: 200, changes: worstMinute, Use: Use{CPU: 500}},
+		{daemons: 3, vms: 200, Usage: Usage{CPU: 7}},
+		{daemons: 5, vms: 100, Usage: Usage{CPU: 10}},
+		{daemons: 5, vms: 200, Usage: Usage{CPU: 11}},
+		{daemons: 5, vms: 200, changes: 4, Usage: Usage{CPU: 19}},
+		{daemons: 5, vms: 200, changes: worstMinute, Usage: Usage{CPU: 500}},
 	} {
 		s.Role = RoleLeader
-		r.uses = append(r.uses, s)
+		r.samples = append(r.samples, s)
 	}
 	err := r.write()
-	Convey("Each line is fitted to its own windows", t, func() {
+	Convey("Each line is fitted to its own samples", t, func() {
 		So(err, ShouldBeNil)
 		So(out.String(), ShouldContainSubstring, "| leader | CPU ms/s | VMs | 9.00 | 0.01 | 0.00 | 2 |")
 		So(out.String(), ShouldContainSubstring, "| leader | CPU ms/s | daemons | 1.00 | 2 | 0.00 | 2 |")
--- a/io/tackmeasure/platform.go
+++ b/io/tackmeasure/platform.go
@@ -8,8 +8,8 @@
 )
 
 type (
-	// platform has every VM serve and no worker run a task. It counts the
-	// bytes of all who ask it, which is the leader alone.
+	// platform simulates the platform: all VMs are serving and no worker runs a task. It counts
+	// the bytes of all its connections. Only the leader calls it.
 	platform struct {
 		server  *http.Server
 		address string
@@ -17,7 +17,7 @@
 		calls   atomic.Int64
 	}
 
-	// countedListener adds what passes over its connections to bytes.
+	// countedListener adds the number of bytes sent and received on its connections to bytes.
 	countedListener struct {
 		net.Listener
 		bytes *atomic.Int64
--- a/io/tackmeasure/sample.go
+++ b/io/tackmeasure/sample.go
@@ -10,10 +10,10 @@
 )
 
 type (
-	// Role is what a daemon does in the replicated log.
+	// Role is the role of a daemon in the replicated log.
 	Role string
 
-	// reading is what a daemon has used since it started.
+	// reading is a reading of the counters of a daemon. They count from its start.
 	reading struct {
 		at       time.Time
 		pid      int
@@ -26,19 +26,19 @@
 		memory   int64
 	}
 
-	// Use is what one daemon used in a window of time.
-	Use struct {
+	// Usage is the resource usage of a daemon in a period.
+	Usage struct {
 		Role Role
-		// Sent, Received and Operator are bytes a second on the links to the
-		// peers and on the operators' port, Messages the number on the links.
+		// Sent, Received and Messages are the bytes and messages per second on the links to
+		// peers, Operator the bytes per second on the operators' port.
 		Sent     float64
 		Received float64
 		Messages float64
 		Operator float64
-		// Platform is bytes a second between the leader and the platform.
+		// Platform is the bytes per second between the leader and the platform.
 		Platform float64
-		// CPU is milliseconds of processor time a second, Memory the
-		// resident memory at the end in MB of a million bytes.
+		// CPU is the CPU time in milliseconds per second, Memory the resident memory at the
+		// end of the period in MB (1,000,000 bytes).
 		CPU    float64
 		Memory float64
 	}
@@ -89,21 +89,21 @@
 	}, nil
 }
 
-// use returns what was used between two readings of a daemon. One that was
-// restarted between them began again at zero.
-func use(from, to reading) Use {
+// usageBetween returns the resource usage between two readings of a daemon. If the daemon was restarted
+// in between, its counters started again at zero.
+func usageBetween(from, to reading) Usage {
 	if from.pid != to.pid {
 		from = reading{at: from.at, operator: from.operator, platform: from.platform}
 	}
 	seconds := to.at.Sub(from.at).Seconds()
-	each := func(n int64) float64 { return float64(n) / seconds }
-	return Use{
-		Sent:     each(to.sent - from.sent),
-		Received: each(to.received - from.received),
-		Messages: each(to.messages - from.messages),
-		Operator: each(to.operator - from.operator),
-		Platform: each(to.platform - from.platform),
-		CPU:      each(to.cpuMS - from.cpuMS),
+	perSecond := func(n int64) float64 { return float64(n) / seconds }
+	return Usage{
+		Sent:     perSecond(to.sent - from.sent),
+		Received: perSecond(to.received - from.received),
+		Messages: perSecond(to.messages - from.messages),
+		Operator: perSecond(to.operator - from.operator),
+		Platform: perSecond(to.platform - from.platform),
+		CPU:      perSecond(to.cpuMS - from.cpuMS),
 		Memory:   float64(to.memory) * 1024 / 1e6,
 	}
 }
--- a/io/tackmeasure/table.go
+++ b/io/tackmeasure/table.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// Table is a table of text with a line of column names.
+// Table is a text table with column titles.
 type Table struct {
 	Columns []string
 	Rows    [][]string
 }
 
-// Add adds a row. Numbers are written with as many digits as say something.
+// Add adds a row. Floating-point numbers are rounded by their magnitude.
 func (t *Table) Add(cells ...any) {
 	row := make([]string, 0, len(cells))
 	for _, c := range cells {
@@ -45,7 +45,7 @@
 	return err
 }
 
-// WriteTabs writes the table with a tab between the cells, for programs.
+// WriteTabs writes the table as tab-separated values.
 func (t *Table) WriteTabs(w io.Writer) error {
 	lines := []string{strings.Join(t.Columns, "\t")}
 	for _, r := range t.Rows {
--- a/io/tackmeasure/worst.go
+++ b/io/tackmeasure/worst.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// restartBurst is how many backend servers restart on a day.
-	restartBurst = 530
-	catchUpEvery = 20 * time.Millisecond
-	// lossLimit bounds the wait for a lost data centre to be noticed.
-	lossLimit = 40 * time.Second
+	// restartBurst is the number of backend servers that restart per day.
+	restartBurst      = 530
+	killRetryInterval = 20 * time.Millisecond
+	// lossTimeout is the timeout for the detection of the loss of a data centre.
+	lossTimeout = 40 * time.Second
 )
 
-// worst measures the worst minutes of the largest cluster.
-func (r *run) worst(ctx context.Context, c *cluster) error {
+// measureWorst measures the worst minutes in the largest cluster.
+func (r *run) measureWorst(ctx context.Context, c *cluster) error {
 	steps := []struct {
 		name string
 		do   func(context.Context, *cluster) error
@@ -37,19 +37,19 @@
 		{"data centre back", r.returnDataCentre},
 	}
 	for _, s := range steps {
-		if err := r.minuteOf(ctx, c, s.name, s.do); err != nil {
+		if err := r.measureStep(ctx, c, s.name, s.do); err != nil {
 			return fmt.Errorf("%s: %w", s.name, err)
 		}
 	}
 	return nil
 }
 
-// minuteOf measures what is used from when do begins until a window has
-// passed.
-func (r *run) minuteOf(ctx context.Context, c *cluster, name string, do func(context.Context, *cluster) error) error {
+// measureStep measures the resource usage from the start of do for the duration of a window, or
+// longer if do takes longer.
+func (r *run) measureStep(ctx context.Context, c *cluster, name string, do func(context.Context, *cluster) error) error {
 	taken, failed := c.announcers.Counts()
 	began := time.Now()
-	uses, err := c.during(func() error {
+	uses, err := c.measureWhile(func() error {
 		if err := do(ctx, c); err != nil {
 			return err
 		}
@@ -64,20 +64,20 @@
 	nowTaken, nowFailed := c.announcers.Counts()
 	r.minute.Add(name, time.Since(began).Seconds(),
 		fmt.Sprintf("announcements taken %d, failed %d", nowTaken-taken, nowFailed-failed))
-	r.keep(c, name, worstMinute, uses)
+	r.record(c, name, worstMinute, uses)
 	if !sleep(ctx, r.Settle) {
 		return ctx.Err()
 	}
 	return nil
 }
 
-// restartLearner kills the last daemon, which has no disk when there are more
-// than the replicas, and waits until it is ready again.
+// restartLearner kills the last daemon, which has no disk if there are more daemons than replicas,
+// and starts it again until it is ready.
 func (r *run) restartLearner(_ context.Context, c *cluster) error {
 	d := c.daemons[len(c.daemons)-1]
 	d.Kill()
 	began := time.Now()
-	if err := d.Start(startLimit); err != nil {
+	if err := d.Start(startTimeout); err != nil {
 		return err
 	}
 	ready := time.Since(began)
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// killLeader kills the leader, has a change accepted by another daemon and
-// starts the killed one again.
+// killLeader kills the leader, waits until another daemon accepts a change, and starts the killed
+// daemon again.
 func (r *run) killLeader(ctx context.Context, c *cluster) error {
 	dead, err := c.leader(ctx)
 	if err != nil {
@@ -103,7 +103,7 @@
 	}
 	r.minute.Add("change after the leader was killed", took.Seconds(), "until in force on the others")
 	began := time.Now()
-	if err := dead.Start(startLimit); err != nil {
+	if err := dead.Start(startTimeout); err != nil {
 		return err
 	}
 	r.minute.Add("killed leader ready", time.Since(began).Seconds(), "with its disk")
@@ -118,8 +118,7 @@
 	return c.daemons[0]
 }
 
-// acceptedBy sends a change to d until it is accepted and returns how long
-// that took.
+// acceptedBy sends a change to d until it is accepted, and returns the time that took.
 func acceptedBy(ctx context.Context, d *tackstandin.Daemon) (time.Duration, error) {
 	began := time.Now()
 	for {
@@ -127,18 +126,17 @@
 		if err == nil && reply.Status == http.StatusOK {
 			return time.Since(began), nil
 		}
-		if !sleep(ctx, catchUpEvery) {
+		if !sleep(ctx, killRetryInterval) {
 			return 0, ctx.Err()
 		}
 	}
 }
 
-// loseDataCentre kills the daemons of the first data centre, silences its
-// backend servers and workers and waits until its VMs are no longer counted
-// on.
+// loseDataCentre kills the daemons of the first data centre, stops the announcements of its
+// backend servers and workers, and waits until its VMs are no longer listed as serving.
 func (r *run) loseDataCentre(ctx context.Context, c *cluster) error {
 	lost := c.daemons[0].DataCentre
-	c.announcers.Silence(lost, true)
+	c.announcers.SetSilent(lost, true)
 	for _, d := range c.daemons {
 		if d.DataCentre == lost {
 			d.Kill()
@@ -146,8 +144,8 @@
 	}
 	began := time.Now()
 	left := c.vms
-	for left == c.vms && time.Since(began) < lossLimit {
-		if !sleep(ctx, tryAgain) {
+	for left == c.vms && time.Since(began) < lossTimeout {
+		if !sleep(ctx, retryInterval) {
 			return ctx.Err()
 		}
 		if reply, err := c.daemons[1].Ask("show vms where health = serving"); err == nil && reply.Confirmed {
@@ -158,7 +156,7 @@
 	return nil
 }
 
-// returnDataCentre starts again what loseDataCentre ended.
+// returnDataCentre restarts what loseDataCentre stopped.
 func (r *run) returnDataCentre(_ context.Context, c *cluster) error {
 	lost := c.daemons[0].DataCentre
 	began := time.Now()
@@ -166,11 +164,11 @@
 		if d.DataCentre != lost {
 			continue
 		}
-		if err := d.Start(startLimit); err != nil {
+		if err := d.Start(startTimeout); err != nil {
 			return err
 		}
 	}
-	c.announcers.Silence(lost, false)
+	c.announcers.SetSilent(lost, false)
 	r.minute.Add("daemons of the data centre ready", time.Since(began).Seconds(), "one after the other")
 	return nil
 }
