--- a/io/tackdisk/crash_test.go
+++ b/io/tackdisk/crash_test.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// injectFaultAt injects a fault into operation at, simulates a power failure and checks the content of
-// the disk. It returns false if the script ends before that operation.
+// injectFaultAt injects a fault into operation at, simulates a power failure and checks the
+// content of the disk. It returns false if the script ends before that operation.
 func injectFaultAt(t *testing.T, kind fault, at int, keep func(n int) bool) bool {
 	files := newFaultyFiles()
 	files.inject(kind, at)
--- a/io/tackdisk/damage_test.go
+++ b/io/tackdisk/damage_test.go
@@ -14,8 +14,8 @@
 	"auburntack/core/tackreplica"
 )
 
-// writtenFolder returns a folder with three saves, the name of its log file, and the offset of the
-// last save in it.
+// writtenFolder returns a folder with three saves, the name of its log file, and the offset of
+// the last save in it.
 func writtenFolder(peer tackid.Peer) (files *faultyFiles, log string, last int64) {
 	files = newFaultyFiles()
 	d, _, _ := Open("/state", Options{Peer: peer, Files: files})
--- a/io/tackdisk/fault_test.go
+++ b/io/tackdisk/fault_test.go
@@ -113,8 +113,8 @@
 	f.durable[r.name] = r.file
 }
 
-// truncate truncates the file after the last unsynced byte for which keep returns true, and zeroes the
-// unsynced bytes that are not kept.
+// truncate truncates the file after the last unsynced byte for which keep returns true, and
+// zeroes the unsynced bytes that are not kept.
 func (i *inode) truncate(keep func() bool) {
 	for _, span := range append(i.lost, [2]int{i.synced, len(i.data)}) {
 		end := span[0]
--- a/io/tackdisk/folder.go
+++ b/io/tackdisk/folder.go
@@ -61,8 +61,8 @@
 	return d.stored(snapshot), nil
 }
 
-// lockFolder creates the folder if necessary and locks it. Without the lock, two processes that use
-// the same folder would overwrite data that the other has acknowledged.
+// lockFolder creates the folder if necessary and locks it. Without the lock, two processes
+// that use the same folder would overwrite data that the other has acknowledged.
 func (d *Disk) lockFolder() error {
 	if err := d.files.MkdirAll(d.folder); err != nil {
 		return fmt.Errorf("tackdisk: create folder: %w", err)
--- a/io/tackdisk/log.go
+++ b/io/tackdisk/log.go
@@ -156,8 +156,8 @@
 	return next, nil
 }
 
-// hasRecordAfter reports whether a valid record begins anywhere after at. If so, the invalid data at
-// that offset was followed by a later write and is not a torn last record.
+// hasRecordAfter reports whether a valid record begins anywhere after at. If so, the invalid
+// data at that offset was followed by a later write and is not a torn last record.
 func hasRecordAfter(data []byte, at recordLocation, limit int) bool {
 	for at.offset++; at.offset < int64(len(data)); at.offset++ {
 		if _, ok := unframe(data[at.offset:], at, limit); ok {
--- a/io/tackdisk/record.go
+++ b/io/tackdisk/record.go
@@ -42,9 +42,9 @@
 		Records int `cbor:"4,keyasint"`
 	}
 
-	// recordLocation is the location at which a record was written. It is included in the checksums, so
-	// that data of another file, or a copy of a record inside the data of an entry, is not
-	// accepted as a record at this location.
+	// recordLocation is the location at which a record was written. It is included in the
+	// checksums, so that data of another file, or a copy of a record inside the data of an
+	// entry, is not accepted as a record at this location.
 	recordLocation struct {
 		salt     uint64
 		sequence uint64
--- a/io/tackmeasure/measure.go
+++ b/io/tackmeasure/measure.go
@@ -110,8 +110,8 @@
 	return r.write()
 }
 
-// measureCluster measures a cluster of n daemons at all numbers of VMs and, if last is set, with changes
-// and in the worst minutes.
+// measureCluster measures a cluster of n daemons at all numbers of VMs and, if last is set,
+// with changes and in the worst minutes.
 func (r *run) measureCluster(ctx context.Context, n int, last bool) error {
 	folder := filepath.Join(r.Folder, fmt.Sprintf("daemons-%d", n))
 	if err := os.MkdirAll(folder, 0o755); err != nil {
@@ -185,8 +185,8 @@
 	return nil
 }
 
-// measureWhile calls f and returns the resource usage during the call of each daemon that runs both
-// before and after it.
+// measureWhile calls f and returns the resource usage during the call of each daemon that runs
+// both before and after it.
 func (c *cluster) measureWhile(f func() error) ([]Usage, error) {
 	from, err := c.readAll()
 	if err != nil {
--- a/io/tackmeasure/sample.go
+++ b/io/tackmeasure/sample.go
@@ -89,8 +89,8 @@
 	}, nil
 }
 
-// usageBetween returns the resource usage between two readings of a daemon. If the daemon was restarted
-// in between, its counters started again at zero.
+// usageBetween returns the resource usage between two readings of a daemon. If the daemon was
+// restarted in between, its counters started again at zero.
 func usageBetween(from, to reading) Usage {
 	if from.pid != to.pid {
 		from = reading{at: from.at, operator: from.operator, platform: from.platform}
--- a/io/tackmeasure/worst.go
+++ b/io/tackmeasure/worst.go
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// restartLearner kills the last daemon, which has no disk if there are more daemons than replicas,
-// and starts it again until it is ready.
+// restartLearner kills the last daemon, which has no disk if there are more daemons than
+// replicas, and starts it again until it is ready.
 func (r *run) restartLearner(_ context.Context, c *cluster) error {
 	d := c.daemons[len(c.daemons)-1]
 	d.Kill()
--- a/io/tackpeer/accept.go
+++ b/io/tackpeer/accept.go
@@ -218,8 +218,8 @@
 	return now-last >= int64(warnInterval) && l.lastWarning.CompareAndSwap(last, now)
 }
 
-// serveIncoming passes the messages of an incoming connection to their handlers until it ends. The
-// connection replaces an earlier one of the same peer.
+// serveIncoming passes the messages of an incoming connection to their handlers until it ends.
+// The connection replaces an earlier one of the same peer.
 func (l *Links) serveIncoming(ctx context.Context, ws *websocket.Conn, conn *countedConn, k *link, h hello) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/io/tackpeer/link.go
+++ b/io/tackpeer/link.go
@@ -102,8 +102,8 @@
 	log.Debug("link to peer is still down")
 }
 
-// waitBackoff waits for a random time between d/2 and d, so that peers that lost each other at the
-// same time do not reconnect at the same time. It ends early when the peer connects.
+// waitBackoff waits for a random time between d/2 and d, so that peers that lost each other at
+// the same time do not reconnect at the same time. It ends early when the peer connects.
 func (k *link) waitBackoff(ctx context.Context, d tackclock.Duration) {
 	wait := d/2 + tackclock.Duration(rand.Int64N(int64(d/2)+1))
 	timer := time.NewTimer(wait.Std())
@@ -136,8 +136,8 @@
 	return nil
 }
 
-// dequeueBatch removes the messages of one batch from the queue and returns them concatenated, with
-// their number.
+// dequeueBatch removes the messages of one batch from the queue and returns them concatenated,
+// with their number.
 func (k *link) dequeueBatch() ([]byte, int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
