--- a/core/tackdispatch/foreign.go
+++ b/core/tackdispatch/foreign.go
@@ -45,7 +45,7 @@
 // the known worker of that name always sends one.
 func (d *Dispatcher) checkStartTime(id WorkerID) error {
 	if w := d.workersByName[id.Name()]; w != nil && id.StartedAt() == 0 && w.id.StartedAt() != 0 {
-		return &ForeignError{Worker: id, Problem: "id lacks the start time of the process"}
+		return &ForeignError{Worker: id, Problem: "does not say when it began"}
 	}
 	return nil
 }
