--- a/core/tackburn/settings.go
+++ b/core/tackburn/settings.go
@@ -29,8 +29,8 @@
 type (
 	// Settings holds the objectives, in per cent of requests answered
 	// completely and in time. Default is used for teams, labels and services
-	// without an objective of their own; zero means DefaultObjective. An
-	// answer is late after Late or, if that is 0, only after the caller's own
+	// without an objective of their own; zero means DefaultObjective. An answer
+	// is late after LateAfter or, if that is 0, only after the caller's own
 	// deadline.
 	Settings struct {
 		Default       float64
--- a/core/tackcatalog/catalog.go
+++ b/core/tackcatalog/catalog.go
@@ -25,8 +25,8 @@
 		Services     []Service `cbor:"3,keyasint,omitempty"`
 		MaxBodyBytes int       `cbor:"4,keyasint,omitempty"`
 		Source       []byte    `cbor:"5,keyasint,omitempty"`
-		// RequiresKeys says that callers must present a key of a workspace on queues that are
-		// not public. Otherwise all queues are open to everyone.
+		// RequiresKeys says that callers must present a key of a workspace on queues that
+		// are not public. Otherwise all queues are open to everyone.
 		RequiresKeys bool                      `cbor:"6,keyasint,omitempty"`
 		Workspaces   []tackworkspace.Workspace `cbor:"7,keyasint,omitempty"`
 	}
--- a/core/tackcrash/record.go
+++ b/core/tackcrash/record.go
@@ -88,8 +88,8 @@
 	return len(r.Crashes)+len(r.Doubts) == 0
 }
 
-// WithCrash returns the record with a crash added, which replaces a doubt about the same run.
-// A run counts once.
+// WithCrash returns the record with a crash added, which replaces a doubt about the same
+// run. A run counts once.
 func (r Record) WithCrash(c Crash) Record {
 	r = r.WithoutDoubt(c.Run)
 	if r.has(c.Run) {
@@ -165,8 +165,8 @@
 	return 0
 }
 
-// CrashedOn reports whether a worker on the VM crashed under the item. A crash on a different VM
-// tells more about the item than another one on the same VM.
+// CrashedOn reports whether a worker on the VM crashed under the item. A crash on a
+// different VM tells more about the item than another one on the same VM.
 func (r Record) CrashedOn(vm tackid.VM) bool {
 	return slices.ContainsFunc(r.Crashes, func(c Crash) bool { return c.VM == vm })
 }
--- a/core/tackdispatch/cancel_test.go
+++ b/core/tackdispatch/cancel_test.go
@@ -8,9 +8,9 @@
 	"auburntack/core/tackwork"
 )
 
-// Guards against items of a cancelled job that run on: long-running items are listed by their
-// workers when the job is cancelled, and heartbeats carry no stop for them, because only
-// runs unknown to the dispatcher are stopped.
+// Guards against items of a cancelled job that run on: long-running items are listed by
+// their workers when the job is cancelled, and heartbeats carry no stop for them, because
+// only runs unknown to the dispatcher are stopped.
 func TestCancelStopsWhatRuns(t *testing.T) {
 	w := newWorld(t, 4)
 	w.submit(job(1), lasting(4, 1))
--- a/core/tackdispatch/copy_test.go
+++ b/core/tackdispatch/copy_test.go
@@ -87,11 +87,11 @@
 		host.cut = false
 		for _, m := range w.workers {
 			for item := range m.runs {
-				how := EndFailed
+				kind := EndFailed
 				if m == host {
-					how = EndDone
+					kind = EndDone
 				}
-				w.end(m, item, how)
+				w.end(m, item, kind)
 			}
 		}
 		w.run(300)
--- a/core/tackdispatch/cost_test.go
+++ b/core/tackdispatch/cost_test.go
@@ -40,7 +40,7 @@
 // round has every worker send one heartbeat, within the interval of busy workers. It
 // returns the mean number of examined objects for a heartbeat, and how many items were
 // started.
-func (c *crowd) round() (looked float64, started int) {
+func (c *crowd) round() (examined float64, started int) {
 	const tick = 25
 	before := c.d.Examined()
 	for i, r := range c.reports {
@@ -108,23 +108,23 @@
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			var looked [2]float64
+			var examined [2]float64
 			for i, workers := range []int{small, large} {
 				c := newCrowd(workers)
 				test.fill(c, workers)
 				for range 3 {
 					c.round()
 				}
-				looked[i], _ = c.round()
+				examined[i], _ = c.round()
 			}
-			assertFlat(t, "examined for a heartbeat", looked[0], looked[1])
+			assertFlat(t, "examined for a heartbeat", examined[0], examined[1])
 		})
 	}
 }
 
 // Guards against requests whose cost grows with the number of open jobs.
 func TestAdmissionCostBound(t *testing.T) {
-	looked := func(jobs int) float64 {
+	examined := func(jobs int) float64 {
 		c := newCrowd(4)
 		c.round()
 		for n := range jobs {
@@ -136,7 +136,7 @@
 		c.d.UnstartedJobs(testQueue.QueueKey)
 		return float64(c.d.Examined() - before)
 	}
-	assertFlat(t, "examined for a request", looked(100), looked(10_000))
+	assertFlat(t, "examined for a request", examined(100), examined(10_000))
 }
 
 // assertSums fails the test if the totals of a pool, which are updated with each change,
--- a/core/tackdispatch/crash.go
+++ b/core/tackdispatch/crash.go
@@ -26,9 +26,9 @@
 	return f
 }
 
-// SetOrderedBefore sets the function that tells, until the next Reset, whether an earlier leader
-// may have ordered a move or an upkeep of a VM recently. If so, a new life of a worker on
-// it does not mean that the previous one crashed.
+// SetOrderedBefore sets the function that tells, until the next Reset, whether an earlier
+// leader may have ordered a move or an upkeep of a VM recently. If so, a new life of a
+// worker on it does not mean that the previous one crashed.
 func (d *Dispatcher) SetOrderedBefore(ordered func(tackclock.Time, tackid.VM) bool) {
 	d.orderedBefore = ordered
 }
@@ -176,8 +176,8 @@
 	d.note(Event{Kind: EventItemSuspected, At: now, VM: c.VM, Item: c.Item, Run: RunNumber(c.Run), Reason: reason})
 }
 
-// FindingsLogged handles findings that the log now holds. Items under which workers crashed wait
-// for their trial, or their jobs are given up.
+// FindingsLogged handles findings that the log now holds. Items under which workers
+// crashed wait for their trial, or their jobs are given up.
 func (d *Dispatcher) FindingsLogged(now tackclock.Time, f *tackjob.Findings) {
 	for _, c := range f.Crashes {
 		o := d.jobs[c.Item.Job]
--- a/core/tackdispatch/dispatcher.go
+++ b/core/tackdispatch/dispatcher.go
@@ -294,11 +294,11 @@
 // since the start. It measures the cost of a heartbeat or a request independently of the
 // machine.
 func (d *Dispatcher) Examined() uint64 {
-	looked := d.examined
+	examined := d.examined
 	for _, p := range d.pools {
-		looked += p.steps.Examined
+		examined += p.steps.Examined
 	}
-	return looked
+	return examined
 }
 
 // HasOpenJobs reports whether the service has an open job.
@@ -311,8 +311,8 @@
 	return false
 }
 
-// EarlierLeasesEnded reports whether all leases of earlier leaders have ended, so that nothing can run
-// that no worker has listed.
+// EarlierLeasesEnded reports whether all leases of earlier leaders have ended, so that
+// nothing can run that no worker has listed.
 func (d *Dispatcher) EarlierLeasesEnded(now tackclock.Time) bool {
 	return now >= d.earlierLeasesEnd
 }
--- a/core/tackdispatch/gang.go
+++ b/core/tackdispatch/gang.go
@@ -93,7 +93,7 @@
 		d.tryGang(now, p, s)
 	}
 	tries := 0
-	for s := range p.steps.Fitting(math.MaxInt, func(shelf int) bool { return shelf&partitionGang != 0 }) {
+	for s := range p.steps.Fitting(math.MaxInt, func(partition int) bool { return partition&partitionGang != 0 }) {
 		if tries == maxGangTries {
 			return
 		}
--- a/core/tackdispatch/life.go
+++ b/core/tackdispatch/life.go
@@ -51,8 +51,8 @@
 	return name
 }
 
-// StartedAt returns when the life began by the worker's own clock, or zero if the worker does
-// not report it.
+// StartedAt returns when the life began by the worker's own clock, or zero if the worker
+// does not report it.
 func (id WorkerID) StartedAt() tackclock.Time {
 	_, text, _ := strings.Cut(string(id), startSeparator)
 	born, _ := strconv.ParseInt(text, 10, 64) // empty if the worker does not report it
--- a/core/tackdispatch/message.go
+++ b/core/tackdispatch/message.go
@@ -116,18 +116,18 @@
 var endKindNames = [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone", "refused"}
 
 // String returns the name of the kind of end.
-func (h EndKind) String() string {
-	if int(h) < len(endKindNames) {
-		return endKindNames[h]
+func (k EndKind) String() string {
+	if int(k) < len(endKindNames) {
+		return endKindNames[k]
 	}
 	return "unknown"
 }
 
 // ParseEndKind returns the kind of end with that name, or false if there is none.
 func ParseEndKind(text string) (EndKind, bool) {
-	for h, name := range endKindNames {
+	for k, name := range endKindNames {
 		if name == text {
-			return EndKind(h), true
+			return EndKind(k), true
 		}
 	}
 	return 0, false
--- a/core/tackdispatch/pool.go
+++ b/core/tackdispatch/pool.go
@@ -169,23 +169,23 @@
 
 // partitionOf returns the partition to which a step belongs now.
 func (d *Dispatcher) partitionOf(now tackclock.Time, s *openStep) int {
-	shelf := 0
+	partition := 0
 	if s.Gang {
-		shelf |= partitionGang
+		partition |= partitionGang
 	}
 	if s.Requires != "" {
-		shelf |= partitionLabelled
+		partition |= partitionLabelled
 	}
 	if s.late(now) {
-		shelf |= partitionLate
+		partition |= partitionLate
 	}
 	if !s.job.fresh && !d.EarlierLeasesEnded(now) {
-		shelf |= partitionInherited
+		partition |= partitionInherited
 		if s.Speculative {
-			shelf |= partitionCopied
+			partition |= partitionCopied
 		}
 	}
-	return shelf
+	return partition
 }
 
 // review removes the steps without waiting items, moves the steps whose partition has
@@ -203,7 +203,7 @@
 			return true
 		}
 		p.summary.add(now, s)
-		if shelf := d.partitionOf(now, s); shelf != s.partition {
+		if partition := d.partitionOf(now, s); partition != s.partition {
 			moved = append(moved, s)
 			return true
 		}
--- a/core/tackdispatch/standing.go
+++ b/core/tackdispatch/standing.go
@@ -19,8 +19,8 @@
 	Waiting int
 }
 
-// WorkspaceStatus returns the resource use of a workspace. It examines all open jobs, so it is
-// meant for interactive use only.
+// WorkspaceStatus returns the resource use of a workspace. It examines all open jobs, so
+// it is meant for interactive use only.
 func (d *Dispatcher) WorkspaceStatus(name tackid.Workspace) WorkspaceStatus {
 	a := d.quota.Account(name)
 	s := WorkspaceStatus{Running: a.Used(), Granted: a.Granted(), Share: a.Share()}
--- a/core/tackdispatch/start.go
+++ b/core/tackdispatch/start.go
@@ -50,10 +50,10 @@
 // startsNow returns a function that reports whether the steps of a partition may start.
 // Until all leases of earlier leaders have ended, what those may have started does not
 // start again, except in copies.
-func (d *Dispatcher) startsNow(now tackclock.Time) func(shelf int) bool {
+func (d *Dispatcher) startsNow(now tackclock.Time) func(partition int) bool {
 	copies := now.Sub(d.began) > d.cfg.CopyAfter
-	return func(shelf int) bool {
-		return shelf&partitionGang == 0 && (shelf&partitionInherited == 0 || shelf&partitionCopied != 0 && copies)
+	return func(partition int) bool {
+		return partition&partitionGang == 0 && (partition&partitionInherited == 0 || partition&partitionCopied != 0 && copies)
 	}
 }
 
@@ -62,7 +62,9 @@
 // their excess.
 func (d *Dispatcher) startPartition(now tackclock.Time, p *pool, w *worker, turn int, sequence uint64, o *Orders) {
 	starts := d.startsNow(now)
-	has := func(shelf int) bool { return shelf&(partitionLabelled|partitionLate) == turn && starts(shelf) }
+	has := func(partition int) bool {
+		return partition&(partitionLabelled|partitionLate) == turn && starts(partition)
+	}
 	var over [][]*openStep // by the excess of their workspaces over their shares
 	for s := range p.steps.Fitting(w.room().MilliCores, has) {
 		if len(o.Start) >= maxStartsInAnswer {
--- a/core/tackdispatch/storm_test.go
+++ b/core/tackdispatch/storm_test.go
@@ -52,8 +52,8 @@
 	return w.results(s.jobs, guilty)
 }
 
-// injectFault sometimes injects a fault: a VM crashes, a rack loses power, a third of the VMs
-// is cut off, or those that were cut off are connected again.
+// injectFault sometimes injects a fault: a VM crashes, a rack loses power, a third of the
+// VMs is cut off, or those that were cut off are connected again.
 func (w *world) injectFault(draw *rand.Rand) {
 	m := w.workers[draw.IntN(len(w.workers))]
 	switch draw.IntN(30) {
--- a/core/tackdispatch/world_test.go
+++ b/core/tackdispatch/world_test.go
@@ -313,15 +313,15 @@
 	return items
 }
 
-func (w *world) end(m *modelWorker, item tackjob.Item, how EndKind) {
+func (w *world) end(m *modelWorker, item tackjob.Item, kind EndKind) {
 	r := m.runs[item]
 	delete(m.runs, item)
 	m.number++
 	m.highest[item] = max(m.highest[item], r.number)
-	if how == EndStopped {
+	if kind == EndStopped {
 		w.save(item, r)
 	}
-	m.ended = append(m.ended, Ended{Number: m.number, Item: item, Run: r.number, Kind: how, Checkpoint: r.saved})
+	m.ended = append(m.ended, Ended{Number: m.number, Item: item, Run: r.number, Kind: kind, Checkpoint: r.saved})
 	m.heartbeatAt = min(m.heartbeatAt, w.now.Add(heartbeatAfterEnd))
 }
 
--- a/core/tackjob/chain.go
+++ b/core/tackjob/chain.go
@@ -8,14 +8,14 @@
 	return s.longestChain(func(int) bool { return false })
 }
 
-// RemainingCriticalPath returns the estimated duration of the longest chain of dependent steps of the
-// occurrence that are not done yet.
+// RemainingCriticalPath returns the estimated duration of the longest chain of dependent
+// steps of the occurrence that are not done yet.
 func (j *Job) RemainingCriticalPath(occurrence int32) tackclock.Duration {
 	return j.longestChain(func(step int) bool { return j.StepDone(occurrence, int32(step)) })
 }
 
-// longestChain returns the duration of the longest chain of dependent steps, leaving out those
-// for which done returns true.
+// longestChain returns the duration of the longest chain of dependent steps, leaving out
+// those for which done returns true.
 func (s *Spec) longestChain(done func(step int) bool) tackclock.Duration {
 	ends := make([]tackclock.Duration, len(s.Steps))
 	var longest tackclock.Duration
--- a/core/tackjob/crash.go
+++ b/core/tackjob/crash.go
@@ -49,9 +49,9 @@
 	f.Cleared = append(f.Cleared, o.Cleared...)
 }
 
-// ApplyFindings applies findings at log time now and fails the jobs that have an item at fault.
-// This includes long-running items: they are restarted without limit, so a faulty one
-// would keep crashing workers.
+// ApplyFindings applies findings at log time now and fails the jobs that have an item at
+// fault. This includes long-running items: they are restarted without limit, so a faulty
+// one would keep crashing workers.
 func (t *Table) ApplyFindings(f *Findings, now tackclock.Time) {
 	for _, d := range f.Doubts {
 		t.updateCrashes(d.Item, now, func(r tackcrash.Record) tackcrash.Record { return r.WithDoubt(d.Doubt) })
--- a/core/tackledger/record.go
+++ b/core/tackledger/record.go
@@ -53,8 +53,8 @@
 	// query, and body.
 	Fingerprint [sha256.Size]byte
 
-	// InstanceID identifies one process of a peer. Each process chooses a new random
-	// value when it starts.
+	// InstanceID identifies one process of a peer. Each process chooses a new
+	// random value when it starts.
 	InstanceID uint64
 
 	// Outcome is the outcome of a dispatch.
@@ -78,7 +78,7 @@
 		Truncated bool    `cbor:"4,keyasint,omitempty"`
 	}
 
-	// Begin claims a key. Within is the longest time that the dispatch may
+	// Begin claims a key. Timeout is the longest time that the dispatch may
 	// take, in milliseconds from when the change is applied. After that a
 	// record without a Finish counts as unknown.
 	Begin struct {
@@ -146,8 +146,8 @@
 	return fmt.Sprintf("claim_%d", uint8(k))
 }
 
-// NewFingerprint returns the fingerprint of a request. Target is the path with the query,
-// as sent by the caller.
+// NewFingerprint returns the fingerprint of a request. Target is the path with
+// the query, as sent by the caller.
 func NewFingerprint(method, target string, body []byte) Fingerprint {
 	h := sha256.New()
 	// The lengths make the encoding unambiguous. Without them, different pairs
--- a/core/tackledger/snapshot.go
+++ b/core/tackledger/snapshot.go
@@ -22,11 +22,11 @@
 	}
 
 	snapshot struct {
-		Version  int                        `cbor:"1,keyasint"`
-		Revision tackid.Revision            `cbor:"2,keyasint"`
-		Now      tackclock.Time             `cbor:"3,keyasint"`
-		Lives    map[tackid.Peer]InstanceID `cbor:"4,keyasint"`
-		Records  []savedRecord              `cbor:"5,keyasint"`
+		Version   int                        `cbor:"1,keyasint"`
+		Revision  tackid.Revision            `cbor:"2,keyasint"`
+		Now       tackclock.Time             `cbor:"3,keyasint"`
+		Instances map[tackid.Peer]InstanceID `cbor:"4,keyasint"`
+		Records   []savedRecord              `cbor:"5,keyasint"`
 	}
 
 	// savedRecord is a record with the digest of its ID.
@@ -36,7 +36,7 @@
 		Fingerprint digest          `cbor:"3,keyasint"`
 		Request     digest          `cbor:"4,keyasint"`
 		Peer        tackid.Peer     `cbor:"5,keyasint,omitempty"`
-		Life        InstanceID      `cbor:"6,keyasint,omitempty"`
+		Instance    InstanceID      `cbor:"6,keyasint,omitempty"`
 		Begun       tackclock.Time  `cbor:"7,keyasint"`
 		Until       tackclock.Time  `cbor:"8,keyasint,omitempty"`
 		Ended       tackclock.Time  `cbor:"9,keyasint,omitempty"`
@@ -64,14 +64,14 @@
 // have the same encoding.
 func (s *State) Snapshot() ([]byte, error) {
 	out := snapshot{
-		Version:  snapshotVersion,
-		Revision: s.revision,
-		Now:      s.now,
-		Lives:    s.lives,
-		Records:  make([]savedRecord, 0, len(s.records)),
+		Version:   snapshotVersion,
+		Revision:  s.revision,
+		Now:       s.now,
+		Instances: s.instances,
+		Records:   make([]savedRecord, 0, len(s.records)),
 	}
-	if out.Lives == nil {
-		out.Lives = make(map[tackid.Peer]InstanceID)
+	if out.Instances == nil {
+		out.Instances = make(map[tackid.Peer]InstanceID)
 	}
 	for d, r := range s.records {
 		out.Records = append(out.Records, r.save(d))
@@ -96,8 +96,8 @@
 	}
 	*s = State{Limits: s.Limits}
 	s.advance(in.Revision, in.Now)
-	for peer, life := range in.Lives {
-		s.lives[peer] = life
+	for peer, instance := range in.Instances {
+		s.instances[peer] = instance
 	}
 	for i := range in.Records {
 		s.restore(&in.Records[i])
@@ -113,7 +113,7 @@
 		peer:        unique.Make(v.Peer),
 		fingerprint: v.Fingerprint,
 		request:     v.Request,
-		life:        v.Life,
+		instance:    v.Instance,
 		begun:       v.Begun,
 		until:       v.Until,
 		ended:       v.Ended,
@@ -156,7 +156,7 @@
 		Fingerprint: r.fingerprint,
 		Request:     r.request,
 		Peer:        r.peer.Value(),
-		Life:        r.life,
+		Instance:    r.instance,
 		Begun:       r.begun,
 		Until:       r.until,
 		Ended:       r.ended,
--- a/core/tackledger/state.go
+++ b/core/tackledger/state.go
@@ -1,12 +1,13 @@
 // Package tackledger keeps the records that ensure that a request with an
 // idempotency key runs at most once.
 //
-// A State is a state machine driven by the replicated log: every peer applies the
-// same changes in the same order and holds the same records. The peer that
-// receives a request proposes a Begin, and dispatches the request only after the
-// applied change returned Mine. Afterwards it proposes a Finish. If two peers race
-// for a key, the one whose Begin is first in the log gets it. A record without a
-// Finish becomes unknown and stays so: its request is never dispatched again.
+// A State is a state machine driven by the replicated log: every peer applies
+// the same changes in the same order and holds the same records. The peer that
+// receives a request proposes a Begin, and dispatches the request only after
+// the applied change returned Claimed. Afterwards it proposes a Finish. If two
+// peers race for a key, the one whose Begin is first in the log gets it. A
+// record without a Finish becomes unknown and stays so: its request is never
+// dispatched again.
 package tackledger
 
 import (
@@ -42,15 +43,15 @@
 	State struct {
 		Limits Limits
 
-		revision tackid.Revision
-		now      tackclock.Time
-		records  map[digest]*record
-		teams    map[tackid.Team]int
-		lives    map[tackid.Peer]InstanceID
-		bytes    int
-		begun    queue // all records, in the order of Begin
-		released queue // released records, in the order of release
-		answered queue // records with an answer, in the order of Finish
+		revision  tackid.Revision
+		now       tackclock.Time
+		records   map[digest]*record
+		teams     map[tackid.Team]int
+		instances map[tackid.Peer]InstanceID
+		bytes     int
+		begun     queue // all records, in the order of Begin
+		released  queue // released records, in the order of release
+		answered  queue // records with an answer, in the order of Finish
 	}
 
 	// digest is a truncated SHA-256 hash. Records hold digests instead of
@@ -65,7 +66,7 @@
 		peer        unique.Handle[tackid.Peer]
 		fingerprint digest
 		request     digest
-		life        InstanceID
+		instance    InstanceID
 		begun       tackclock.Time
 		until       tackclock.Time
 		ended       tackclock.Time  // time of the outcome
@@ -116,15 +117,15 @@
 }
 
 // Lookup returns the claim that a Begin of the request would get now, without
-// claiming the key; it is Mine if the key is free. Only Recorded and Mismatch are
-// final. Other results may have been changed by log entries that this peer has
-// not applied yet.
-func (s *State) Lookup(now tackclock.Time, id ID, print Fingerprint) Claim {
+// claiming the key; it is Claimed if the key is free. Only Recorded and
+// Mismatch are final. Other results may have been changed by log entries that
+// this peer has not applied yet.
+func (s *State) Lookup(now tackclock.Time, id ID, fingerprint Fingerprint) Claim {
 	r := s.records[id.digest()]
 	if r == nil || r.outcome == OutcomeDidNotRun || s.expired(r, now) {
 		return Claim{Kind: Claimed}
 	}
-	return s.verdict(r, print, max(now, s.now))
+	return s.verdict(r, fingerprint, max(now, s.now))
 }
 
 // Revision returns the revision of the last change applied.
@@ -151,7 +152,7 @@
 	if s.records == nil {
 		s.records = make(map[digest]*record)
 		s.teams = make(map[tackid.Team]int)
-		s.lives = make(map[tackid.Peer]InstanceID)
+		s.instances = make(map[tackid.Peer]InstanceID)
 	}
 	limits := s.Limits.withDefaults()
 	s.drop(&s.begun, limits.Age)
@@ -192,9 +193,9 @@
 // begin decides on a claim.
 func (s *State) begin(b *Begin) Claim {
 	// A restarted peer will never finish what its earlier process began. The
-	// new life makes those records unknown at once. Otherwise repeats of a key
+	// new instance makes those records unknown at once. Otherwise repeats of a key
 	// would get Running long after the process died.
-	s.lives[b.Peer] = b.Instance
+	s.instances[b.Peer] = b.Instance
 	d := b.ID.digest()
 	r := s.records[d]
 	if r == nil {
@@ -236,7 +237,7 @@
 		peer:        unique.Make(b.Peer),
 		fingerprint: digest(b.Fingerprint[:]),
 		request:     digestOf(string(b.Request)),
-		life:        b.Instance,
+		instance:    b.Instance,
 		begun:       s.now,
 		until:       s.now.Add(min(b.Timeout, limits.Age)),
 	}
@@ -252,9 +253,9 @@
 }
 
 // verdict returns the claim of another request with the key of the record.
-func (s *State) verdict(r *record, print Fingerprint, now tackclock.Time) Claim {
+func (s *State) verdict(r *record, fingerprint Fingerprint, now tackclock.Time) Claim {
 	switch {
-	case r.fingerprint != digest(print[:]):
+	case r.fingerprint != digest(fingerprint[:]):
 		return Claim{Kind: Mismatch}
 	case r.outcome == OutcomeAnswered && r.answer != nil:
 		return Claim{Kind: Recorded, Answer: *r.answer}
@@ -268,7 +269,7 @@
 
 // running reports whether the dispatch of the record may still be in progress.
 func (s *State) running(r *record, now tackclock.Time) bool {
-	return r.outcome == 0 && s.lives[r.peer.Value()] == r.life && !now.After(r.until)
+	return r.outcome == 0 && s.instances[r.peer.Value()] == r.instance && !now.After(r.until)
 }
 
 func (s *State) expired(r *record, now tackclock.Time) bool {
--- a/core/tackledger/state_test.go
+++ b/core/tackledger/state_test.go
@@ -164,13 +164,13 @@
 // model is a model of the ledger without limits or snapshots. For each key it
 // holds the requests that were allowed to run and not reported as not run.
 type model struct {
-	log     testLog
-	ran     map[string][]string       // key: requests that got Mine and ran
-	since   map[string]tackclock.Time // key: when the first of them ran
-	claimed map[string]string         // request: its key, while it may still finish
-	lives   map[tackid.Peer]InstanceID
-	peers   map[string]tackid.Peer // of the requests
-	next    int
+	log       testLog
+	ran       map[string][]string       // key: requests that got Claimed and ran
+	since     map[string]tackclock.Time // key: when the first of them ran
+	claimed   map[string]string         // request: its key, while it may still finish
+	instances map[tackid.Peer]InstanceID
+	peers     map[string]tackid.Peer // of the requests
+	next      int
 }
 
 // TestOneExecutionPerKey lets peers claim, finish and restart in any order, with
@@ -179,7 +179,7 @@
 func TestOneExecutionPerKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := model{ran: map[string][]string{}, since: map[string]tackclock.Time{}, claimed: map[string]string{},
-			lives: map[tackid.Peer]InstanceID{}, peers: map[string]tackid.Peer{}}
+			instances: map[tackid.Peer]InstanceID{}, peers: map[string]tackid.Peer{}}
 		m.log.Limits = Limits{Age: tackclock.Hour, ReleasedAge: tackclock.Minute, Records: 40, Bytes: 60}
 		var late []Change
 		t.Repeat(map[string]func(*rapid.T){
@@ -203,7 +203,7 @@
 			},
 			"finish": func(t *rapid.T) { m.finish(t) },
 			"die": func(t *rapid.T) {
-				m.lives[peerOf(t)]++
+				m.instances[peerOf(t)]++
 			},
 			"wait": func(t *rapid.T) {
 				m.log.now = m.log.now.Add(tackclock.Duration(rapid.IntRange(-1000, 90_000).Draw(t, "ms")))
@@ -225,7 +225,7 @@
 	m.peers[request] = peer
 	m.claimed[request] = k
 	c := begin(k, request)
-	c.Begin.Peer, c.Begin.Instance = peer, m.lives[peer]
+	c.Begin.Peer, c.Begin.Instance = peer, m.instances[peer]
 	c.Begin.ID.Team = tackid.Team(k)
 	return c
 }
@@ -234,7 +234,7 @@
 	return Change{Finish: &Finish{ID: c.Begin.ID, Request: c.Begin.Request, Outcome: OutcomeDidNotRun}}
 }
 
-// claim applies a Begin, sometimes twice, and records a run if it gets Mine.
+// claim applies a Begin, sometimes twice, and records a run if it gets Claimed.
 func (m *model) claim(t *rapid.T, c Change) {
 	request := string(c.Begin.Request)
 	k := m.claimed[request]
--- a/core/tackplace/view.go
+++ b/core/tackplace/view.go
@@ -69,7 +69,7 @@
 	}
 
 	// Report is the platform's report on the tasks of one worker. It was
-	// requested at Asked, and its data may be older by Settings.UsageLag.
+	// requested at RequestedAt, and its data may be older by Settings.UsageLag.
 	Report struct {
 		Worker      tackid.VM
 		RequestedAt tackclock.Time
--- a/core/tackpool/plan.go
+++ b/core/tackpool/plan.go
@@ -61,7 +61,7 @@
 		// done for it to be emptied for another pool.
 		EmptyWithin tackclock.Duration
 		// ParkAfter is how long a VM must be idle before it moves to the standby pool.
-		// See Rest for how it is adapted to the load.
+		// See ParkDelay for how it is adapted to the load.
 		ParkAfter tackclock.Duration
 		// KeepPercent is the percentage of the VMs of a pool that stay no matter how long
 		// they are idle, so that the first jobs of a burst start at once.
@@ -70,8 +70,8 @@
 		// beyond what its work requires. VMs beyond it are parked without waiting for
 		// ParkAfter. Zero means that it is not known. See the type Reserve.
 		Reserve int
-		// SinceFirstWork is the time since work was first wanted; zero if there was none yet.
-		// Idle time before that does not indicate how soon a VM is needed.
+		// SinceFirstWork is the time since work was first wanted; zero if there was none
+		// yet. Idle time before that does not indicate how soon a VM is needed.
 		SinceFirstWork tackclock.Duration
 	}
 
--- a/core/tackpool/rest_test.go
+++ b/core/tackpool/rest_test.go
@@ -15,8 +15,8 @@
 type gapPattern func(r *rand.Rand) tackclock.Duration
 
 // replay simulates VMs with idle times of the pattern between items of half a second. It
-// returns what the idle time costs with the time before parking that Rest determines, and
-// with fixed ones.
+// returns what the idle time costs with the time before parking that ParkDelay
+// determines, and with fixed ones.
 func replay(gaps gapPattern, fixed ...tackclock.Duration) (judged tackclock.Duration, others []tackclock.Duration) {
 	const (
 		vms    = 20
--- a/core/tackpool/standing.go
+++ b/core/tackpool/standing.go
@@ -24,19 +24,19 @@
 	return s.Wanted > s.Cores+s.Coming
 }
 
-// Statuses returns the standings of the pools that have demands.
+// Statuses returns the statuses of the pools that have demands.
 func (p Planner) Statuses(pools []Pool) []PoolStatus {
 	p = p.WithDefaults()
 	var list []PoolStatus
 	for i := range pools {
 		if pool := &pools[i]; !pool.Standby && len(pool.Demands) > 0 {
-			list = append(list, p.standing(pool))
+			list = append(list, p.status(pool))
 		}
 	}
 	return list
 }
 
-func (p *Planner) standing(pool *Pool) PoolStatus {
+func (p *Planner) status(pool *Pool) PoolStatus {
 	d := &pool.Demands[0]
 	s := PoolStatus{
 		Service: pool.Service, VMs: len(pool.VMs), Cores: d.cores(pool.VMs), Coming: d.cores(pool.Incoming),
--- a/core/tackpool/standing_test.go
+++ b/core/tackpool/standing_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestStandings(t *testing.T) {
+func TestStatuses(t *testing.T) {
 	pools := []Pool{
 		{Service: "backoffice", Standby: true, VMs: idle("s")},
 		{Service: "communes", VMs: append(busy("a"), idle("b", "c")...), Demands: []Demand{{Backlog: seconds(48, 2), Pressing: 38400, Arriving: 8000}}},
@@ -14,7 +14,7 @@
 	}
 	got := (Planner{}).Statuses(pools)
 	if len(got) != len(want) {
-		t.Fatalf("standings %+v, want %+v", got, want)
+		t.Fatalf("statuses %+v, want %+v", got, want)
 	}
 	for i := range want {
 		if got[i] != want[i] {
--- a/core/tackqueue/queue.go
+++ b/core/tackqueue/queue.go
@@ -20,10 +20,10 @@
 const (
 	// classesPerPower is the number of size classes per power of two.
 	classesPerPower = 2
-	// SizeClasses is the number of size classes: enough for four million cores, and the number
-	// of bits in a mask of them.
+	// SizeClasses is the number of size classes: enough for four million cores, and the
+	// number of bits in a mask of them.
 	SizeClasses = 64
-	// Partitions is the number of shelves of a queue.
+	// Partitions is the number of partitions of a queue.
 	Partitions = 32
 )
 
@@ -53,8 +53,8 @@
 		Rank Rank
 		// MilliCores is the size of one item, in thousandths of a core.
 		MilliCores int
-		// Partition is the partition of the entry, below Shelves. Entries that some workers
-		// cannot start at some times are kept on other shelves than the rest.
+		// Partition is the partition of the entry, below Partitions. Entries that some
+		// workers cannot start at some times are kept in other partitions than the rest.
 		Partition int
 	}
 
@@ -66,20 +66,20 @@
 
 	// Queue holds entries. Its zero value is empty. It is not safe for concurrent use.
 	Queue[E Entry] struct {
-		shelves [Partitions]shelf[E]
-		n       int
+		partitions [Partitions]partition[E]
+		n          int
 		// Examined counts the entries that iterations have visited.
 		Examined uint64
 	}
 
-	// shelf holds the entries of one shelf by size class. The bits of nonEmpty stand for
-	// the size classes that have entries.
-	shelf[E Entry] struct {
+	// partition holds the entries of one partition by size class. The bits of nonEmpty
+	// stand for the size classes that have entries.
+	partition[E Entry] struct {
 		bySize   map[int]*bucket[E]
 		nonEmpty uint64
 	}
 
-	// bucket holds the entries of one shelf and one size class, sorted by rank.
+	// bucket holds the entries of one partition and one size class, sorted by rank.
 	bucket[E Entry] struct {
 		entries []E
 	}
@@ -93,8 +93,8 @@
 	)
 }
 
-// SizeClass returns the size class of an amount in thousandths of a core, below Sizes. Larger
-// amounts have the same or a higher class.
+// SizeClass returns the size class of an amount in thousandths of a core, below
+// SizeClasses. Larger amounts have the same or a higher class.
 func SizeClass(milliCores int) int {
 	if milliCores <= 1 {
 		return 0
@@ -111,7 +111,7 @@
 
 // bucket returns the bucket of a key, or nil if it has never had entries.
 func (q *Queue[E]) bucket(k Key) *bucket[E] {
-	return q.shelves[k.Partition].bySize[SizeClass(k.MilliCores)]
+	return q.partitions[k.Partition].bySize[SizeClass(k.MilliCores)]
 }
 
 // Insert adds an entry.
@@ -120,14 +120,14 @@
 	b := q.bucket(key)
 	if b == nil {
 		b = &bucket[E]{}
-		s := &q.shelves[key.Partition]
+		s := &q.partitions[key.Partition]
 		if s.bySize == nil {
 			s.bySize = make(map[int]*bucket[E])
 		}
 		s.bySize[SizeClass(key.MilliCores)] = b
 	}
 	b.entries = slices.Insert(b.entries, b.insertionIndex(key.Rank), e)
-	q.shelves[key.Partition].nonEmpty |= 1 << SizeClass(key.MilliCores)
+	q.partitions[key.Partition].nonEmpty |= 1 << SizeClass(key.MilliCores)
 	q.n++
 }
 
@@ -158,14 +158,14 @@
 func (q *Queue[E]) removed(k Key, b *bucket[E], n int) {
 	q.n -= n
 	if len(b.entries) == 0 {
-		q.shelves[k.Partition].nonEmpty &^= 1 << SizeClass(k.MilliCores)
+		q.partitions[k.Partition].nonEmpty &^= 1 << SizeClass(k.MilliCores)
 	}
 }
 
 // RemoveFunc removes all entries for which f returns true.
 func (q *Queue[E]) RemoveFunc(f func(E) bool) {
-	for i := range q.shelves {
-		s := &q.shelves[i]
+	for i := range q.partitions {
+		s := &q.partitions[i]
 		for at, b := range s.bySize {
 			before := len(b.entries)
 			q.Examined += uint64(before)
@@ -184,9 +184,9 @@
 }
 
 // Fitting returns, in order of rank, the entries that may fit in the given thousandths of
-// a core, from the shelves for which has returns true. Entries that are certainly too
+// a core, from the partitions for which has returns true. Entries that are certainly too
 // large are left out. The queue must not change during the iteration.
-func (q *Queue[E]) Fitting(milliCores int, has func(shelf int) bool) iter.Seq[E] {
+func (q *Queue[E]) Fitting(milliCores int, has func(partition int) bool) iter.Seq[E] {
 	return func(yield func(E) bool) {
 		var space [SizeClasses][]E
 		heads := q.heads(space[:0], milliCores, has)
@@ -204,11 +204,11 @@
 	}
 }
 
-// Fits reports whether any entry of these shelves may fit in the given thousandths of a
-// core.
-func (q *Queue[E]) Fits(milliCores int, has func(shelf int) bool) bool {
-	for i := range q.shelves {
-		if q.shelves[i].nonEmpty&fitting(milliCores) != 0 && has(i) {
+// Fits reports whether any entry of these partitions may fit in the given thousandths of
+// a core.
+func (q *Queue[E]) Fits(milliCores int, has func(partition int) bool) bool {
+	for i := range q.partitions {
+		if q.partitions[i].nonEmpty&fitting(milliCores) != 0 && has(i) {
 			return true
 		}
 	}
@@ -222,10 +222,10 @@
 }
 
 // heads appends the entry list of each bucket that may fit.
-func (q *Queue[E]) heads(to [][]E, milliCores int, has func(shelf int) bool) [][]E {
+func (q *Queue[E]) heads(to [][]E, milliCores int, has func(partition int) bool) [][]E {
 	fits := fitting(milliCores)
-	for i := range q.shelves {
-		s := &q.shelves[i]
+	for i := range q.partitions {
+		s := &q.partitions[i]
 		if s.nonEmpty&fits == 0 || !has(i) {
 			continue
 		}
--- a/core/tackqueue/queue_test.go
+++ b/core/tackqueue/queue_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// random returns entries of all shelves and many sizes, in order of rank.
+// random returns entries of all partitions and many sizes, in order of rank.
 func random(n int) []*entry {
 	r := rand.New(rand.NewPCG(1, 2))
 	var list []*entry
@@ -57,7 +57,7 @@
 				want = append(want, e)
 			}
 		}
-		assertOrder(t, slices.Collect(q.Fitting(5000, func(shelf int) bool { return shelf < 3 })), want)
+		assertOrder(t, slices.Collect(q.Fitting(5000, func(partition int) bool { return partition < 3 })), want)
 	})
 	t.Run("after removals", func(t *testing.T) {
 		kept := slices.Clone(list)
@@ -79,7 +79,7 @@
 	for _, small := range []int{0, 1, 2, 3, 5, 999, 1000, 16_000, math.MaxInt32} {
 		for _, more := range []int{0, 1, 7, 1000} {
 			if SizeClass(small) > SizeClass(small+more) || SizeClass(small) >= SizeClasses {
-				t.Errorf("Size(%d) = %d, Size(%d) = %d, want both in order and below Sizes", small, SizeClass(small), small+more, SizeClass(small+more))
+				t.Errorf("SizeClass(%d) = %d, SizeClass(%d) = %d, want both in order and below SizeClasses", small, SizeClass(small), small+more, SizeClass(small+more))
 			}
 		}
 	}
@@ -93,7 +93,7 @@
 		want       bool
 	}{
 		{4000, anyShelf, true}, {100, anyShelf, false}, {-1, anyShelf, false},
-		{4000, func(shelf int) bool { return shelf != 2 }, false},
+		{4000, func(partition int) bool { return partition != 2 }, false},
 	} {
 		if got := q.Fits(test.milliCores, test.has); got != test.want {
 			t.Errorf("Fits(%d) = %v, want %v", test.milliCores, got, test.want)
@@ -106,7 +106,7 @@
 }
 
 // Fitting must not visit entries that are too large.
-func TestLookedBound(t *testing.T) {
+func TestExaminedBound(t *testing.T) {
 	q := &Queue[*entry]{}
 	for range 10_000 {
 		q.Insert(&entry{key: Key{MilliCores: 8000}})
--- a/core/tackquota/book.go
+++ b/core/tackquota/book.go
@@ -86,9 +86,9 @@
 // worker has reported.
 func (b *Book) Begin(leasesOver tackclock.Time, workspaces []tackworkspace.Workspace, grants Grants) {
 	*b = Book{accounts: make(map[tackid.Workspace]*Account), leasesOver: leasesOver}
-	for name, room := range grants {
+	for name, resources := range grants {
 		a := b.Account(name)
-		a.inherited, a.granted, a.requested = room, room, room
+		a.inherited, a.granted, a.requested = resources, resources, resources
 	}
 	b.SetCaps(workspaces)
 }
@@ -169,8 +169,8 @@
 // grant records the committed grant.
 func (a *Account) grant(held tackroom.Resources) {
 	a.granted = held
-	for _, room := range a.proposed {
-		a.granted = a.granted.Min(room)
+	for _, resources := range a.proposed {
+		a.granted = a.granted.Min(resources)
 	}
 }
 
@@ -223,8 +223,8 @@
 	return false
 }
 
-// RequestAhead requests, within the cap, the grant that allows need to start soon, so that the
-// start need not wait for the log once there is a worker for it.
+// RequestAhead requests, within the cap, the grant that allows need to start soon, so
+// that the start need not wait for the log once there is a worker for it.
 func (a *Account) RequestAhead(now tackclock.Time, need tackroom.Resources) {
 	if a != nil && a.capped() {
 		a.request(a.running(now).Plus(need).CappedBy(a.cap))
@@ -233,12 +233,12 @@
 
 // WithinCap reports whether a start that was counted already, but has not been ordered yet,
 // is still within the cap.
-func (a *Account) WithinCap(now tackclock.Time, room tackroom.Resources) bool {
+func (a *Account) WithinCap(now tackclock.Time, resources tackroom.Resources) bool {
 	if a == nil {
 		return true
 	}
 	total := a.running(now)
-	return a.within(total.Minus(room), total)
+	return a.within(total.Minus(resources), total)
 }
 
 // within reports whether what runs may grow from runs to total.
@@ -256,14 +256,15 @@
 	return a == nil || a.cap.Allows(need)
 }
 
-// Start records that room has been ordered to start, or was so by an earlier leader.
-func (a *Account) Start(room tackroom.Resources, earlier bool) {
+// Start records that a run with these resources was ordered to start, now or by an
+// earlier leader.
+func (a *Account) Start(resources tackroom.Resources, earlier bool) {
 	if a == nil {
 		return
 	}
-	a.used = a.used.Plus(room)
+	a.used = a.used.Plus(resources)
 	if earlier {
-		a.earlier = a.earlier.Plus(room)
+		a.earlier = a.earlier.Plus(resources)
 	}
 	a.prefetch()
 }
@@ -284,14 +285,14 @@
 		part(grant.MemoryMB, total.MemoryMB, a.cap.MemoryMB) && part(grant.GPUs, total.GPUs, a.cap.GPUs)
 }
 
-// End records that room, which was started before, no longer runs.
-func (a *Account) End(room tackroom.Resources, earlier bool) {
+// End records that a run with these resources, for which Start was called, has ended.
+func (a *Account) End(resources tackroom.Resources, earlier bool) {
 	if a == nil {
 		return
 	}
-	a.used = a.used.Minus(room)
+	a.used = a.used.Minus(resources)
 	if earlier {
-		a.earlier = a.earlier.Minus(room)
+		a.earlier = a.earlier.Minus(resources)
 	}
 }
 
--- a/core/tackquota/book_test.go
+++ b/core/tackquota/book_test.go
@@ -17,8 +17,8 @@
 	return tackroom.Resources{MilliCores: 1000 * n, MemoryMB: 1000 * n}
 }
 
-func capped(room tackroom.Resources) []tackworkspace.Workspace {
-	return []tackworkspace.Workspace{{Name: mairies, Cap: room}}
+func capped(limit tackroom.Resources) []tackworkspace.Workspace {
+	return []tackworkspace.Workspace{{Name: mairies, Cap: limit}}
 }
 
 // commitWanted commits the grants that the book wants.
--- a/core/tackquota/share.go
+++ b/core/tackquota/share.go
@@ -29,9 +29,9 @@
 	return a.weight / a.book.weights
 }
 
-// SharesOver returns how far the workspace is beyond its share, judged by the resource of which
-// it uses the largest fraction: 0 if it is within twice its share, then 1, and one more
-// for each doubling.
+// SharesOver returns how far the workspace is beyond its share, judged by the resource of
+// which it uses the largest fraction: 0 if it is within twice its share, then 1, and one
+// more for each doubling.
 //
 // Load pattern: one workspace submits ten times its usual load while the others submit
 // what they always do. By deadlines alone, its jobs would be nine out of ten that start,
--- a/core/tackrelay/message.go
+++ b/core/tackrelay/message.go
@@ -28,7 +28,8 @@
 		On bool `cbor:"3,keyasint,omitempty"`
 	}
 
-	// NumberedReport is a report with the number by which the relay identifies the answer to it.
+	// NumberedReport is a report with the number by which the relay identifies the answer
+	// to it.
 	NumberedReport struct {
 		Number uint64              `cbor:"1,keyasint"`
 		Report tackdispatch.Report `cbor:"2,keyasint"`
--- a/core/tackreplica/append.go
+++ b/core/tackreplica/append.go
@@ -69,9 +69,9 @@
 	n.send(m)
 }
 
-// throttled reports whether entries for the member are sent in batches every LearnerInterval.
-// No commit waits for a learner, and sending each change at once would cost the leader two
-// messages per change and learner.
+// throttled reports whether entries for the member are sent in batches every
+// LearnerInterval. No commit waits for a learner, and sending each change at once would
+// cost the leader two messages per change and learner.
 func (n *Node) throttled(p *progress) bool {
 	m := n.member(p.peer)
 	return n.cfg.LearnerInterval > 0 && m != nil && !m.Voter
--- a/core/tackreplica/cost_test.go
+++ b/core/tackreplica/cost_test.go
@@ -98,7 +98,8 @@
 	})
 }
 
-// timeUntilInForce returns how long a change takes until no VM can serve the state before it.
+// timeUntilInForce returns how long a change takes until no VM can serve the state before
+// it.
 func timeUntilInForce(c *cluster, leader *fakeVM) tackclock.Duration {
 	proposed := c.now
 	i, _, _ := leader.propose()
--- a/core/tackreplica/election.go
+++ b/core/tackreplica/election.go
@@ -183,9 +183,9 @@
 	n.termStart = n.appendTermStart()
 }
 
-// appendTermStart appends the first entry of the term; once it is committed, the leader knows
-// what is committed. The very first leader's entry also stores the configured members, so
-// that from then on every node takes them from the log.
+// appendTermStart appends the first entry of the term; once it is committed, the leader
+// knows what is committed. The very first leader's entry also stores the configured
+// members, so that from then on every node takes them from the log.
 func (n *Node) appendTermStart() tackid.Revision {
 	if n.configs[len(n.configs)-1].index == 0 {
 		return n.appendEntry(EntryMembership, encodeMembers(n.Members()))
--- a/core/tackreplica/node.go
+++ b/core/tackreplica/node.go
@@ -24,8 +24,8 @@
 	// disk.
 	commitSaveInterval = 200 * tackclock.Millisecond
 	defaultBatchBytes  = 64 << 10
-	// maxInflightBatches is the maximum number of full batches in flight to one member, so that
-	// a slow member does not use up the leader's memory.
+	// maxInflightBatches is the maximum number of full batches in flight to one member,
+	// so that a slow member does not use up the leader's memory.
 	maxInflightBatches = 16
 	// driftDivisor bounds clock drift: during a lease, the clocks of two VMs may drift
 	// apart by at most lease/driftDivisor. One sixteenth is far above what machines show.
--- a/core/tackretry/aside.go
+++ b/core/tackretry/aside.go
@@ -25,8 +25,8 @@
 
 type (
 	// Job identifies what a request asks for, so that repetitions of it are
-	// recognized. Key is the idempotency key, if there is one. Shape is a hash
-	// of the contents of the request, zero if unknown.
+	// recognized. Key is the idempotency key, if there is one. Fingerprint is a
+	// hash of the contents of the request, zero if unknown.
 	Job struct {
 		Service     tackid.Service
 		Team        tackid.Team
@@ -52,8 +52,8 @@
 		Refused int
 	}
 
-	// FailingJobsSettings are the tunables of an Aside. A zero field takes its
-	// default.
+	// FailingJobsSettings are the settings of FailingJobs. A zero field takes
+	// its default.
 	FailingJobsSettings struct {
 		// Servers is the number of healthy backend servers on which a job
 		// must fail to be set aside.
@@ -62,9 +62,9 @@
 		Jobs int
 	}
 
-	// FailingJobs detects the jobs that can never succeed, and sets them aside. Such
-	// a job fails on every backend server. A caller that keeps repeating it
-	// would use up slots and the retry budget, and cause one backend server
+	// FailingJobs detects the jobs that can never succeed, and sets them aside.
+	// Such a job fails on every backend server. A caller that keeps repeating
+	// it would use up slots and the retry budget, and cause one backend server
 	// after another to be considered broken.
 	//
 	// A job is set aside once it has failed on several backend servers that
@@ -89,15 +89,15 @@
 	}
 )
 
-// RecordFailure records a failure of a job and reports whether it causes the job to be
-// set aside.
-func (a *FailingJobs) RecordFailure(now tackclock.Time, f Failure) bool {
+// RecordFailure records a failure of a job and reports whether it causes the
+// job to be set aside.
+func (j *FailingJobs) RecordFailure(now tackclock.Time, f Failure) bool {
 	if !f.Healthy {
 		return false
 	}
 	aside := false
 	for _, id := range f.Job.identities() {
-		if id != (Job{}) && a.recordFailure(now, id, f.BackendServer) {
+		if id != (Job{}) && j.recordFailure(now, id, f.BackendServer) {
 			aside = true
 		}
 	}
@@ -106,24 +106,24 @@
 
 // RecordSuccess records a success of the job, after which its failures no longer
 // count.
-func (a *FailingJobs) RecordSuccess(job Job) {
-	if len(a.jobs) == 0 {
+func (j *FailingJobs) RecordSuccess(job Job) {
+	if len(j.jobs) == 0 {
 		return
 	}
 	for _, id := range job.identities() {
-		delete(a.jobs, id)
+		delete(j.jobs, id)
 	}
 }
 
 // Check returns for how long the job is still set aside, or zero if it may be
 // tried. A request for a job that is set aside counts as refused.
-func (a *FailingJobs) Check(now tackclock.Time, job Job) tackclock.Duration {
-	if len(a.jobs) == 0 {
+func (j *FailingJobs) Check(now tackclock.Time, job Job) tackclock.Duration {
+	if len(j.jobs) == 0 {
 		return 0
 	}
 	var wait tackclock.Duration
 	for _, id := range job.identities() {
-		f := a.jobs[id]
+		f := j.jobs[id]
 		if f == nil || f.asideFor == 0 {
 			continue
 		}
@@ -140,9 +140,9 @@
 }
 
 // List returns the jobs that are set aside, in the order in which they were.
-func (a *FailingJobs) List(now tackclock.Time) []SetAsideJob {
+func (j *FailingJobs) List(now tackclock.Time) []SetAsideJob {
 	var list []SetAsideJob
-	for id, f := range a.jobs {
+	for id, f := range j.jobs {
 		if f.asideFor > 0 && now.Before(f.until) {
 			list = append(list, SetAsideJob{Job: id, BackendServers: slices.Clone(f.servers),
 				Since: f.since, Until: f.until, Refused: f.refused})
@@ -158,17 +158,17 @@
 
 // recordFailure counts a failure of the job on a backend server and reports
 // whether the job is set aside.
-func (a *FailingJobs) recordFailure(now tackclock.Time, id Job, server tackid.BackendServer) bool {
-	f := a.jobs[id]
+func (j *FailingJobs) recordFailure(now tackclock.Time, id Job, server tackid.BackendServer) bool {
+	f := j.jobs[id]
 	if f == nil || now.Sub(f.lastFailure) >= forgetAfter+f.asideFor {
-		f = a.addRecord(now, id)
+		f = j.addRecord(now, id)
 	}
 	f.lastFailure = now
 	if !slices.Contains(f.servers, server) {
 		f.servers = append(f.servers, server)
 	}
 	if f.asideFor == 0 {
-		if len(f.servers) < orDefault(a.Settings.Servers, defaultServers) {
+		if len(f.servers) < orDefault(j.Settings.Servers, defaultServers) {
 			return false
 		}
 		f.since = now
@@ -180,34 +180,34 @@
 
 // addRecord adds a record for a failing job, and drops old records if there is no
 // room for it.
-func (a *FailingJobs) addRecord(now tackclock.Time, id Job) *failureRecord {
-	if a.jobs == nil {
-		a.jobs = make(map[Job]*failureRecord)
+func (j *FailingJobs) addRecord(now tackclock.Time, id Job) *failureRecord {
+	if j.jobs == nil {
+		j.jobs = make(map[Job]*failureRecord)
 	}
-	if len(a.jobs) >= orDefault(a.Settings.Jobs, defaultJobs) {
-		a.dropOldRecords(now)
+	if len(j.jobs) >= orDefault(j.Settings.Jobs, defaultJobs) {
+		j.dropOldRecords(now)
 	}
 	f := new(failureRecord)
-	a.jobs[id] = f
+	j.jobs[id] = f
 	return f
 }
 
-// dropOldRecords drops all expired records. If there are none, it drops the quarter of
-// the jobs that failed longest ago, so that its cost is amortized over many
-// failures.
-func (a *FailingJobs) dropOldRecords(now tackclock.Time) {
-	before := len(a.jobs)
-	maps.DeleteFunc(a.jobs, func(_ Job, f *failureRecord) bool {
+// dropOldRecords drops all expired records. If there are none, it drops the
+// quarter of the jobs that failed longest ago, so that its cost is amortized
+// over many failures.
+func (j *FailingJobs) dropOldRecords(now tackclock.Time) {
+	before := len(j.jobs)
+	maps.DeleteFunc(j.jobs, func(_ Job, f *failureRecord) bool {
 		return now.Sub(f.lastFailure) >= forgetAfter+f.asideFor
 	})
-	if len(a.jobs) < before {
+	if len(j.jobs) < before {
 		return
 	}
-	ids := slices.SortedFunc(maps.Keys(a.jobs), func(x, y Job) int {
-		return cmp.Compare(a.jobs[x].lastFailure, a.jobs[y].lastFailure)
+	ids := slices.SortedFunc(maps.Keys(j.jobs), func(x, y Job) int {
+		return cmp.Compare(j.jobs[x].lastFailure, j.jobs[y].lastFailure)
 	})
 	for _, id := range ids[:max(1, len(ids)/4)] {
-		delete(a.jobs, id)
+		delete(j.jobs, id)
 	}
 }
 
--- a/core/tackretry/budget.go
+++ b/core/tackretry/budget.go
@@ -13,7 +13,7 @@
 	defaultRatio = 0.1
 	// defaultBurst is the default of Settings.Burst.
 	defaultBurst = 20
-	// defaultTries is the default of Settings.Tries.
+	// defaultTries is the default of Settings.MaxTries.
 	defaultTries = 3
 	// defaultMinLeft is the default of Settings.MinTimeLeft.
 	defaultMinLeft = 20 * tackclock.Millisecond
--- a/core/tackroute/chooser.go
+++ b/core/tackroute/chooser.go
@@ -86,7 +86,7 @@
 		Incarnation   tackid.Incarnation   `cbor:"2,keyasint,omitempty"`
 	}
 
-	// Share is a number of slots of a lot.
+	// Share is a number of slots of a source.
 	Share struct {
 		SlotSource
 		Slots int
@@ -125,7 +125,7 @@
 	zone struct {
 		inFlight int
 		// shares holds the number of slots that this peer may use on each
-		// lot; it is nil if the slots are not shared. bound is the total
+		// source; it is nil if the slots are not shared. bound is the total
 		// number of requests that the peer may have in flight in the zone.
 		shares map[SlotSource]int
 		bound  int
@@ -256,9 +256,9 @@
 }
 
 // SetShares limits the requests that this peer may have in flight in a data
-// centre: to its share on each lot, and to bound in total. A lot without a share
-// gets none, even if it becomes a candidate later, since all its slots may belong
-// to other peers.
+// centre: to its share on each source, and to bound in total. A source without
+// a share gets none, even if it becomes a candidate later, since all its slots
+// may belong to other peers.
 func (c *Chooser) SetShares(dc tackid.DataCentre, bound int, shares []Share) {
 	z := c.zoneOf(dc)
 	z.bound = bound
@@ -273,16 +273,16 @@
 	}
 }
 
-// InUse returns the number of slots in use on each lot that has any.
+// InUse returns the number of slots in use on each source that has any.
 func (c *Chooser) InUse() []Share {
 	var used []Share
 	for _, s := range c.servers {
 		if s.inFlight > 0 {
-			used = append(used, Share{SlotSource: s.lot(), Slots: s.inFlight})
+			used = append(used, Share{SlotSource: s.source(), Slots: s.inFlight})
 		}
 	}
-	for lot, s := range c.leaving {
-		used = append(used, Share{SlotSource: lot, Slots: s.inFlight})
+	for source, s := range c.leaving {
+		used = append(used, Share{SlotSource: source, Slots: s.inFlight})
 	}
 	return used
 }
@@ -303,10 +303,10 @@
 // add adds a candidate. It keeps the state of the same incarnation, either known
 // from the last table or among those that left.
 func (c *Chooser) add(candidate Candidate, known *server) {
-	lot := SlotSource{BackendServer: candidate.BackendServer, Incarnation: candidate.Incarnation}
+	source := SlotSource{BackendServer: candidate.BackendServer, Incarnation: candidate.Incarnation}
 	if known == nil || known.Incarnation != candidate.Incarnation {
-		known = c.leaving[lot]
-		delete(c.leaving, lot)
+		known = c.leaving[source]
+		delete(c.leaving, source)
 	}
 	if known == nil {
 		known = new(server)
@@ -334,19 +334,19 @@
 	if c.leaving == nil {
 		c.leaving = make(map[SlotSource]*server)
 	}
-	c.leaving[s.lot()] = s
+	c.leaving[s.source()] = s
 }
 
 func (c *Chooser) doneLeaving(candidate Candidate) {
-	lot := SlotSource{BackendServer: candidate.BackendServer, Incarnation: candidate.Incarnation}
-	s := c.leaving[lot]
+	source := SlotSource{BackendServer: candidate.BackendServer, Incarnation: candidate.Incarnation}
+	s := c.leaving[source]
 	if s == nil {
 		return
 	}
 	s.inFlight--
 	s.zone.inFlight--
 	if s.inFlight == 0 {
-		delete(c.leaving, lot)
+		delete(c.leaving, source)
 	}
 }
 
@@ -390,7 +390,7 @@
 func (s *server) setLimit() {
 	s.limit = s.Slots
 	if s.zone.shares != nil {
-		s.limit = min(s.limit, s.zone.shares[s.lot()])
+		s.limit = min(s.limit, s.zone.shares[s.source()])
 	}
 }
 
@@ -402,7 +402,7 @@
 	return load * s.record.slowness(meanLatency) / s.record.successRate()
 }
 
-func (s *server) lot() SlotSource {
+func (s *server) source() SlotSource {
 	return SlotSource{BackendServer: s.BackendServer, Incarnation: s.Incarnation}
 }
 
--- a/core/tackroute/chooser_test.go
+++ b/core/tackroute/chooser_test.go
@@ -74,11 +74,11 @@
 	convey.Convey("With shares for one of two backend servers", t, func() {
 		var c tackroute.Chooser
 		both := candidates(here, 2)
-		lots := []tackroute.SlotSource{{BackendServer: "rennes-a-0", Incarnation: 1}, {BackendServer: "rennes-a-1", Incarnation: 1}}
-		c.SetShares(here, 100, []tackroute.Share{{SlotSource: lots[0], Slots: 3}})
+		sources := []tackroute.SlotSource{{BackendServer: "rennes-a-0", Incarnation: 1}, {BackendServer: "rennes-a-1", Incarnation: 1}}
+		c.SetShares(here, 100, []tackroute.Share{{SlotSource: sources[0], Slots: 3}})
 		c.SetCandidates(both)
 		convey.So(c.Capacity(0, tackroute.Constraints{Home: here}), convey.ShouldEqual, 3)
-		c.SetShares(here, 100, []tackroute.Share{{SlotSource: lots[0], Slots: 3}, {SlotSource: lots[1], Slots: 2}})
+		c.SetShares(here, 100, []tackroute.Share{{SlotSource: sources[0], Slots: 3}, {SlotSource: sources[1], Slots: 2}})
 		convey.So(c.Capacity(0, tackroute.Constraints{Home: here}), convey.ShouldEqual, 5)
 	})
 }
--- a/core/tackroute/machine_test.go
+++ b/core/tackroute/machine_test.go
@@ -65,19 +65,19 @@
 // that not all candidates are ejected.
 func (m *chooserMachine) Check(t *rapid.T) {
 	perVM := make(map[tackid.VM]int)
-	perLot := make(map[tackroute.SlotSource]int)
+	perSource := make(map[tackroute.SlotSource]int)
 	for _, c := range m.inFlight {
 		perVM[c.VM]++
-		perLot[tackroute.SlotSource{BackendServer: c.BackendServer, Incarnation: c.Incarnation}]++
+		perSource[tackroute.SlotSource{BackendServer: c.BackendServer, Incarnation: c.Incarnation}]++
 	}
 	for _, c := range append(candidates(here, 3), candidates(there, 2)...) {
 		if got := m.chooser.InFlight(c.VM); got != perVM[c.VM] {
 			t.Fatalf("InFlight(%s) = %d, want %d", c.VM, got, perVM[c.VM])
 		}
 	}
-	for lot, n := range perLot {
+	for source, n := range perSource {
 		if n > 3 {
-			t.Fatalf("%v has %d in flight on 3 slots", lot, n)
+			t.Fatalf("%v has %d in flight on 3 slots", source, n)
 		}
 	}
 	if len(m.table) > 0 && m.chooser.Capacity(m.now, tackroute.Constraints{Home: here}) == 0 {
--- a/core/tackshare/allocate.go
+++ b/core/tackshare/allocate.go
@@ -163,44 +163,45 @@
 	}
 }
 
-// freeSlots counts by lot the slots of a group that are granted to no holder.
+// freeSlots counts by source the slots of a group that are granted to no
+// holder.
 type freeSlots struct {
 	group *group
 	free  []int
 }
 
 func newFreeSlots(g *group) *freeSlots {
-	f := &freeSlots{group: g, free: make([]int, len(g.lots))}
-	for i, lot := range g.lots {
-		f.free[i] = g.free(lot)
+	f := &freeSlots{group: g, free: make([]int, len(g.sources))}
+	for i, source := range g.sources {
+		f.free[i] = g.free(source)
 	}
 	return f
 }
 
-// grant grants one free slot. It takes the lots in turn, so that the slots of a
-// holder are spread over the backend servers. It returns false if no slot is
-// free.
+// grant grants one free slot. It takes the sources in turn, so that the slots
+// of a holder are spread over the backend servers. It returns false if no slot
+// is free.
 func (f *freeSlots) grant(c *claimant) bool {
-	lots := f.group.lots
-	for range lots {
-		i := f.group.ownership.nextLot % len(lots)
-		f.group.ownership.nextLot = i + 1
+	sources := f.group.sources
+	for range sources {
+		i := f.group.ownership.nextSource % len(sources)
+		f.group.ownership.nextSource = i + 1
 		if f.free[i] <= 0 {
 			continue
 		}
 		f.free[i]--
 		c.held++
-		c.session.recordGrant(lots[i])
+		c.session.recordGrant(sources[i])
 		return true
 	}
 	return false
 }
 
-func (h *session) recordGrant(lot tackroute.SlotSource) {
-	c := h.lots[lot]
+func (h *session) recordGrant(source tackroute.SlotSource) {
+	c := h.sources[source]
 	if c == nil {
 		c = new(count)
-		h.lots[lot] = c
+		h.sources[source] = c
 	}
 	c.granted++
 	c.sent = 0
--- a/core/tackshare/group.go
+++ b/core/tackshare/group.go
@@ -12,7 +12,7 @@
 // or was the owner, what it granted.
 type group struct {
 	Group
-	lots         []tackroute.SlotSource
+	sources      []tackroute.SlotSource
 	slots        map[tackroute.SlotSource]int
 	holding      holding
 	ownership    ownership
@@ -64,26 +64,26 @@
 	return every
 }
 
-// fixedPart returns how many slots of a lot this peer may use without a grant.
-// The slots are divided evenly among all members, including unreachable ones,
-// with the remainder starting at another member for each lot, so that the parts
-// of all members add up to the number of slots.
-func (s *Sharer) fixedPart(g *group, lot tackroute.SlotSource) int {
+// fixedPart returns how many slots of a source this peer may use without a
+// grant. The slots are divided evenly among all members, including unreachable
+// ones, with the remainder starting at another member for each source, so that
+// the parts of all members add up to the number of slots.
+func (s *Sharer) fixedPart(g *group, source tackroute.SlotSource) int {
 	members := g.members(s.peers)
 	self := slices.Index(members, s.Self)
 	if self < 0 {
 		return 0
 	}
 	n := len(members)
-	first := int(score(g.Group, tackid.Peer(lot.BackendServer)) % uint64(n))
+	first := int(score(g.Group, tackid.Peer(source.BackendServer)) % uint64(n))
 	rank := (self - first + n) % n
-	part := g.slots[lot] / n
-	if rank < g.slots[lot]%n {
+	part := g.slots[source] / n
+	if rank < g.slots[source]%n {
 		part++
 	}
 	return part
 }
 
-func sortedLots(lots map[tackroute.SlotSource]*count) []tackroute.SlotSource {
-	return slices.SortedFunc(maps.Keys(lots), compareLots)
+func sortedSources(sources map[tackroute.SlotSource]*count) []tackroute.SlotSource {
+	return slices.SortedFunc(maps.Keys(sources), compareSources)
 }
--- a/core/tackshare/holding.go
+++ b/core/tackshare/holding.go
@@ -34,9 +34,9 @@
 	granted bool
 	// fixed reports whether the slots held are the fixed part, rather than
 	// slots claimed from an earlier session.
-	fixed bool
-	bound int
-	lots  map[tackroute.SlotSource]*count
+	fixed   bool
+	bound   int
+	sources map[tackroute.SlotSource]*count
 	// need is the decaying maximum of recent needs, shortSteps the number of
 	// steps for which it has exceeded the slots held.
 	need       float64
@@ -52,28 +52,28 @@
 // restart begins a session with an owner, in which all slots held are claimed.
 // If there are none, the wait for an answer goes on from the previous session.
 func (h *holding) restart(now tackclock.Time, owner tackid.Peer) {
-	lots := make(map[tackroute.SlotSource]*count, len(h.lots))
-	for lot, c := range h.lots {
+	sources := make(map[tackroute.SlotSource]*count, len(h.sources))
+	for source, c := range h.sources {
 		if held := c.held(); held > 0 {
-			lots[lot] = &count{granted: held}
+			sources[source] = &count{granted: held}
 		}
 	}
 	since := now
-	if h.session > 0 && !h.granted && len(lots) == 0 {
+	if h.session > 0 && !h.granted && len(sources) == 0 {
 		since = h.since
 	}
 	*h = holding{owner: owner, session: h.session + 1, since: since, member: h.member, need: h.need,
-		want: h.want, bound: math.MaxInt, lots: lots}
+		want: h.want, bound: math.MaxInt, sources: sources}
 }
 
 // open reports whether there is anything to report to the owner.
 func (h *holding) open() bool {
-	return h.granted || h.member || h.want > 0 || len(h.lots) > 0
+	return h.granted || h.member || h.want > 0 || len(h.sources) > 0
 }
 
 func (h *holding) held() int {
 	n := 0
-	for _, c := range h.lots {
+	for _, c := range h.sources {
 		n += c.held()
 	}
 	return n
@@ -86,7 +86,7 @@
 	if due(h.sent) {
 		return true
 	}
-	for _, c := range h.lots {
+	for _, c := range h.sources {
 		if c.returned > 0 && due(c.sent) {
 			return true
 		}
@@ -127,13 +127,13 @@
 	if h.sent == 0 {
 		h.sent = l.sentSeq
 	}
-	for _, lot := range sortedLots(h.lots) {
-		c := h.lots[lot]
+	for _, source := range sortedSources(h.sources) {
+		c := h.sources[source]
 		if !h.granted && c.granted > 0 {
-			r.Claimed = append(r.Claimed, Count{SlotSource: lot, Slots: c.granted})
+			r.Claimed = append(r.Claimed, Count{SlotSource: source, Slots: c.granted})
 		}
 		if c.returned > 0 && (c.sent == 0 || c.sent > l.ackedSeq) {
-			r.Returned = append(r.Returned, Count{SlotSource: lot, Slots: c.returned})
+			r.Returned = append(r.Returned, Count{SlotSource: source, Slots: c.returned})
 			if c.sent == 0 {
 				c.sent = l.sentSeq
 			}
@@ -155,7 +155,7 @@
 	}
 	h := &g.holding
 	if !h.granted {
-		for _, c := range h.lots {
+		for _, c := range h.sources {
 			c.granted = 0
 		}
 	}
@@ -163,17 +163,17 @@
 	h.fixed = false
 	h.bound = gr.Bound
 	for _, n := range gr.Granted {
-		c := h.lots[n.SlotSource]
+		c := h.sources[n.SlotSource]
 		if c == nil {
 			c = new(count)
-			h.lots[n.SlotSource] = c
+			h.sources[n.SlotSource] = c
 		}
 		c.granted = max(c.granted, n.Slots)
 	}
 }
 
-// refreshNeeds updates the need of each group, returns slots that the owners reclaim
-// and drops those whose lease has expired.
+// refreshNeeds updates the need of each group, returns slots that the owners
+// reclaim and drops those whose lease has expired.
 func (s *Sharer) refreshNeeds(now tackclock.Time) {
 	step := now.Sub(s.lastStep) >= decayStep
 	if step {
@@ -234,8 +234,8 @@
 	}
 	waited := now.Sub(h.since)
 	lost := l != nil && h.granted && !now.Before(l.leaseUntil)
-	unclaimed := !h.granted && !h.fixed && len(h.lots) > 0 && waited >= lease
-	unheard := len(h.lots) == 0 && !h.fixed && waited >= peerTimeout && (!h.granted || s.mustAwaitClaims(now, g))
+	unclaimed := !h.granted && !h.fixed && len(h.sources) > 0 && waited >= lease
+	unheard := len(h.sources) == 0 && !h.fixed && waited >= peerTimeout && (!h.granted || s.mustAwaitClaims(now, g))
 	if lost || unclaimed || unheard {
 		h.restart(now, h.owner)
 		s.claimFixedPart(g)
@@ -252,16 +252,16 @@
 func (s *Sharer) claimFixedPart(g *group) {
 	h := &g.holding
 	h.fixed = true
-	clear(h.lots)
-	for _, lot := range g.lots {
-		if n := s.fixedPart(g, lot); n > 0 {
-			h.lots[lot] = &count{granted: n}
+	clear(h.sources)
+	for _, source := range g.sources {
+		if n := s.fixedPart(g, source); n > 0 {
+			h.sources[source] = &count{granted: n}
 		}
 	}
 }
 
-// returnIdle returns idle slots: those beyond the bound, those of removed lots,
-// and those beyond the number of slots of a lot.
+// returnIdle returns idle slots: those beyond the bound, those of removed
+// sources, and those beyond the number of slots of a source.
 func (s *Sharer) returnIdle(now tackclock.Time, g *group, usage Usage) {
 	h := &g.holding
 	if !h.granted {
@@ -270,10 +270,10 @@
 	excess := h.held() - h.bound
 	spare := h.held() - g.inUse(usage) - usage.Admitted
 	returned := false
-	for _, lot := range sortedLots(h.lots) {
-		c := h.lots[lot]
-		idle := c.held() - usage.slotsOf(lot)
-		n := min(idle, spare, max(excess, c.held()-g.slots[lot]))
+	for _, source := range sortedSources(h.sources) {
+		c := h.sources[source]
+		idle := c.held() - usage.slotsOf(source)
+		n := min(idle, spare, max(excess, c.held()-g.slots[source]))
 		if n <= 0 {
 			continue
 		}
@@ -295,8 +295,8 @@
 func (s *Sharer) undoReturns(now tackclock.Time, g *group) {
 	usage := s.usage(now, g.Subject)
 	undone := false
-	for lot, c := range g.holding.lots {
-		if n := min(usage.slotsOf(lot)-c.held(), c.returned-c.returnedSent); n > 0 {
+	for source, c := range g.holding.sources {
+		if n := min(usage.slotsOf(source)-c.held(), c.returned-c.returnedSent); n > 0 {
 			c.returned -= n
 			undone = true
 		}
@@ -306,32 +306,32 @@
 	}
 }
 
-// apply passes the shares of a group to the user, if they changed.
+// apply passes the shares of a group to the consumer, if they changed.
 func (s *Sharer) apply(now tackclock.Time, g *group) {
 	h := &g.holding
-	shares := make([]tackroute.Share, len(g.lots))
-	for i, lot := range g.lots {
-		shares[i] = tackroute.Share{SlotSource: lot}
-		if c := h.lots[lot]; c != nil {
-			shares[i].Slots = min(c.held(), g.slots[lot])
+	shares := make([]tackroute.Share, len(g.sources))
+	for i, source := range g.sources {
+		shares[i] = tackroute.Share{SlotSource: source}
+		if c := h.sources[source]; c != nil {
+			shares[i].Slots = min(c.held(), g.slots[source])
 		}
 	}
-	if s.User != nil && !g.sameAsApplied(h.bound, shares) {
+	if s.Consumer != nil && !g.sameAsApplied(h.bound, shares) {
 		g.applied, g.appliedBound = shares, h.bound
-		s.User.SetShares(now, g.Group, h.bound, shares)
+		s.Consumer.SetShares(now, g.Group, h.bound, shares)
 	}
 }
 
 func (s *Sharer) usage(now tackclock.Time, subject Subject) Usage {
-	if s.User == nil {
+	if s.Consumer == nil {
 		return Usage{}
 	}
-	return s.User.Usage(now, subject)
+	return s.Consumer.Usage(now, subject)
 }
 
-func (u *Usage) slotsOf(lot tackroute.SlotSource) int {
+func (u *Usage) slotsOf(source tackroute.SlotSource) int {
 	for _, n := range u.InUse {
-		if n.SlotSource == lot {
+		if n.SlotSource == source {
 			return n.Slots
 		}
 	}
--- a/core/tackshare/model_test.go
+++ b/core/tackshare/model_test.go
@@ -229,15 +229,15 @@
 	return tackid.Peer(fmt.Sprintf("%s-%d", home, vm))
 }
 
-func lotOf(e int) tackroute.SlotSource {
+func sourceOf(e int) tackroute.SlotSource {
 	return tackroute.SlotSource{BackendServer: tackid.BackendServer(fmt.Sprintf("%s-%d", service, e)), Incarnation: 1}
 }
 
 func tableOf(executors int) *tackroute.Table {
 	var all []tackroute.Candidate
 	for e := range executors {
-		lot := lotOf(e)
-		all = append(all, tackroute.Candidate{BackendServer: lot.BackendServer, Incarnation: lot.Incarnation,
+		source := sourceOf(e)
+		all = append(all, tackroute.Candidate{BackendServer: source.BackendServer, Incarnation: source.Incarnation,
 			VM: tackid.VM(fmt.Sprint("vm-", e)), DataCentre: home, Slots: executorSlots, Connections: 64})
 	}
 	return &tackroute.Table{Services: map[tackid.Service][]tackroute.Candidate{service: all}}
@@ -259,7 +259,7 @@
 		peers = append(peers, tackshare.PeerLocation{Peer: peerOf(vm), DataCentre: home})
 	}
 	v := new(simPeer)
-	v.sharer = &tackshare.Sharer{Self: peerOf(vm), Home: home, Epoch: epoch, User: v}
+	v.sharer = &tackshare.Sharer{Self: peerOf(vm), Home: home, Epoch: epoch, Consumer: v}
 	v.sharer.SetPeers(now, peers)
 	return v
 }
@@ -291,9 +291,9 @@
 }
 
 func (w *leasedShares) done(now tackclock.Time, vm, executor int) {
-	lot := lotOf(executor)
+	source := sourceOf(executor)
 	w.vms[vm].inFlight--
-	w.vms[vm].chooser.Done(now, tackroute.Candidate{BackendServer: lot.BackendServer, Incarnation: lot.Incarnation},
+	w.vms[vm].chooser.Done(now, tackroute.Candidate{BackendServer: source.BackendServer, Incarnation: source.Incarnation},
 		tackroute.Outcome{})
 }
 
--- a/core/tackshare/owner.go
+++ b/core/tackshare/owner.go
@@ -18,18 +18,18 @@
 		active   bool
 		since    tackclock.Time
 		sessions map[tackid.Peer]*session
-		// nextLot is the index of the lot from which the next free slot is
-		// granted.
-		nextLot int
+		// nextSource is the index of the source from which the next free slot
+		// is granted.
+		nextSource int
 	}
 
 	// session is what one holder has been granted, as recorded by the owner.
 	session struct {
-		id    uint32
-		want  int
-		bound int
-		sent  uint64
-		lots  map[tackroute.SlotSource]*count
+		id      uint32
+		want    int
+		bound   int
+		sent    uint64
+		sources map[tackroute.SlotSource]*count
 	}
 )
 
@@ -49,7 +49,7 @@
 	}
 	h.want = r.Want
 	for _, n := range r.Returned {
-		if c := h.lots[n.SlotSource]; c != nil {
+		if c := h.sources[n.SlotSource]; c != nil {
 			c.returned = max(c.returned, n.Slots)
 		}
 	}
@@ -64,10 +64,10 @@
 		o.sessions = make(map[tackid.Peer]*session)
 	}
 	delete(o.sessions, from)
-	h := &session{id: r.Session, lots: make(map[tackroute.SlotSource]*count)}
+	h := &session{id: r.Session, sources: make(map[tackroute.SlotSource]*count)}
 	for _, n := range r.Claimed {
 		if free := min(n.Slots, g.free(n.SlotSource)); free > 0 {
-			h.lots[n.SlotSource] = &count{granted: free}
+			h.sources[n.SlotSource] = &count{granted: free}
 		}
 	}
 	h.bound = h.held()
@@ -77,7 +77,7 @@
 
 func (h *session) held() int {
 	n := 0
-	for _, c := range h.lots {
+	for _, c := range h.sources {
 		n += c.held()
 	}
 	return n
@@ -89,11 +89,11 @@
 	}
 }
 
-// free returns how many slots of a lot are granted to no holder.
-func (g *group) free(lot tackroute.SlotSource) int {
-	n := g.slots[lot]
+// free returns how many slots of a source are granted to no holder.
+func (g *group) free(source tackroute.SlotSource) int {
+	n := g.slots[source]
 	for _, h := range g.ownership.sessions {
-		if c := h.lots[lot]; c != nil {
+		if c := h.sources[source]; c != nil {
 			n -= c.held()
 		}
 	}
@@ -109,7 +109,7 @@
 	if due(h.sent) {
 		return true
 	}
-	for _, c := range h.lots {
+	for _, c := range h.sources {
 		if due(c.sent) {
 			return true
 		}
@@ -128,15 +128,15 @@
 	if h.sent == 0 {
 		h.sent = l.sentSeq
 	}
-	for _, lot := range sortedLots(h.lots) {
-		c := h.lots[lot]
+	for _, source := range sortedSources(h.sources) {
+		c := h.sources[source]
 		if c.sent != 0 && c.sent <= l.ackedSeq {
 			continue
 		}
 		if c.sent == 0 {
 			c.sent = l.sentSeq
 		}
-		gr.Granted = append(gr.Granted, Count{SlotSource: lot, Slots: c.granted})
+		gr.Granted = append(gr.Granted, Count{SlotSource: source, Slots: c.granted})
 		needed = true
 	}
 	if !needed {
@@ -247,7 +247,7 @@
 	return h ^ h>>33
 }
 
-func compareNeighbours(a, b PeerLocation) int {
+func comparePeers(a, b PeerLocation) int {
 	return cmp.Compare(a.Peer, b.Peer)
 }
 
--- a/core/tackshare/quota_test.go
+++ b/core/tackshare/quota_test.go
@@ -11,8 +11,8 @@
 	"auburntack/core/tackshare"
 )
 
-// holder is a User of one group. After each call of Usage it takes up to perCall
-// more slots, as far as its share allows.
+// holder is a Consumer of one group. After each call of Usage it takes up to
+// perCall more slots, as far as its share allows.
 type holder struct {
 	held, share, inUse, waiting, admitted, perCall int
 }
@@ -45,7 +45,7 @@
 	}
 	for vm := range vms {
 		h := new(holder)
-		s := &tackshare.Sharer{Self: peerOf(vm), Home: home, Epoch: 1, User: h}
+		s := &tackshare.Sharer{Self: peerOf(vm), Home: home, Epoch: 1, Consumer: h}
 		s.SetPeers(0, peers)
 		s.SetTable(0, &tackroute.Table{Quotas: map[tackid.Team]int{"clerks": quota}})
 		q.holders, q.sharers = append(q.holders, h), append(q.sharers, s)
@@ -116,15 +116,15 @@
 	})
 }
 
-// eagerUser is a User that takes a slot right after the call of Usage that follows
-// a bound below its shares.
-type eagerUser struct {
+// eagerConsumer is a Consumer that takes a slot right after the call of Usage
+// that follows a bound below its shares.
+type eagerConsumer struct {
 	simPeer
 	inFlight []tackroute.Candidate
 	arrives  bool
 }
 
-func (h *eagerUser) SetShares(now tackclock.Time, g tackshare.Group, bound int, shares []tackroute.Share) {
+func (h *eagerConsumer) SetShares(now tackclock.Time, g tackshare.Group, bound int, shares []tackroute.Share) {
 	h.simPeer.SetShares(now, g, bound, shares)
 	sum := 0
 	for _, share := range shares {
@@ -133,7 +133,7 @@
 	h.arrives = bound < sum
 }
 
-func (h *eagerUser) Usage(now tackclock.Time, subject tackshare.Subject) tackshare.Usage {
+func (h *eagerConsumer) Usage(now tackclock.Time, subject tackshare.Subject) tackshare.Usage {
 	u := h.simPeer.Usage(now, subject)
 	if !h.arrives && h.waiting == 0 {
 		return u
@@ -146,24 +146,24 @@
 }
 
 // end ends all requests of the peer.
-func (h *eagerUser) end(now tackclock.Time) {
+func (h *eagerConsumer) end(now tackclock.Time) {
 	for _, c := range h.inFlight {
 		h.chooser.Done(now, c, tackroute.Outcome{})
 	}
 	h.inFlight = nil
 }
 
-func newEagerUser(vm int, table *tackroute.Table) *eagerUser {
-	h := new(eagerUser)
-	h.sharer = &tackshare.Sharer{Self: peerOf(vm), Home: home, Epoch: 1, User: h}
+func newEagerUser(vm int, table *tackroute.Table) *eagerConsumer {
+	h := new(eagerConsumer)
+	h.sharer = &tackshare.Sharer{Self: peerOf(vm), Home: home, Epoch: 1, Consumer: h}
 	h.chooser.SetCandidates(table.Services[service])
 	h.sharer.SetPeers(0, []tackshare.PeerLocation{{Peer: peerOf(0), DataCentre: home}, {Peer: peerOf(1), DataCentre: home}})
 	h.sharer.SetTable(0, table)
 	return h
 }
 
-// assertOneEach checks that no lot with one slot is used by both peers.
-func assertOneEach(vms ...*eagerUser) {
+// assertOneEach checks that no source with one slot is used by both peers.
+func assertOneEach(vms ...*eagerConsumer) {
 	taken := make(map[tackid.BackendServer]int)
 	for _, h := range vms {
 		for _, c := range h.inFlight {
@@ -184,7 +184,7 @@
 		for i := range table.Services[service] {
 			table.Services[service][i].Slots = 1
 		}
-		vms := []*eagerUser{newEagerUser(0, table), newEagerUser(1, table)}
+		vms := []*eagerConsumer{newEagerUser(0, table), newEagerUser(1, table)}
 		q := &quotaPeers{sharers: []*tackshare.Sharer{vms[0].sharer, vms[1].sharer}}
 		for now := tackclock.Time(0); now < 60000; now += 100 {
 			busy := int(now/1000) % 2
--- a/core/tackshare/share.go
+++ b/core/tackshare/share.go
@@ -38,7 +38,7 @@
 		// Admitted is the number of requests that were admitted but have not
 		// taken a slot yet. The same number of idle slots is kept for them.
 		Admitted int
-		// InUse is the number of slots in use on each lot that has any.
+		// InUse is the number of slots in use on each source that has any.
 		InUse []tackroute.Share
 	}
 
@@ -85,7 +85,7 @@
 		// report of a session claims the slots held.
 		Session uint32 `cbor:"4,keyasint"`
 		Want    int    `cbor:"5,keyasint,omitempty"`
-		// Claimed counts by lot the slots held when the session began,
+		// Claimed counts by source the slots held when the session began,
 		// Returned all slots returned since.
 		Claimed  []Count `cbor:"6,keyasint,omitempty"`
 		Returned []Count `cbor:"7,keyasint,omitempty"`
@@ -98,12 +98,12 @@
 		// Bound is how many slots the holder may keep in total. It returns
 		// the excess.
 		Bound int `cbor:"5,keyasint,omitempty"`
-		// Granted counts by lot all slots granted since the session began,
+		// Granted counts by source all slots granted since the session began,
 		// including those claimed.
 		Granted []Count `cbor:"6,keyasint,omitempty"`
 	}
 
-	// Count is a number of slots of a lot.
+	// Count is a number of slots of a source.
 	Count struct {
 		tackroute.SlotSource
 		Slots int `cbor:"3,keyasint"`
@@ -115,7 +115,7 @@
 		Frame Frame
 	}
 
-	// count is the state of a lot that owner and holder replicate. The slots
+	// count is the state of a source that owner and holder replicate. The slots
 	// held are the difference of two counters, which only increase and are
 	// written by one side each. So a lost, duplicated or late frame can make
 	// the sides disagree only about slots in transit, and the holder never
@@ -135,7 +135,7 @@
 	return max(c.granted-c.returned, 0)
 }
 
-func compareLots(a, b tackroute.SlotSource) int {
+func compareSources(a, b tackroute.SlotSource) int {
 	if c := cmp.Compare(a.BackendServer, b.BackendServer); c != 0 {
 		return c
 	}
--- a/core/tackshare/sharer.go
+++ b/core/tackshare/sharer.go
@@ -39,15 +39,15 @@
 	// it first gives the owner some time to answer, since other peers may hold
 	// every slot.
 	//
-	// The zero value with Self, Home, Epoch and User set is ready to use. It
-	// is not safe for concurrent use.
+	// The zero value with Self, Home, Epoch and Consumer set is ready to use.
+	// It is not safe for concurrent use.
 	Sharer struct {
 		Self tackid.Peer
 		Home tackid.DataCentre
 		// Epoch distinguishes the incarnations of this peer. It can be the
 		// time of its start.
-		Epoch uint64
-		User  Consumer
+		Epoch    uint64
+		Consumer Consumer
 
 		links map[tackid.Peer]*link
 		// retired keeps the links of removed peers, since the sequence
@@ -104,7 +104,7 @@
 		s.links[p.Peer] = l
 		s.peers = append(s.peers, p)
 	}
-	slices.SortFunc(s.peers, compareNeighbours)
+	slices.SortFunc(s.peers, comparePeers)
 	s.refreshLive(now)
 }
 
@@ -116,17 +116,17 @@
 	for service, candidates := range table.Services {
 		for _, c := range candidates {
 			key := Group{Subject: Subject{Service: service}, DataCentre: c.DataCentre}
-			s.addLot(key, old, tackroute.SlotSource{BackendServer: c.BackendServer, Incarnation: c.Incarnation}, c.Slots)
+			s.addSource(key, old, tackroute.SlotSource{BackendServer: c.BackendServer, Incarnation: c.Incarnation}, c.Slots)
 		}
 	}
 	for team, slots := range table.Quotas {
 		if slots > 0 {
-			s.addLot(Group{Subject: Subject{Team: team}}, old, tackroute.SlotSource{}, slots)
+			s.addSource(Group{Subject: Subject{Team: team}}, old, tackroute.SlotSource{}, slots)
 		}
 	}
 	for key, g := range old {
 		if s.groups[key] == nil && g.busy() {
-			g.lots, g.slots = nil, nil
+			g.sources, g.slots = nil, nil
 			s.groups[key] = g
 		}
 	}
@@ -287,25 +287,25 @@
 	}
 }
 
-func (s *Sharer) addLot(key Group, old map[Group]*group, lot tackroute.SlotSource, slots int) {
+func (s *Sharer) addSource(key Group, old map[Group]*group, source tackroute.SlotSource, slots int) {
 	g := s.groups[key]
 	if g == nil {
 		g = old[key]
 		if g == nil {
 			g = &group{Group: key}
 		}
-		g.lots, g.slots = nil, make(map[tackroute.SlotSource]int)
+		g.sources, g.slots = nil, make(map[tackroute.SlotSource]int)
 		s.groups[key] = g
 	}
-	g.lots = append(g.lots, lot)
-	g.slots[lot] = slots
+	g.sources = append(g.sources, source)
+	g.slots[source] = slots
 }
 
 func (s *Sharer) sortGroups() {
 	s.groupOrder = s.groupOrder[:0]
 	for key, g := range s.groups {
 		s.groupOrder = append(s.groupOrder, key)
-		slices.SortFunc(g.lots, compareLots)
+		slices.SortFunc(g.sources, compareSources)
 	}
 	slices.SortFunc(s.groupOrder, compareGroups)
 	s.allGroups = s.allGroups[:0]
--- a/core/tackshare/sharer_test.go
+++ b/core/tackshare/sharer_test.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// healedNetwork makes the network reliable at a given time, and records the largest
-// number of slots that may be in use at once after that. It takes the largest
-// number since some slots are always in transit.
+// healedNetwork makes the network reliable at a given time, and records the
+// largest number of slots that may be in use at once after that. It takes the
+// largest number since some slots are always in transit.
 type healedNetwork struct {
 	*leasedShares
 	at   tackclock.Time
--- a/core/tackshare/size_test.go
+++ b/core/tackshare/size_test.go
@@ -14,18 +14,19 @@
 	"auburntack/core/tackshare"
 )
 
-// multiUser is a User with many services, whose load changes every second.
-type multiUser struct {
+// multiConsumer is a Consumer with many services, whose load changes every
+// second.
+type multiConsumer struct {
 	random *rand.Rand
 	shares map[tackshare.Group][]tackroute.Share
 	demand map[tackshare.Subject]int
 }
 
-func (c *multiUser) SetShares(_ tackclock.Time, g tackshare.Group, bound int, shares []tackroute.Share) {
+func (c *multiConsumer) SetShares(_ tackclock.Time, g tackshare.Group, bound int, shares []tackroute.Share) {
 	c.shares[g] = shares
 }
 
-func (c *multiUser) Usage(_ tackclock.Time, subject tackshare.Subject) tackshare.Usage {
+func (c *multiConsumer) Usage(_ tackclock.Time, subject tackshare.Subject) tackshare.Usage {
 	u := tackshare.Usage{Waiting: c.demand[subject]}
 	for g, shares := range c.shares {
 		if g.Subject != subject {
@@ -83,7 +84,7 @@
 // runSize runs for the given seconds after a warm-up of as many.
 func runSize(vms, centres, services, servers, seconds int) (bytes, frames int) {
 	table := sizedTable(centres, services, servers)
-	sharers, users := sizedSharers(vms, centres, table)
+	sharers, consumers := sizedSharers(vms, centres, table)
 	var deliver func(now tackclock.Time, from int, out []tackshare.Outgoing)
 	deliver = func(now tackclock.Time, from int, out []tackshare.Outgoing) {
 		for _, o := range out {
@@ -101,7 +102,7 @@
 		now := tackclock.Time(100 * tick)
 		for vm, s := range sharers {
 			if tick%10 == 0 {
-				users[vm].change(table, servers*executorSlots/vms/services)
+				consumers[vm].change(table, servers*executorSlots/vms/services)
 			}
 			deliver(now, vm, s.Tick(now))
 		}
@@ -109,26 +110,26 @@
 	return bytes, frames
 }
 
-func sizedSharers(vms, centres int, table *tackroute.Table) ([]*tackshare.Sharer, []*multiUser) {
+func sizedSharers(vms, centres int, table *tackroute.Table) ([]*tackshare.Sharer, []*multiConsumer) {
 	var peers []tackshare.PeerLocation
 	for vm := range vms {
 		peers = append(peers, tackshare.PeerLocation{Peer: peerOf(vm), DataCentre: tackid.DataCentre(fmt.Sprint("centre-", vm%centres))})
 	}
 	var sharers []*tackshare.Sharer
-	var users []*multiUser
+	var consumers []*multiConsumer
 	for vm, peer := range peers {
-		c := &multiUser{random: rand.New(rand.NewPCG(uint64(vm), 1)), shares: make(map[tackshare.Group][]tackroute.Share),
+		c := &multiConsumer{random: rand.New(rand.NewPCG(uint64(vm), 1)), shares: make(map[tackshare.Group][]tackroute.Share),
 			demand: make(map[tackshare.Subject]int)}
-		s := &tackshare.Sharer{Self: peer.Peer, Home: peer.DataCentre, Epoch: 1, User: c}
+		s := &tackshare.Sharer{Self: peer.Peer, Home: peer.DataCentre, Epoch: 1, Consumer: c}
 		s.SetPeers(0, peers)
 		s.SetTable(0, table)
-		sharers, users = append(sharers, s), append(users, c)
+		sharers, consumers = append(sharers, s), append(consumers, c)
 	}
-	return sharers, users
+	return sharers, consumers
 }
 
 // change changes the load of every service at random around half of its part.
-func (c *multiUser) change(table *tackroute.Table, part int) {
+func (c *multiConsumer) change(table *tackroute.Table, part int) {
 	for service := range table.Services {
 		subject := tackshare.Subject{Service: service}
 		n := c.demand[subject]
--- a/core/tackshare/ways_test.go
+++ b/core/tackshare/ways_test.go
@@ -86,7 +86,7 @@
 		var loads []tackshare.Count
 		for e, n := range own {
 			if n > 0 {
-				loads = append(loads, tackshare.Count{SlotSource: lotOf(e), Slots: n})
+				loads = append(loads, tackshare.Count{SlotSource: sourceOf(e), Slots: n})
 			}
 		}
 		encoded, _ := cbor.Marshal(loads)
--- a/core/tacksilence/watch.go
+++ b/core/tacksilence/watch.go
@@ -38,8 +38,8 @@
 	}
 )
 
-// FellSilent records that a worker, last heard from at the given time, stopped reporting. tried
-// says that it ran an item that may be the cause.
+// FellSilent records that a worker, last heard from at the given time, stopped reporting.
+// tried says that it ran an item that may be the cause.
 func (w *Watch) FellSilent(vm tackid.VM, heard tackclock.Time, tried bool) {
 	w.fell = append(w.fell, silence{vm: vm, heard: heard, tried: tried})
 }
--- a/core/tackstate/state_test.go
+++ b/core/tackstate/state_test.go
@@ -15,8 +15,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// newFilledState returns a state with n VMs that have announced themselves, built by applying
-// entries.
+// newFilledState returns a state with n VMs that have announced themselves, built by
+// applying entries.
 func newFilledState(t testing.TB, n int) *State {
 	t.Helper()
 	s := new(State)
--- a/core/tackwork/state.go
+++ b/core/tackwork/state.go
@@ -28,8 +28,8 @@
 type (
 	// State is the result of applying the log. Its zero value is empty.
 	State struct {
-		// ClosedRetention is how long a closed job can still be looked up. It must be the same
-		// on all replicas; zero means two and a half minutes.
+		// ClosedRetention is how long a closed job can still be looked up. It must be the
+		// same on all replicas; zero means two and a half minutes.
 		ClosedRetention tackclock.Duration
 
 		Catalog tackcatalog.Catalog
--- a/io/tackvm/routes.go
+++ b/io/tackvm/routes.go
@@ -48,7 +48,7 @@
 	}
 	v.routedBy = next
 	v.routes.Store(v.makeRoutes(leased))
-	if v.sharer.User != nil {
+	if v.sharer.Consumer != nil {
 		v.sharer.SetTable(now, v.routes.Load())
 	}
 }
--- a/io/tackvm/share.go
+++ b/io/tackvm/share.go
@@ -19,7 +19,7 @@
 		Self:  v.cfg.VM.ID,
 		Home:  v.cfg.VM.DataCentre,
 		Epoch: uint64(now),
-		User:  v.caller,
+		Consumer:  v.caller,
 	}
 	v.sharer.SetPeers(now, neighbours(members))
 	v.sharer.SetTable(now, v.routes.Load())
