--- a/core/tackcrash/record_test.go
+++ b/core/tackcrash/record_test.go
@@ -21,12 +21,12 @@
 	return Crash{VM: tackid.VM(fmt.Sprintf("m-%d", n)), BeforeReport: early, Alone: alone}
 }
 
-func assertJudged(t *testing.T, r Record, guilty bool, trial tackclock.Duration) {
+func assertJudged(t *testing.T, r Record, atFault bool, trial tackclock.Duration) {
 	t.Helper()
-	if r.AtFault() != guilty {
-		t.Errorf("Guilty() = %v after %+v, want %v", r.AtFault(), r.Crashes, guilty)
+	if r.AtFault() != atFault {
+		t.Errorf("AtFault() = %v after %+v, want %v", r.AtFault(), r.Crashes, atFault)
 	}
-	if got := r.Trial(); !guilty && got != trial {
+	if got := r.Trial(); !atFault && got != trial {
 		t.Errorf("trial of %d ms after %+v, want %d", got, r.Crashes, trial)
 	}
 }
--- a/core/tackdispatch/admit_test.go
+++ b/core/tackdispatch/admit_test.go
@@ -27,7 +27,7 @@
 func assertRefusal(t *testing.T, a Admission, reason string, least, most tackclock.Duration) {
 	t.Helper()
 	if a.Accepted || a.Reason != reason || a.RetryAfter < least || a.RetryAfter > most {
-		t.Errorf("%+v, want refused as %q, to come back after %d to %d ms", a, reason, least, most)
+		t.Errorf("%+v, want refused as %q, to retry after %d to %d ms", a, reason, least, most)
 	}
 }
 
@@ -134,7 +134,7 @@
 
 // Guards against callers that are told to retry at the same time, and against later
 // callers that wait for earlier ones which retry early, or never.
-func TestComeBackTimes(t *testing.T) {
+func TestRetryTimes(t *testing.T) {
 	var x retryTimes
 	const cores = 16_000
 	spec := func(n int) *tackjob.Spec { // one second of all cores
@@ -166,7 +166,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			test.do()
 			if got := told(test.job); got != test.want {
-				t.Errorf("told to come back after %d ms, want %d", got, test.want)
+				t.Errorf("told to retry after %d ms, want %d", got, test.want)
 			}
 		})
 	}
--- a/core/tackdispatch/cancel_test.go
+++ b/core/tackdispatch/cancel_test.go
@@ -13,7 +13,7 @@
 // only runs unknown to the dispatcher are stopped.
 func TestCancelStopsWhatRuns(t *testing.T) {
 	w := newWorld(t, 4)
-	w.submit(job(1), lasting(4, 1))
+	w.submit(job(1), longRunning(4, 1))
 	w.submit(job(2), batch(20, 1, 20*tackclock.Second))
 	w.run(3 * tackclock.Second)
 	assertRuns(t, w, job(1), 4)
--- a/core/tackdispatch/crash.go
+++ b/core/tackdispatch/crash.go
@@ -27,29 +27,29 @@
 }
 
 // SetOrderedBefore sets the function that tells, until the next Reset, whether an earlier
-// leader may have ordered a move or an upkeep of a VM recently. If so, a new life of a
-// worker on it does not mean that the previous one crashed.
+// leader may have ordered a move or an upkeep of a VM recently. If so, a new incarnation
+// of a worker on it does not mean that the previous one crashed.
 func (d *Dispatcher) SetOrderedBefore(ordered func(tackclock.Time, tackid.VM) bool) {
 	d.orderedBefore = ordered
 }
 
-// endedByOrder reports whether a life on the VM may have ended by an order that was given
-// for that life, or while no life was known there.
-func (d *Dispatcher) endedByOrder(now tackclock.Time, vm tackid.VM, life WorkerID) bool {
-	if m := d.moves[vm]; m != nil && (m.life == life || m.life == "") {
+// endedByOrder reports whether an incarnation on the VM may have ended by an order that
+// was given for that incarnation, or while no incarnation was known there.
+func (d *Dispatcher) endedByOrder(now tackclock.Time, vm tackid.VM, incarnation WorkerID) bool {
+	if m := d.moves[vm]; m != nil && (m.incarnation == incarnation || m.incarnation == "") {
 		return true
 	}
 	st := d.upkeeps[vm]
 	called := st != nil && st.calledAt != 0 && now.Sub(st.calledAt) <= downLimit
-	if called && (st.life == life || st.life == "") {
+	if called && (st.incarnation == incarnation || st.incarnation == "") {
 		return true
 	}
 	return d.orderedBefore != nil && d.orderedBefore(now, vm)
 }
 
-// doubtRuns records doubts about the runs of a worker that fell silent or whose life is
-// over. Runs that it had listed for long are left out, since its crash says nothing about
-// them.
+// doubtRuns records doubts about the runs of a worker that fell silent or whose
+// incarnation is over. Runs that it had listed for long are left out, since its crash
+// says nothing about them.
 func (d *Dispatcher) doubtRuns(now tackclock.Time, w *worker) {
 	if w.doubted || w.vm == "" || w.draining || w.leaving || d.endedByOrder(now, w.vm, w.id) {
 		return
@@ -127,12 +127,12 @@
 	return r.listed && r.worker.heardAt.Sub(r.listedAt) >= tackcrash.SettledAfter
 }
 
-// resolveDoubts resolves the doubts about what a VM ran, now that a life reports from
-// there. If it is not the life that was silent, and no order explains the change, the
-// silent one has crashed.
-func (d *Dispatcher) resolveDoubts(now tackclock.Time, vm tackid.VM, life WorkerID) {
-	excused := func(life string) bool { return d.endedByOrder(now, vm, WorkerID(life)) }
-	dismissed, crashed := d.silences.Resolve(vm, string(life), excused)
+// resolveDoubts resolves the doubts about what a VM ran, now that an incarnation reports
+// from there. If it is not the incarnation that was silent, and no order explains the
+// change, the silent one has crashed.
+func (d *Dispatcher) resolveDoubts(now tackclock.Time, vm tackid.VM, incarnation WorkerID) {
+	byOrder := func(incarnation string) bool { return d.endedByOrder(now, vm, WorkerID(incarnation)) }
+	dismissed, crashed := d.silences.Resolve(vm, string(incarnation), byOrder)
 	for i := range dismissed {
 		d.dismissDoubt(&dismissed[i])
 	}
@@ -232,14 +232,14 @@
 	})
 }
 
-// forgiveItems clears the crashes recorded under items that the worker has now run for
+// clearItems clears the crashes recorded under items that the worker has now run for
 // long enough.
-func (d *Dispatcher) forgiveItems(now tackclock.Time, w *worker) {
+func (d *Dispatcher) clearItems(now tackclock.Time, w *worker) {
 	for _, r := range w.runs {
 		if r.suspected && r.settled() {
 			r.suspected = false
 			d.findings.Cleared = append(d.findings.Cleared, r.item)
-			d.noteRun(now, EventItemForgiven, r, "")
+			d.noteRun(now, EventItemCleared, r, "")
 		}
 	}
 }
--- a/core/tackdispatch/crash_test.go
+++ b/core/tackdispatch/crash_test.go
@@ -13,10 +13,10 @@
 
 // Guards against an item that crashes one worker after the other, some ten milliseconds
 // after each start. The items beside it were lost each time, and all of them were ordered
-// again together when the VM's next life reported three seconds later. A set of eight to
-// eleven items went through ten VMs under three leaders in this way: one to two workers
-// were lost each second for over a minute, half of the pool's long-running items were not
-// serving, and two items crashed twenty workers and never ended.
+// again together when the VM's next incarnation reported three seconds later. A set of
+// eight to eleven items went through ten VMs under three leaders in this way: one to two
+// workers were lost each second for over a minute, half of the pool's long-running items
+// were not serving, and two items crashed twenty workers and never ended.
 //
 // The logs of one leader showed run numbers of one item that rose with no end in between,
 // while sound items of the same set completed as soon as they ran on another worker.
@@ -32,14 +32,14 @@
 }
 
 const (
-	neighboursLasting = 5
-	firstNeighbour    = 3 // job 1 is long-running, job 2 is the one that they run beside
-	lastNeighbour     = 8
+	longRunningNeighbours = 5
+	firstNeighbour        = 3 // job 1 is long-running, job 2 is the one that they run beside
+	lastNeighbour         = 8
 )
 
 // submitWithNeighbours submits job 2 of one step, beside a long-running job and others.
 func (w *world) submitWithNeighbours(step tackjob.Step) {
-	w.submit(job(1), lasting(neighboursLasting, 1))
+	w.submit(job(1), longRunning(longRunningNeighbours, 1))
 	w.run(2 * tackclock.Second)
 	w.submit(job(2), step)
 	for n := firstNeighbour; n <= lastNeighbour; n++ {
@@ -49,7 +49,7 @@
 
 func assertNeighboursServed(t *testing.T, w *world) {
 	t.Helper()
-	assertRuns(t, w, job(1), neighboursLasting)
+	assertRuns(t, w, job(1), longRunningNeighbours)
 	for n := firstNeighbour; n <= lastNeighbour; n++ {
 		assertPhase(t, w, job(n), tackjob.Complete)
 	}
@@ -83,21 +83,21 @@
 		after tackclock.Duration // time from its start until it crashes its worker
 		away  tackclock.Duration // how long the VM is down after the crash
 	}{
-		"alone in its job":             {batch(1, 2, 800), 10, 0},
-		"among others":                 {batch(4, 2, 800), 10, 0},
-		"in copies":                    {speculative(4, 800), 10, 0},
-		"in copies, listed before":     {speculative(4, 2000), 700, 0},
-		"a gang":                       {gang, 10, 0},
-		"one that lasts":               {lasting(4, 1), 10, 0},
-		"one to a worker":              {spread, 10, 0},
-		"listed before":                {slow, 700, 0},
-		"at work for long":             {slow, 3 * tackclock.Second, 0},
-		"its VM is away for a second":  {batch(4, 2, 800), 10, tackclock.Second},
-		"its VM is away for a lease":   {batch(4, 2, 800), 10, 5 * tackclock.Second},
-		"its VM is away for long":      {batch(4, 2, 800), 10, 12 * tackclock.Second},
-		"in copies, the VM away":       {speculative(4, 800), 10, 12 * tackclock.Second},
-		"lasting, the VM away":         {lasting(4, 1), 10, 8 * tackclock.Second},
-		"its VM comes back after 20 s": {batch(4, 2, 800), 10, 20 * tackclock.Second},
+		"alone in its job":                {batch(1, 2, 800), 10, 0},
+		"among others":                    {batch(4, 2, 800), 10, 0},
+		"in copies":                       {speculative(4, 800), 10, 0},
+		"in copies, listed before":        {speculative(4, 2000), 700, 0},
+		"a gang":                          {gang, 10, 0},
+		"a long-running one":              {longRunning(4, 1), 10, 0},
+		"one to a worker":                 {spread, 10, 0},
+		"listed before":                   {slow, 700, 0},
+		"at work for long":                {slow, 3 * tackclock.Second, 0},
+		"its VM is away for a second":     {batch(4, 2, 800), 10, tackclock.Second},
+		"its VM is away for a lease":      {batch(4, 2, 800), 10, 5 * tackclock.Second},
+		"its VM is away for long":         {batch(4, 2, 800), 10, 12 * tackclock.Second},
+		"in copies, the VM away":          {speculative(4, 800), 10, 12 * tackclock.Second},
+		"a long-running one, the VM away": {longRunning(4, 1), 10, 8 * tackclock.Second},
+		"its VM comes back after 20 s":    {batch(4, 2, 800), 10, 20 * tackclock.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 12)
@@ -133,7 +133,7 @@
 	assertPhase(t, w, job(1), tackjob.Failed)
 }
 
-// Guards against counting the end of a life that the system itself ordered as a crash:
+// Guards against counting as a crash the end of an incarnation that the system ordered:
 // items that are moved would be given up.
 func TestOrderedEndsAreNoCrashes(t *testing.T) {
 	suspected := func(w *world) int {
@@ -193,9 +193,9 @@
 	})
 }
 
-// Guards against a long past upkeep of a VM that explains away later crashes on it. An
-// order explains only the end of the life for which it was given.
-func TestEarlierOrderExcusesNoLaterCrash(t *testing.T) {
+// Guards against later crashes on a VM that are ignored because of a long past upkeep. An
+// order explains only the end of the incarnation for which it was given.
+func TestEarlierOrderExplainsNoLaterCrash(t *testing.T) {
 	w := newWorld(t, 2)
 	w.run(200)
 	wave := newWave(w, 1, "m-0")
@@ -238,7 +238,7 @@
 // one that could try it.
 func TestTrialDoesNotWaitForAWorkerThatIsEmptied(t *testing.T) {
 	w := newWorld(t, 3)
-	w.submit(job(1), lasting(2, 0))
+	w.submit(job(1), longRunning(2, 0))
 	w.run(tackclock.Second)
 	for _, m := range w.workers {
 		if len(m.runs) == 0 {
--- a/core/tackdispatch/demand_test.go
+++ b/core/tackdispatch/demand_test.go
@@ -85,7 +85,7 @@
 	})
 	t.Run("room that items which last take counts for nothing", func(t *testing.T) {
 		w := newWorld(t, 1)
-		last := lasting(1, 0)
+		last := longRunning(1, 0)
 		last.MilliCores = 12000
 		w.submit(job(1), last)
 		w.run(tackclock.Second)
@@ -134,7 +134,7 @@
 	// added up, one VM had room for all, and so VMs were sent one after the other.
 	t.Run("a VM for each item of which a worker may run one", func(t *testing.T) {
 		w := newWorld(t, 2)
-		step := lasting(5, 1)
+		step := longRunning(5, 1)
 		step.MaxPerWorker = 1
 		w.submit(job(1), step)
 		w.run(2 * tackclock.Second)
--- a/core/tackdispatch/dispatch_test.go
+++ b/core/tackdispatch/dispatch_test.go
@@ -65,8 +65,8 @@
 }
 
 // Guards against work of a crashed worker that waits for the end of the lease although
-// the next life on its VM proves that the former one is over.
-func TestNextLifeFreesTheFormerAtOnce(t *testing.T) {
+// the next incarnation on its VM proves that the former one is over.
+func TestNextIncarnationFreesTheFormerAtOnce(t *testing.T) {
 	w := newWorld(t, 1)
 	w.submit(job(1), batch(4, 2, 10*tackclock.Second))
 	w.run(tackclock.Second)
@@ -77,10 +77,10 @@
 }
 
 // Guards against items that run twice after a change of leader: a heartbeat is delayed by
-// a partition, the worker crashes, and the next life on its VM runs items. The new leader
-// receives a heartbeat of that life, then the late one, and takes the sender of the last
-// heartbeat on a VM for its newest life.
-func TestLateHeartbeatOfAnEarlierLifeEndsNothing(t *testing.T) {
+// a partition, the worker crashes, and the next incarnation on its VM runs items. The new
+// leader receives a heartbeat of that incarnation, then the late one, and takes the
+// sender of the last heartbeat on a VM for its newest incarnation.
+func TestLateHeartbeatOfAnEarlierIncarnationEndsNothing(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(2 * tackclock.Second)
 	late := w.workers[0].report(w)
@@ -93,7 +93,7 @@
 	w.run(5 * tackclock.Second)
 	w.receive(late)
 	if known, want := w.d.workersByVM["m-0"].id, w.workers[1].id; known != want {
-		t.Errorf("dispatch takes %s for the life of the VM, want %s", known, want)
+		t.Errorf("the incarnation known on the VM is %s, want %s", known, want)
 	}
 	w.run(3 * tackclock.Second)
 	assertRuns(t, w, job(1), 4)
@@ -141,7 +141,7 @@
 func TestItemsThatLastAreSpread(t *testing.T) {
 	w := newWorld(t, 5)
 	w.run(100)
-	w.submit(job(1), lasting(5, 1))
+	w.submit(job(1), longRunning(5, 1))
 	w.run(tackclock.Second)
 	for _, m := range w.workers {
 		if len(m.runs) != 1 {
@@ -349,7 +349,7 @@
 
 // Guards against workers that stay idle for a minute after a partition of a few seconds,
 // beside a queue of work: a worker whose lease ran out behind the partition was taken for
-// one whose life is over.
+// one whose incarnation is over.
 func TestWorkerBackAfterItsLeaseGetsWork(t *testing.T) {
 	w := newWorld(t, 1)
 	m := w.workers[0]
@@ -380,15 +380,15 @@
 }
 
 // Guards against items that run twice at once. A worker is cut off after its first
-// heartbeats, and one of them is delayed; its lease runs out, and the next life on its VM
-// runs items. When the partition heals, the early heartbeat arrives. A worker whose lease
-// had run out could join again, and one of a life's first heartbeats ends the life before
-// it.
+// heartbeats, and one of them is delayed; its lease runs out, and the next incarnation on
+// its VM runs items. When the partition heals, the early heartbeat arrives. A worker
+// whose lease had run out could join again, and one of an incarnation's first heartbeats
+// ends the incarnation before it.
 func TestLateHeartbeatAfterItsLeaseEndsNothing(t *testing.T) {
 	w := newWorld(t, 1)
 	m := w.workers[0]
 	w.heartbeat(m, false)
-	late := m.report(w) // the second of its life
+	late := m.report(w) // the second of its incarnation
 	m.cut = true
 	w.run(5 * tackclock.Second)
 	m.dead = true
@@ -396,10 +396,10 @@
 	w.submit(job(1), batch(4, 2, 20*tackclock.Second))
 	w.run(tackclock.Second)
 	if o := w.receive(late); o.Hold != 0 {
-		t.Errorf("orders %+v for a life that is over", o)
+		t.Errorf("orders %+v for an incarnation that is over", o)
 	}
 	if known := w.d.workersByVM[m.vm].id; known != next.id {
-		t.Errorf("dispatch takes %s for the life of the VM, want %s", known, next.id)
+		t.Errorf("the incarnation known on the VM is %s, want %s", known, next.id)
 	}
 	w.addWorker("m-other", 1)
 	w.run(3 * tackclock.Second)
--- a/core/tackdispatch/dispatcher.go
+++ b/core/tackdispatch/dispatcher.go
@@ -33,11 +33,11 @@
 	// notSent stands for the heartbeat that carried a start which has not been sent yet:
 	// no heartbeat has a higher sequence number.
 	notSent = math.MaxUint64
-	// endedLifeKept is how long a life that is over is remembered, so that its late
-	// heartbeats are told from those of a new one. What a partition delays arrives within
-	// seconds of its end.
-	endedLifeKept = tackclock.Minute
-	// forgetEvery is the interval between cleanups of records of past lives.
+	// endedIncarnationKept is how long an incarnation that is over is remembered, so that
+	// its late heartbeats are told from those of a new one. What a partition delays
+	// arrives within seconds of its end.
+	endedIncarnationKept = tackclock.Minute
+	// forgetEvery is the interval between cleanups of records of past incarnations.
 	forgetEvery = tackclock.Second
 	// measureEvery is the interval between summations over all workers.
 	measureEvery = 250 * tackclock.Millisecond
@@ -101,17 +101,17 @@
 		earlierLeasesEnd tackclock.Time
 
 		// table holds all jobs in the log, open and closed.
-		table         *tackjob.Table
-		workers       map[WorkerID]*worker
-		workersByVM   map[tackid.VM]*worker
-		workersByName map[string]*worker // by WorkerID.Name
-		endedLives    map[WorkerID]tackclock.Time
-		// lapsed holds the lives whose lease ran out and which may still go on.
-		lapsed       map[WorkerID]lapse
-		pendingLives map[WorkerID]pendingLife
-		pools        map[tackid.Service]*pool
-		jobs         map[tackjob.ID]*openJob
-		running      map[tackjob.Item]*run
+		table             *tackjob.Table
+		workers           map[WorkerID]*worker
+		workersByVM       map[tackid.VM]*worker
+		workersByName     map[string]*worker // by WorkerID.Name
+		endedIncarnations map[WorkerID]tackclock.Time
+		// lapsed holds the incarnations whose lease ran out and which may still go on.
+		lapsed              map[WorkerID]lapse
+		pendingIncarnations map[WorkerID]pendingIncarnation
+		pools               map[tackid.Service]*pool
+		jobs                map[tackjob.ID]*openJob
+		running             map[tackjob.Item]*run
 		// proposals are the jobs whose acceptance is being written to the log, and
 		// proposed is their total work.
 		proposals map[tackjob.ID]proposal
@@ -142,8 +142,8 @@
 		moves    map[tackid.VM]*moving
 
 		// findings have yet to be written to the log. orderedBefore reports whether an
-		// earlier leader's order may have ended the last life on a VM; it is nil if none
-		// can have.
+		// earlier leader's order may have ended the last incarnation on a VM; it is nil
+		// if none can have.
 		findings      tackjob.Findings
 		orderedBefore func(tackclock.Time, tackid.VM) bool
 		silences      tacksilence.Watch
@@ -169,11 +169,11 @@
 
 	// run is one start of an item.
 	run struct {
-		item   tackjob.Item
-		number RunNumber
-		worker *worker
-		step   *openStep
-		takes  tackroom.Resources
+		item     tackjob.Item
+		number   RunNumber
+		worker   *worker
+		step     *openStep
+		reserved tackroom.Resources
 		// byEarlierLeader says that another leader started the run.
 		byEarlierLeader bool
 		started         tackclock.Time
@@ -244,9 +244,9 @@
 	d.workers = make(map[WorkerID]*worker)
 	d.workersByVM = make(map[tackid.VM]*worker)
 	d.workersByName = make(map[string]*worker)
-	d.endedLives = make(map[WorkerID]tackclock.Time)
+	d.endedIncarnations = make(map[WorkerID]tackclock.Time)
 	d.lapsed = make(map[WorkerID]lapse)
-	d.pendingLives = make(map[WorkerID]pendingLife)
+	d.pendingIncarnations = make(map[WorkerID]pendingIncarnation)
 	d.pools = make(map[tackid.Service]*pool)
 	d.jobs = make(map[tackjob.ID]*openJob)
 	d.running = make(map[tackjob.Item]*run)
@@ -328,7 +328,7 @@
 	silent := d.overdueWorkers(now)
 	// If most workers are silent, the likely cause is this VM or its network. Recording
 	// doubts would write thousands of them to the log, and as many dismissals later.
-	most := 2*d.silentWorkers > len(d.workers)
+	mostSilent := 2*d.silentWorkers > len(d.workers)
 	for _, w := range silent {
 		if now >= w.leaseUntil {
 			d.doubtRuns(now, w)
@@ -337,14 +337,14 @@
 		}
 		d.updateTotals(now, w)
 		d.copyIfSilent(now, w)
-		if !most && now.Sub(w.heardAt) >= doubtAfter {
+		if !mostSilent && now.Sub(w.heardAt) >= doubtAfter {
 			d.doubtRuns(now, w)
 		}
 	}
 	for _, j := range d.scheduled {
 		d.openDue(now, j)
 	}
-	d.expireLives(now)
+	d.expireIncarnations(now)
 	d.measure(now)
 }
 
@@ -367,9 +367,9 @@
 	r.step.job.account.End(r.step.Resources, r.byEarlierLeader)
 	delete(w.runs, r.item)
 	w.idleSince = now
-	w.used = w.used.Minus(r.takes)
+	w.used = w.used.Minus(r.reserved)
 	if r.step.LongRunning {
-		w.longRunningRoom = w.longRunningRoom.Minus(r.takes)
+		w.longRunningRoom = w.longRunningRoom.Minus(r.reserved)
 	}
 	w.steps[r.step.key()]--
 	if w.steps[r.step.key()] <= 0 {
--- a/core/tackdispatch/event.go
+++ b/core/tackdispatch/event.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// EventJoined is the first heartbeat of a worker's life.
+	// EventJoined is the first heartbeat of a worker's incarnation.
 	EventJoined EventKind = iota
-	// EventLost is the end of a worker's life, or of its lease.
+	// EventLost is the end of a worker's incarnation, or of its lease.
 	EventLost
 	// EventDraining says that a worker drains and accepts nothing new.
 	EventDraining
@@ -46,8 +46,8 @@
 	EventItemSuspected
 	// EventItemGivenUp says that an item is not started any more and its job has failed.
 	EventItemGivenUp
-	// EventItemForgiven says that a suspected item has run for long enough to be cleared.
-	EventItemForgiven
+	// EventItemCleared says that a suspected item has run for long enough to be cleared.
+	EventItemCleared
 	// EventItemsHeld says that items wait because their workspace has reached its cap.
 	EventItemsHeld
 )
--- a/core/tackdispatch/foreign.go
+++ b/core/tackdispatch/foreign.go
@@ -22,9 +22,9 @@
 }
 
 // checkReport returns a *ForeignError if the report cannot come from the worker that it
-// names. The service and the VM of a life do not change. If a report with others, or with
-// a sequence number far ahead, were accepted, the worker's own heartbeats would be
-// rejected as late.
+// names. The service and the VM of an incarnation do not change. If a report with others,
+// or with a sequence number far ahead, were accepted, the worker's own heartbeats would
+// be rejected as late.
 func (d *Dispatcher) checkReport(now tackclock.Time, r *Report) error {
 	w := d.workers[r.Worker]
 	if w == nil {
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// checkStartTime returns a *ForeignError if the id lacks the start time of the life while
-// the known worker of that name always sends one.
+// checkStartTime returns a *ForeignError if the id lacks the start time of the
+// incarnation while the known worker of that name always sends one.
 func (d *Dispatcher) checkStartTime(id WorkerID) error {
 	if w := d.workersByName[id.Name()]; w != nil && id.StartedAt() == 0 && w.id.StartedAt() != 0 {
 		return &ForeignError{Worker: id, Problem: "does not say when it began"}
--- a/core/tackdispatch/gang.go
+++ b/core/tackdispatch/gang.go
@@ -21,7 +21,7 @@
 	// gangsEvery is the interval between placement attempts for a pool's gangs, and
 	// maxGangTries the number of gangs that one attempt covers; the others follow in
 	// later ones, each after gangRetryDelay. With a hundred gangs waiting, a heartbeat of
-	// 48 workers took 0.86 ms and one of 349 took 7.8 ms when each looked at every gang;
+	// 48 workers took 0.86 ms and one of 349 took 7.8 ms when each examined every gang;
 	// it takes 0.015 and 0.076 ms (BenchmarkRoundWithGangs).
 	gangsEvery     = 25 * tackclock.Millisecond
 	maxGangTries   = 8
@@ -199,12 +199,12 @@
 // returns nil if not all of them fit.
 func fillHosts(s *openStep, workers []*worker, roomOf func(*worker) tackroom.Resources) []*worker {
 	var hosts []*worker
-	takes := s.Reserved()
+	need := s.Reserved()
 	for _, w := range workers {
 		room := roomOf(w)
 		here := w.steps[s.key()]
-		for len(hosts) < len(s.waiting) && room.Fits(takes) && (s.MaxPerWorker == 0 || here < s.MaxPerWorker) {
-			room = room.Minus(takes)
+		for len(hosts) < len(s.waiting) && room.Fits(need) && (s.MaxPerWorker == 0 || here < s.MaxPerWorker) {
+			room = room.Minus(need)
 			here++
 			hosts = append(hosts, w)
 		}
@@ -222,7 +222,7 @@
 	checkpoint := s.waiting[0].checkpoint
 	for i, item := range s.waiting {
 		r := &run{
-			item: s.item(item.index), number: number, worker: hosts[i], step: s, takes: s.Reserved(),
+			item: s.item(item.index), number: number, worker: hosts[i], step: s, reserved: s.Reserved(),
 			started: now, progressAt: now, sentIn: notSent, checkpoint: checkpoint, pace: fullPace,
 		}
 		d.addRun(now, r)
--- a/core/tackdispatch/heartbeat.go
+++ b/core/tackdispatch/heartbeat.go
@@ -20,7 +20,7 @@
 	}
 	finished := d.processEnds(now, w, r.Ended)
 	d.processRunning(now, w, r)
-	d.forgiveItems(now, w)
+	d.clearItems(now, w)
 	d.inspect(now, w)
 	w.leaseUntil = d.leaseEnd(now)
 	o := Orders{Hold: d.cfg.Hold, Fence: uint64(d.term), Stop: w.stops}
@@ -41,13 +41,13 @@
 }
 
 // acceptReport updates the worker of a report and returns it, or nil if the report is
-// outdated: its life is over, or a later heartbeat has been handled.
+// outdated: its incarnation is over, or a later heartbeat has been handled.
 func (d *Dispatcher) acceptReport(now tackclock.Time, r *Report) *worker {
-	if _, over := d.endedLives[r.Worker]; over {
+	if _, over := d.endedIncarnations[r.Worker]; over {
 		return nil
 	}
 	w := d.workers[r.Worker]
-	if w == nil && !d.acceptsLife(now, r) {
+	if w == nil && !d.acceptsIncarnation(now, r) {
 		return nil
 	}
 	if w == nil {
@@ -73,8 +73,8 @@
 	return w
 }
 
-// join registers a new life of a worker. A previous life on the same VM or under the same
-// name is over, so what ran there may start elsewhere at once.
+// join registers a new incarnation of a worker. A previous incarnation on the same VM or
+// under the same name is over, so what ran there may start elsewhere at once.
 func (d *Dispatcher) join(now tackclock.Time, r *Report) *worker {
 	if before := d.workersByName[r.Worker.Name()]; before != nil {
 		d.doubtRuns(now, before)
@@ -87,7 +87,7 @@
 		}
 		d.resolveDoubts(now, r.VM, r.Worker)
 	}
-	delete(d.pendingLives, r.Worker)
+	delete(d.pendingIncarnations, r.Worker)
 	w := &worker{
 		id: r.Worker, vm: r.VM, fixed: r.Fixed, service: r.Service, zone: r.Zone, jitterPhase: uint64(len(d.workers)),
 		runs: make(map[tackjob.Item]*run), steps: make(map[stepKey]int),
@@ -97,7 +97,7 @@
 	delete(d.lapsed, w.id)
 	d.endLapsed(now, w.vm, w.id.Name())
 	d.removeStandby(w.vm)
-	if m := d.moves[w.vm]; m != nil && m.life != w.id {
+	if m := d.moves[w.vm]; m != nil && m.incarnation != w.id {
 		delete(d.moves, w.vm)
 	}
 	w.leaving = d.endOrdered(w)
@@ -111,9 +111,9 @@
 	return w
 }
 
-// endOrdered reports whether the platform may be about to end this life, for a move or an
-// upkeep: the order may have been given while the worker was silent, before it joined
-// again.
+// endOrdered reports whether the platform may be about to end this incarnation, for a
+// move or an upkeep: the order may have been given while the worker was silent, before it
+// joined again.
 func (d *Dispatcher) endOrdered(w *worker) bool {
 	if w.vm == "" {
 		return false
@@ -122,7 +122,7 @@
 		return true
 	}
 	st := d.upkeeps[w.vm]
-	return st != nil && st.calledAt != 0 && st.life == w.id
+	return st != nil && st.calledAt != 0 && st.incarnation == w.id
 }
 
 func (d *Dispatcher) processEnds(now tackclock.Time, w *worker, rows []Ended) []tackjob.End {
@@ -262,7 +262,7 @@
 	}
 	s.dropWaiting(row.Item.Index)
 	r := &run{
-		item: row.Item, number: row.Run, worker: w, step: s, takes: s.Reserved(), started: now, pace: fullPace,
+		item: row.Item, number: row.Run, worker: w, step: s, reserved: s.Reserved(), started: now, pace: fullPace,
 		byEarlierLeader: d.fromEarlierLeader(row.Run),
 	}
 	r.listed, r.listedAt, r.startPercent, r.percent = true, now, row.Percent, row.Percent
@@ -280,7 +280,7 @@
 
 // addOrphan counts the resources of a run that the worker must stop.
 func (d *Dispatcher) addOrphan(w *worker, row *Running) {
-	w.orphanRoom = w.orphanRoom.Plus(d.roomTakenBy(w, row.Item))
+	w.orphanRoom = w.orphanRoom.Plus(d.resourcesOf(w, row.Item))
 	if d.table == nil {
 		return
 	}
@@ -288,23 +288,23 @@
 	if j == nil || !j.Has(row.Item) || j.Workspace == "" {
 		return
 	}
-	x := orphanRun{account: d.quota.Account(j.Workspace), room: j.Steps[row.Item.Step].Resources, byEarlierLeader: d.fromEarlierLeader(row.Run)}
-	x.account.Start(x.room, x.byEarlierLeader)
+	x := orphanRun{account: d.quota.Account(j.Workspace), resources: j.Steps[row.Item.Step].Resources, byEarlierLeader: d.fromEarlierLeader(row.Run)}
+	x.account.Start(x.resources, x.byEarlierLeader)
 	w.orphans = append(w.orphans, x)
 }
 
 // clearOrphans undoes what addOrphan counted.
 func (w *worker) clearOrphans() {
 	for _, x := range w.orphans {
-		x.account.End(x.room, x.byEarlierLeader)
+		x.account.End(x.resources, x.byEarlierLeader)
 	}
 	w.orphanRoom, w.orphans = tackroom.Resources{}, nil
 }
 
-// roomTakenBy returns the room that a run takes whose item is no longer needed. Closed
+// resourcesOf returns the resources of a run whose item is no longer needed. Closed
 // jobs are known for some minutes. For an unknown one the worker counts as full: with
 // less, it would be overcommitted.
-func (d *Dispatcher) roomTakenBy(w *worker, item tackjob.Item) tackroom.Resources {
+func (d *Dispatcher) resourcesOf(w *worker, item tackjob.Item) tackroom.Resources {
 	if d.table != nil {
 		if j := d.table.Get(item.Job); j != nil && j.Has(item) {
 			return j.Steps[item.Step].Reserved()
@@ -318,9 +318,9 @@
 	w := r.worker
 	r.step.job.account.Start(r.step.Resources, r.byEarlierLeader)
 	w.runs[r.item] = r
-	w.used = w.used.Plus(r.takes)
+	w.used = w.used.Plus(r.reserved)
 	if r.step.LongRunning {
-		w.longRunningRoom = w.longRunningRoom.Plus(r.takes)
+		w.longRunningRoom = w.longRunningRoom.Plus(r.reserved)
 	}
 	w.steps[r.step.key()]++
 	d.running[r.item] = r
--- a/core/tackdispatch/life_test.go
+++ b/core/tackdispatch/incarnation_test.go
@@ -10,8 +10,8 @@
 	"auburntack/core/tackjob"
 )
 
-// newStartTimeWorld returns a world whose workers report when their lives began, after
-// their first heartbeats.
+// newStartTimeWorld returns a world whose workers report when their incarnations began,
+// after their first heartbeats.
 func newStartTimeWorld(t *testing.T, workers int) *world {
 	w := newWorld(t, 0)
 	w.sendsStartTimes = true
@@ -25,23 +25,23 @@
 func assertKnown(t *testing.T, w *world, m *modelWorker, want bool) {
 	t.Helper()
 	if got := w.d.Knows(m.id); got != want {
-		t.Errorf("life %s is known: %v, want %v", m.id, got, want)
+		t.Errorf("incarnation %s is known: %v, want %v", m.id, got, want)
 	}
 }
 
 func TestWorkerID(t *testing.T) {
 	for _, test := range []struct {
-		name string
-		born tackclock.Time
-		want WorkerID
+		name      string
+		startedAt tackclock.Time
+		want      WorkerID
 	}{
 		{"i-7f3a91c2", 1733203200123, "i-7f3a91c2@1733203200123"},
 		{"i-7f3a91c2", 0, "i-7f3a91c2"},
 		{"", 5, "@5"},
 	} {
-		id, ok := NewWorkerID(test.name, test.born)
-		if !ok || id != test.want || id.Name() != test.name || id.StartedAt() != test.born {
-			t.Errorf("%q born %d is %q, of %q born %d", test.name, test.born, id, id.Name(), id.StartedAt())
+		id, ok := NewWorkerID(test.name, test.startedAt)
+		if !ok || id != test.want || id.Name() != test.name || id.StartedAt() != test.startedAt {
+			t.Errorf("%q started at %d has id %q, of %q started at %d", test.name, test.startedAt, id, id.Name(), id.StartedAt())
 		}
 	}
 	if id, ok := NewWorkerID("i-1@7", 0); ok {
@@ -51,7 +51,7 @@
 
 // Guards against a worker that restarts under its id and gets no work, or whose items run
 // twice: it numbers its heartbeats and ends from one again, and those numbers were
-// processed before. One id was taken for one life.
+// processed before. One id was taken for one incarnation.
 func TestWorkerStartsAgainUnderItsName(t *testing.T) {
 	w := newStartTimeWorld(t, 2)
 	m := w.workers[0]
@@ -66,7 +66,7 @@
 		assertKnown(t, w, next, true)
 		assertRuns(t, w, job(1), 12)
 		if lost == 0 || len(next.runs) == 0 {
-			t.Errorf("%d items were lost, %d run in the next life", lost, len(next.runs))
+			t.Errorf("%d items were lost, %d run in the next incarnation", lost, len(next.runs))
 		}
 	})
 	t.Run("its ends count from one again", func(t *testing.T) {
@@ -77,12 +77,12 @@
 }
 
 // Guards against an item that runs twice. Two of a worker's first heartbeats are delayed,
-// it restarts under its id, and another leader knows only of the later life. When the
-// heartbeats of the former life arrive, with their low numbers, they must not end the
-// life that runs.
-func TestLateHeartbeatsOfAnEarlierLife(t *testing.T) {
+// it restarts under its id, and another leader knows only of the later incarnation. When
+// the heartbeats of the former incarnation arrive, with their low numbers, they must not
+// end the incarnation that runs.
+func TestLateHeartbeatsOfAnEarlierIncarnation(t *testing.T) {
 	for name, silent := range map[string]tackclock.Duration{
-		"while the later life reports": 0, "while it is silent": 2500, "after its lease ran out": 6000,
+		"while the later incarnation reports": 0, "while it is silent": 2500, "after its lease ran out": 6000,
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 1)
@@ -96,7 +96,7 @@
 			w.submit(job(1), batch(14, 2, 20*tackclock.Second))
 			w.run(tackclock.Second)
 			if len(next.runs) == 0 {
-				t.Fatal("nothing runs in the later life")
+				t.Fatal("nothing runs in the later incarnation")
 			}
 			next.cut = silent > 0
 			w.run(silent)
@@ -110,9 +110,9 @@
 	}
 }
 
-// A worker's clock may be set back while it is down, so that a later life seems to have
-// begun earlier. It keeps reporting, which late heartbeats do not.
-func TestLaterLifeWithAnEarlierStart(t *testing.T) {
+// A worker's clock may be set back while it is down, so that a later incarnation seems to
+// have begun earlier. It keeps reporting, which late heartbeats do not.
+func TestLaterIncarnationWithAnEarlierStart(t *testing.T) {
 	w := newStartTimeWorld(t, 1)
 	m := w.workers[0]
 	w.submit(job(1), batch(4, 2, 20*tackclock.Second))
@@ -126,7 +126,7 @@
 }
 
 // A heartbeat without a start time cannot come from a worker that sends one in others. A
-// worker that sends it replaces a life that was known without.
+// worker that sends it replaces an incarnation that was known without.
 func TestHeartbeatWithoutAStart(t *testing.T) {
 	w := newStartTimeWorld(t, 1)
 	m := w.workers[0]
@@ -145,7 +145,7 @@
 		w.run(tackclock.Second)
 		assertKnown(t, w, m, true)
 		if w.d.Knows(WorkerID(m.name)) {
-			t.Error("the life without a start time is still known")
+			t.Error("the incarnation without a start time is still known")
 		}
 	})
 }
@@ -159,7 +159,7 @@
 	w.run(500)
 	w.submit(job(1), batch(14, 2, 20*tackclock.Second))
 	w.run(tackclock.Second)
-	t.Run("of the former life", func(t *testing.T) {
+	t.Run("of the former incarnation", func(t *testing.T) {
 		w.d.Leave(w.now, m.id)
 		assertKnown(t, w, next, true)
 	})
--- a/core/tackdispatch/loss.go
+++ b/core/tackdispatch/loss.go
@@ -13,22 +13,22 @@
 	d.lapsed[w.id] = lapse{at: now, vm: w.vm, sequence: w.sequence}
 }
 
-// endLapsed records that lapsed lives on a VM, or under a name, are over, because another
-// has followed or the VM was taken down. Otherwise a heartbeat of theirs that a partition
-// delayed would be taken for the next life and end the one that runs.
+// endLapsed records that lapsed incarnations on a VM, or under a name, are over, because
+// another has followed or the VM was taken down. Otherwise a heartbeat of theirs that a
+// partition delayed would be taken for the next incarnation and end the one that runs.
 func (d *Dispatcher) endLapsed(now tackclock.Time, vm tackid.VM, name string) {
 	for id, l := range d.lapsed {
 		if vm != "" && l.vm == vm || name != "" && id.Name() == name {
 			delete(d.lapsed, id)
-			d.endedLives[id] = now
+			d.endedIncarnations[id] = now
 		}
 	}
 }
 
-// lose removes a worker whose life is over.
+// lose removes a worker whose incarnation is over.
 func (d *Dispatcher) lose(now tackclock.Time, w *worker, reason string) {
 	d.remove(now, w, reason)
-	d.endedLives[w.id] = now
+	d.endedIncarnations[w.id] = now
 }
 
 // remove removes a worker. What ran there may start elsewhere, so the caller must know
@@ -61,8 +61,8 @@
 }
 
 // Leave handles a worker's goodbye: it runs nothing any more. A goodbye without the time
-// when the life began may be a delayed one of a former life; it is accepted for a life
-// that drains and ignored otherwise.
+// when the incarnation began may be a delayed one of a former incarnation; it is accepted
+// for an incarnation that drains and ignored otherwise.
 func (d *Dispatcher) Leave(now tackclock.Time, id WorkerID) {
 	if w := d.workersByName[id.Name()]; w != nil && id.StartedAt() == 0 && w.id != id {
 		if !w.draining {
@@ -78,31 +78,31 @@
 		d.resolveDoubts(now, l.vm, id)
 	}
 	delete(d.lapsed, id)
-	d.endedLives[id] = now
+	d.endedIncarnations[id] = now
 }
 
-// expireLives drops records that are kept only to recognise late heartbeats.
-func (d *Dispatcher) expireLives(now tackclock.Time) {
+// expireIncarnations drops records that are kept only to recognise late heartbeats.
+func (d *Dispatcher) expireIncarnations(now tackclock.Time) {
 	if now < d.expireAt {
 		return
 	}
 	d.expireAt = now.Add(forgetEvery)
-	for _, x := range d.silences.Expire(now.Add(-endedLifeKept)) {
+	for _, x := range d.silences.Expire(now.Add(-endedIncarnationKept)) {
 		d.dismissDoubt(&x)
 	}
-	for id, at := range d.endedLives {
-		if now.Sub(at) > endedLifeKept {
-			delete(d.endedLives, id)
+	for id, at := range d.endedIncarnations {
+		if now.Sub(at) > endedIncarnationKept {
+			delete(d.endedIncarnations, id)
 		}
 	}
 	for id, l := range d.lapsed {
-		if now.Sub(l.at) > endedLifeKept {
+		if now.Sub(l.at) > endedIncarnationKept {
 			delete(d.lapsed, id)
 		}
 	}
-	for id, c := range d.pendingLives {
-		if now.Sub(c.since) > endedLifeKept {
-			delete(d.pendingLives, id)
+	for id, c := range d.pendingIncarnations {
+		if now.Sub(c.since) > endedIncarnationKept {
+			delete(d.pendingIncarnations, id)
 		}
 	}
 }
--- a/core/tackdispatch/message.go
+++ b/core/tackdispatch/message.go
@@ -37,14 +37,14 @@
 		Worker WorkerID  `cbor:"1,keyasint,omitempty"`
 		VM     tackid.VM `cbor:"2,keyasint,omitempty"`
 		// Fixed says that the platform gives the worker's VM no name, so it can be
-		// neither moved nor taken down. VM is the worker's address then: another life
-		// that reports from there shows that the previous one is over.
+		// neither moved nor taken down. VM is the worker's address then: another
+		// incarnation that reports from there shows that the previous one is over.
 		Fixed    bool               `cbor:"3,keyasint,omitempty"`
 		Service  tackid.Service     `cbor:"4,keyasint,omitempty"`
 		Zone     tackid.DataCentre  `cbor:"5,keyasint,omitempty"`
 		Labels   []string           `cbor:"6,keyasint,omitempty"`
 		Capacity tackroom.Resources `cbor:"7,keyasint,omitempty"`
-		// Sequence increases with every heartbeat of one life.
+		// Sequence increases with every heartbeat of one incarnation.
 		Sequence uint64 `cbor:"8,keyasint,omitempty"`
 		Draining bool   `cbor:"9,keyasint,omitempty"`
 		// Remaining is how long a draining worker stays at the least.
@@ -66,7 +66,7 @@
 		Tail int `cbor:"5,keyasint,omitempty"`
 	}
 
-	// Ended is a run that is over. Number increases within one life of a worker.
+	// Ended is a run that is over. Number increases within one incarnation of a worker.
 	Ended struct {
 		Number     uint64       `cbor:"1,keyasint,omitempty"`
 		Item       tackjob.Item `cbor:"2,keyasint,omitempty"`
--- a/core/tackdispatch/overlap_test.go
+++ b/core/tackdispatch/overlap_test.go
@@ -173,7 +173,7 @@
 
 // Load pattern: the same. The test guards against callers that are told a time at which
 // most of them are refused again, because all were told the same.
-func TestComeBackTimesHold(t *testing.T) {
+func TestRetryTimesHold(t *testing.T) {
 	eachOverlap(t, []float64{2, 4}, func(t *testing.T, o *overlap, load float64) {
 		o.burst(load)
 		if o.refusedAgain*2 > o.retries {
--- a/core/tackdispatch/pool.go
+++ b/core/tackdispatch/pool.go
@@ -65,11 +65,11 @@
 		trials bool
 		// maxOver is the largest excess of a workspace over its share.
 		maxOver int
-		// simple says that any worker could start any of the steps; room is what they
-		// take together, and since is when the first of them began to wait.
-		simple bool
-		room   tackroom.Resources
-		since  tackclock.Time
+		// simple says that any worker could start any of the steps; resources is what
+		// they reserve together, and since is when the first of them began to wait.
+		simple    bool
+		resources tackroom.Resources
+		since     tackclock.Time
 	}
 
 	// totals are totals over workers.
@@ -224,7 +224,7 @@
 		x.simple = false
 		return
 	}
-	x.room = x.room.Plus(s.Resources.Times(len(s.waiting)))
+	x.resources = x.resources.Plus(s.Resources.Times(len(s.waiting)))
 	x.since = min(x.since, s.waiting[0].since)
 }
 
--- a/core/tackdispatch/pools.go
+++ b/core/tackdispatch/pools.go
@@ -38,11 +38,11 @@
 
 	// moving is a VM on its way to another pool.
 	moving struct {
-		to     tackid.Service
-		room   tackroom.Resources
-		labels []string
-		since  tackclock.Time
-		life   WorkerID // the life that the move ends
+		to          tackid.Service
+		resources   tackroom.Resources
+		labels      []string
+		since       tackclock.Time
+		incarnation WorkerID // the incarnation that the move ends
 		// doneAt is when the platform consented to the move, zero before.
 		doneAt tackclock.Time
 	}
@@ -106,8 +106,8 @@
 		coming := 0
 		for vm, m := range d.moves {
 			if m.to == s.Name {
-				p.Incoming = append(p.Incoming, tackpool.VM{Name: vm, Resources: m.room, Labels: m.labels})
-				coming += m.room.MilliCores
+				p.Incoming = append(p.Incoming, tackpool.VM{Name: vm, Resources: m.resources, Labels: m.labels})
+				coming += m.resources.MilliCores
 			}
 		}
 		d.pool(s.Name).coming = coming
@@ -137,7 +137,7 @@
 // would never get work again.
 func (d *Dispatcher) giveUpMove(now tackclock.Time, vm tackid.VM, m *moving) {
 	delete(d.moves, vm)
-	if w := d.workersByVM[vm]; w != nil && w.id == m.life {
+	if w := d.workersByVM[vm]; w != nil && w.id == m.incarnation {
 		w.leaving = false
 		d.updateTotals(now, w)
 	}
@@ -226,10 +226,10 @@
 	if w := d.workersByVM[m.VM]; w != nil {
 		w.leaving = true
 		d.updateTotals(now, w)
-		next.life, next.room, next.labels = w.id, w.capacity, w.labels
+		next.incarnation, next.resources, next.labels = w.id, w.capacity, w.labels
 		d.noteWorker(now, EventMove, w, "to "+string(m.To))
 	} else {
-		next.room, next.labels = d.standby[m.VM].Capacity, d.standby[m.VM].Labels
+		next.resources, next.labels = d.standby[m.VM].Capacity, d.standby[m.VM].Labels
 		d.note(Event{Kind: EventMove, At: now, VM: m.VM, Reason: "to " + string(m.To)})
 	}
 	d.moves[m.VM] = next
@@ -243,7 +243,7 @@
 		return
 	}
 	w := d.workersByVM[vm]
-	here := w != nil && w.id == m.life
+	here := w != nil && w.id == m.incarnation
 	switch {
 	case done:
 		if here {
@@ -251,7 +251,7 @@
 		}
 		d.endLapsed(now, vm, "")
 		parked := d.standby[vm]
-		parked.VM, parked.Service, parked.Capacity, parked.Labels = vm, m.to, m.room, m.labels
+		parked.VM, parked.Service, parked.Capacity, parked.Labels = vm, m.to, m.resources, m.labels
 		d.addStandby(parked)
 		m.doneAt = now
 	case refused:
--- a/core/tackdispatch/schedule_test.go
+++ b/core/tackdispatch/schedule_test.go
@@ -20,7 +20,7 @@
 func (w *world) act(t *rapid.T, jobs *int) {
 	m := w.workers[rapid.IntRange(0, len(w.workers)-1).Draw(t, "worker")]
 	if m.dead {
-		return // the next life of its VM is in the list as well
+		return // the next incarnation of its VM is in the list as well
 	}
 	switch rapid.SampledFrom([]string{
 		"submit", "submit", "submit", "cancel", "crash", "cut", "heal", "leave", "leader", "hold", "release", "lost",
@@ -47,7 +47,7 @@
 		m.cut, m.stalled, m.failing = false, false, false
 	case "leave":
 		m.draining = true
-		w.addWorker(tackid.VM(fmt.Sprintf("n-%d", w.lifeCount)), 1)
+		w.addWorker(tackid.VM(fmt.Sprintf("n-%d", w.incarnationCount)), 1)
 	case "leader":
 		w.newLeader()
 	case "hold":
@@ -146,7 +146,7 @@
 	estimate := tackclock.Duration(rapid.IntRange(100, 2000).Draw(t, "estimate"))
 	name := rapid.SampledFrom([]tackid.Workspace{"", "mairies", "postes"}).Draw(t, "workspace")
 	if rapid.IntRange(0, 3).Draw(t, "kind") == 0 {
-		w.submitFor(name, job(*jobs), lasting(count, 1))
+		w.submitFor(name, job(*jobs), longRunning(count, 1))
 		return
 	}
 	first := batch(count, 2, estimate)
@@ -156,8 +156,8 @@
 }
 
 // restartRandom restarts a worker under its name, at once or after its VM was down for a
-// while. The clock is not set back if a first heartbeat of the worker's life is delayed:
-// a leader that knows of neither life cannot tell them apart.
+// while. The clock is not set back if a first heartbeat of the worker's incarnation is
+// delayed: a leader that knows of neither incarnation cannot tell them apart.
 func (w *world) restartRandom(t *rapid.T, m *modelWorker) {
 	if m.startedAt == 0 {
 		return
--- a/core/tackdispatch/start.go
+++ b/core/tackdispatch/start.go
@@ -42,8 +42,8 @@
 	if len(w.runs) == 0 && d.othersSuffice(now, p) {
 		return
 	}
-	for _, turn := range [...]int{partitionLabelled, 0, partitionLabelled | partitionLate, partitionLate} {
-		d.startPartition(now, p, w, turn, sequence, o)
+	for _, group := range [...]int{partitionLabelled, 0, partitionLabelled | partitionLate, partitionLate} {
+		d.startPartition(now, p, w, group, sequence, o)
 	}
 }
 
@@ -60,10 +60,10 @@
 // startPartition starts items of the steps that are labelled, or late, as the partition
 // says: first those of workspaces within their shares, then the others in the order of
 // their excess.
-func (d *Dispatcher) startPartition(now tackclock.Time, p *pool, w *worker, turn int, sequence uint64, o *Orders) {
+func (d *Dispatcher) startPartition(now tackclock.Time, p *pool, w *worker, group int, sequence uint64, o *Orders) {
 	starts := d.startsNow(now)
 	has := func(partition int) bool {
-		return partition&(partitionLabelled|partitionLate) == turn && starts(partition)
+		return partition&(partitionLabelled|partitionLate) == group && starts(partition)
 	}
 	var over [][]*openStep // by the excess of their workspaces over their shares
 	for s := range p.steps.Fitting(w.room().MilliCores, has) {
@@ -113,7 +113,7 @@
 	if !p.summary.simple || now.Sub(p.summary.since) > packPatience {
 		return false
 	}
-	return p.totals.busyRoom.MilliCores > 0 && p.totals.busyRoom.Fits(p.summary.room.Times(packFactor))
+	return p.totals.busyRoom.MilliCores > 0 && p.totals.busyRoom.Fits(p.summary.resources.Times(packFactor))
 }
 
 // stranded reports whether the step's items must start on any worker, even on one that is
@@ -139,12 +139,12 @@
 }
 
 func (d *Dispatcher) startItems(now tackclock.Time, w *worker, s *openStep, sequence uint64, o *Orders) {
-	takes := s.Reserved()
-	for len(s.waiting) > 0 && len(o.Start) < maxStartsInAnswer && w.room().Fits(takes) {
+	need := s.Reserved()
+	for len(s.waiting) > 0 && len(o.Start) < maxStartsInAnswer && w.room().Fits(need) {
 		if w.steps[s.key()] >= d.maxOnWorker(now, w, s) || !d.withinCap(now, s, 1) {
 			return
 		}
-		next, ok := s.takeNext(now, w)
+		next, ok := s.popStartable(now, w)
 		if !ok {
 			return
 		}
@@ -174,16 +174,16 @@
 
 func (d *Dispatcher) newRun(now tackclock.Time, w *worker, s *openStep, item waitingItem) *run {
 	r := &run{
-		item: s.item(item.index), number: d.nextRun(), worker: w, step: s, takes: s.Reserved(),
+		item: s.item(item.index), number: d.nextRun(), worker: w, step: s, reserved: s.Reserved(),
 		started: now, progressAt: now, checkpoint: item.checkpoint, pace: fullPace,
 	}
 	r.loadCrashRecord()
 	return r
 }
 
-// takeNext removes and returns the item that has waited longest among those that may
+// popStartable removes and returns the item that has waited longest among those that may
 // start beside others and have no copy on the worker.
-func (s *openStep) takeNext(now tackclock.Time, w *worker) (waitingItem, bool) {
+func (s *openStep) popStartable(now tackclock.Time, w *worker) (waitingItem, bool) {
 	for i := len(s.waiting) - 1; i >= 0; i-- {
 		next := s.waiting[i]
 		if !s.restraints[next.index].alone && s.startable(now, next.index) && w.runs[s.item(next.index)] == nil {
@@ -198,16 +198,16 @@
 // are spread evenly, so that a worker that is lost, or taken down for its upkeep, takes
 // few of a step with it. An item that has waited for a while starts anywhere.
 func (d *Dispatcher) maxOnWorker(now tackclock.Time, w *worker, s *openStep) int {
-	most := s.Count
+	limit := s.Count
 	if s.MaxPerWorker > 0 {
-		most = s.MaxPerWorker
+		limit = s.MaxPerWorker
 	}
 	next := s.waiting[len(s.waiting)-1]
 	if !s.LongRunning || now.Sub(next.since) > spreadPatience {
-		return most
+		return limit
 	}
 	workers := max(len(d.pools[w.service].workers), 1)
-	return min(most, (s.Count+workers-1)/workers)
+	return min(limit, (s.Count+workers-1)/workers)
 }
 
 // stop orders a run to be stopped, with its worker's next heartbeat.
--- a/core/tackdispatch/storm_test.go
+++ b/core/tackdispatch/storm_test.go
@@ -15,7 +15,7 @@
 	racks, vmsInRack int
 	jobs             int // submitted one every 150 ms, with six items each
 	faults           bool
-	guiltyJobs       int // one in so many jobs has an item that crashes workers; 0 is none
+	faultyJobEvery   int // every nth job has an item that crashes workers; 0 means none
 }
 
 // outcome counts the results of the jobs of a storm.
@@ -31,12 +31,12 @@
 	for n := range s.racks * s.vmsInRack {
 		w.addWorker(vmName(n), n/s.vmsInRack)
 	}
-	guilty := make(map[tackjob.ID]bool)
-	w.submit(job(0), lasting(8, 1))
+	faulty := make(map[tackjob.ID]bool)
+	w.submit(job(0), longRunning(8, 1))
 	for n := 1; n <= s.jobs; n++ {
 		id := job(n)
-		if s.guiltyJobs > 0 && n%s.guiltyJobs == 0 {
-			guilty[id] = true
+		if s.faultyJobEvery > 0 && n%s.faultyJobEvery == 0 {
+			faulty[id] = true
 			w.crashes[tackjob.Item{Job: id, Index: int32(draw.IntN(6))}] = tackclock.Duration(10 + draw.IntN(20))
 		}
 		w.submit(id, batch(6, 2, tackclock.Duration(400+draw.IntN(900))))
@@ -49,7 +49,7 @@
 		m.cut = false
 	}
 	w.run(tackclock.Minute)
-	return w.results(s.jobs, guilty)
+	return w.results(s.jobs, faulty)
 }
 
 // injectFault sometimes injects a fault: a VM crashes, a rack loses power, a third of the
@@ -84,16 +84,16 @@
 	return tackid.VM(rune('a'+n%26)) + tackid.VM(rune('a'+n/26))
 }
 
-func (w *world) results(jobs int, guilty map[tackjob.ID]bool) outcome {
+func (w *world) results(jobs int, faulty map[tackjob.ID]bool) outcome {
 	var o outcome
 	for n := 0; n <= jobs; n++ {
 		id := job(n)
 		switch phase := w.phase(id); {
-		case phase == tackjob.Failed && guilty[id]:
+		case phase == tackjob.Failed && faulty[id]:
 			o.givenUp++
 		case phase == tackjob.Failed:
 			o.wronglyGivenUp++
-		case guilty[id]:
+		case faulty[id]:
 			o.spared++
 		default:
 			o.done++
@@ -126,15 +126,15 @@
 		}
 	}
 	t.Run("faults alone", func(t *testing.T) { assertStorms(t, storm{racks: 4, vmsInRack: 4, jobs: 150, faults: true}) })
-	t.Run("items at fault alone", func(t *testing.T) { assertStorms(t, storm{racks: 4, vmsInRack: 4, jobs: 150, guiltyJobs: 25}) })
+	t.Run("items at fault alone", func(t *testing.T) { assertStorms(t, storm{racks: 4, vmsInRack: 4, jobs: 150, faultyJobEvery: 25}) })
 	t.Run("both", func(t *testing.T) {
-		assertStorms(t, storm{racks: 4, vmsInRack: 4, jobs: 150, faults: true, guiltyJobs: 25})
+		assertStorms(t, storm{racks: 4, vmsInRack: 4, jobs: 150, faults: true, faultyJobEvery: 25})
 	})
 }
 
 // A storm that reveals a fault must reveal it again with the same seed.
 func TestStormsRepeat(t *testing.T) {
-	s := storm{racks: 4, vmsInRack: 4, jobs: 100, faults: true, guiltyJobs: 25}
+	s := storm{racks: 4, vmsInRack: 4, jobs: 100, faults: true, faultyJobEvery: 25}
 	first := s.play(t, 3)
 	for range 3 {
 		if again := s.play(t, 3); again != first {
--- a/core/tackdispatch/trial.go
+++ b/core/tackdispatch/trial.go
@@ -24,8 +24,8 @@
 	trialReserveWithin = tackclock.Second
 	// trialReserveEvery is the interval between choices of reserved workers.
 	trialReserveEvery = 100 * tackclock.Millisecond
-	// trialReserveParts limits the workers of a pool that are reserved for trials to one
-	// in so many. A trial takes a worker for half a second.
+	// trialReserveParts is the divisor of a pool's workers that gives how many of them
+	// may be reserved for trials. A trial takes a worker for half a second.
 	trialReserveParts = 6
 )
 
--- a/core/tackdispatch/upkeep.go
+++ b/core/tackdispatch/upkeep.go
@@ -39,15 +39,15 @@
 // upkeepState is the state of one VM of a wave, as known to the leader.
 type upkeepState struct {
 	drainedFrom tackclock.Time
-	// calledAt is when the call to take it down was made, zero while it is up, and life
-	// is the life that the call ended.
-	calledAt tackclock.Time
-	life     WorkerID
+	// calledAt is when the call to take it down was made, zero while it is up, and
+	// incarnation is the incarnation that the call ended.
+	calledAt    tackclock.Time
+	incarnation WorkerID
 	// callFrom is when the next call may be made at the earliest.
 	callFrom tackclock.Time
 	// consentIsFinal says that the platform has not done the upkeep before, so its
-	// consent means that the life is over. callMade is set once a call was made that the
-	// platform may have carried out.
+	// consent means that the incarnation is over. callMade is set once a call was made
+	// that the platform may have carried out.
 	consentIsFinal bool
 	callMade       bool
 	// uncertainSince is when a consent came that may refer to an earlier call.
@@ -70,10 +70,10 @@
 		}
 		if now >= st.callFrom && d.mayTakeDown(now, vm, st, w) {
 			st.consentIsFinal = w.Term == d.term && !st.callMade
-			if life := d.workersByVM[vm]; life != nil {
-				life.leaving = true
-				d.updateTotals(now, life)
-				d.noteWorker(now, EventUpkeep, life, "")
+			if current := d.workersByVM[vm]; current != nil {
+				current.leaving = true
+				d.updateTotals(now, current)
+				d.noteWorker(now, EventUpkeep, current, "")
 			}
 			next = append(next, vm)
 		}
@@ -96,7 +96,7 @@
 // downFor returns how long a VM counts as down if nothing reports that it is back. A VM
 // in the standby pool never reports, so the platform's own duration is used.
 func (d *Dispatcher) downFor(st *upkeepState) tackclock.Duration {
-	if st.life == "" {
+	if st.incarnation == "" {
 		return d.cfg.Upkeep + upkeepSlack
 	}
 	return downLimit
@@ -111,8 +111,8 @@
 	return st
 }
 
-// down counts the VMs of a wave that are down for it, from the call until the next life
-// reports. A VM that never comes back stops counting after a while.
+// down counts the VMs of a wave that are down for it, from the call until the next
+// incarnation reports. A VM that never comes back stops counting after a while.
 func (d *Dispatcher) down(now tackclock.Time, w *tackupkeep.Wave) int {
 	n := 0
 	for _, vm := range w.VMs {
@@ -120,11 +120,11 @@
 		if st == nil || st.calledAt == 0 {
 			continue
 		}
-		life := d.workersByVM[vm]
-		back := life != nil && life.id != st.life
+		current := d.workersByVM[vm]
+		back := current != nil && current.id != st.incarnation
 		if back || now.Sub(st.calledAt) > d.downFor(st) {
-			if life != nil && !back {
-				life.leaving = false // the same life still reports, so no call was carried out
+			if current != nil && !back {
+				current.leaving = false // the same incarnation still reports, so no call was carried out
 			}
 			st.calledAt = 0
 			d.setCordon(now, vm, false)
@@ -180,17 +180,17 @@
 
 // mayTakeDown reports whether the VM can be taken down, given what runs there.
 func (d *Dispatcher) mayTakeDown(now tackclock.Time, vm tackid.VM, st *upkeepState, w *tackupkeep.Wave) bool {
-	life := d.workersByVM[vm]
-	if life == nil {
+	current := d.workersByVM[vm]
+	if current == nil {
 		// Nothing is known to run there. Something may until the leader has heard from
 		// all workers.
 		return d.EarlierLeasesEnded(now)
 	}
 	hurry := now.Sub(st.drainedFrom) > drainLimit || now > w.Due().Add(-waveReserve)
-	if !life.draining && !d.evacuate(now, life) {
+	if !current.draining && !d.evacuate(now, current) {
 		return false
 	}
-	for _, r := range life.runs {
+	for _, r := range current.runs {
 		if !r.step.LongRunning && !hurry {
 			return false
 		}
@@ -270,15 +270,15 @@
 	st := d.upkeepOf(vm)
 	st.callFrom = now.Add(callRetryDelay)
 	if refused && !done {
-		if life := d.workersByVM[vm]; life != nil {
-			life.leaving = false
-			d.updateTotals(now, life)
+		if current := d.workersByVM[vm]; current != nil {
+			current.leaving = false
+			d.updateTotals(now, current)
 		}
 		return
 	}
 	if st.calledAt == 0 {
-		if life := d.workersByVM[vm]; life != nil {
-			st.life = life.id
+		if current := d.workersByVM[vm]; current != nil {
+			st.incarnation = current.id
 		}
 	}
 	if done {
@@ -289,25 +289,25 @@
 	// next VM would be taken down while it is still down.
 	st.calledAt = now
 	st.callMade = true // from now on a consent may refer to this call
-	life := d.workersByVM[vm]
-	if !done || life == nil || life.id != st.life {
+	current := d.workersByVM[vm]
+	if !done || current == nil || current.id != st.incarnation {
 		return
 	}
 	if st.consentIsFinal {
-		d.lose(now, life, "taken down for upkeep")
+		d.lose(now, current, "taken down for upkeep")
 		return
 	}
 	// The platform also consents if an earlier call was carried out. Then the present
-	// life goes on, and what runs there must not start elsewhere. A further heartbeat, or
-	// the end of the lease, shows which is the case.
+	// incarnation goes on, and what runs there must not start elsewhere. A further
+	// heartbeat, or the end of the lease, shows which is the case.
 	st.uncertainSince = now
 }
 
-// checkSurvival ends the upkeep of a VM whose worker's life still sends heartbeats some
-// time after an uncertain consent.
+// checkSurvival ends the upkeep of a VM whose worker's incarnation still sends heartbeats
+// some time after an uncertain consent.
 func (d *Dispatcher) checkSurvival(now tackclock.Time, w *worker) {
 	st := d.upkeeps[w.vm]
-	if st == nil || st.uncertainSince == 0 || st.life != w.id || now.Sub(st.uncertainSince) < uncertainFor {
+	if st == nil || st.uncertainSince == 0 || st.incarnation != w.id || now.Sub(st.uncertainSince) < uncertainFor {
 		return
 	}
 	st.uncertainSince, st.calledAt = 0, 0
--- a/core/tackdispatch/upkeep_test.go
+++ b/core/tackdispatch/upkeep_test.go
@@ -87,8 +87,8 @@
 // Guards against items that run twice. A leader's call took a VM down, and the leader was
 // lost before that was logged; the VM came back and ran items. The next leader called
 // again, and the platform consented, since the upkeep was done, which was taken for the
-// end of the VM's present life.
-func TestConsentToAnEarlierCallEndsNoLife(t *testing.T) {
+// end of the VM's present incarnation.
+func TestConsentToAnEarlierCallEndsNoIncarnation(t *testing.T) {
 	w := newWorld(t, 2)
 	w.submit(job(1), batch(4, 6, 20*tackclock.Second))
 	w.run(tackclock.Second)
@@ -112,7 +112,7 @@
 	t.Run("one VM at a time where one may be away", func(t *testing.T) {
 		w := newWorld(t, 4)
 		w.run(100)
-		w.submit(job(1), lasting(4, 1))
+		w.submit(job(1), longRunning(4, 1))
 		w.run(2 * tackclock.Second)
 		if got := w.takeDown(newWave(w, 4, "m-0", "m-1")); len(got) != 1 {
 			t.Errorf("taken down %v, want one", got)
@@ -121,7 +121,7 @@
 	t.Run("moves items first where a VM has too many", func(t *testing.T) {
 		w := newWorld(t, 1)
 		w.run(100)
-		w.submit(job(1), lasting(3, 1))
+		w.submit(job(1), longRunning(3, 1))
 		w.run(2 * tackclock.Second)
 		w.addWorker("m-9", 1)
 		w.run(200)
@@ -141,7 +141,7 @@
 	t.Run("starts items again where all VMs are emptied", func(t *testing.T) {
 		w := newWorld(t, 2)
 		w.run(100)
-		w.submit(job(1), lasting(6, 1))
+		w.submit(job(1), longRunning(6, 1))
 		w.run(2 * tackclock.Second)
 		wave := newWave(w, 2, "m-0", "m-1")
 		for range 30 {
@@ -158,7 +158,7 @@
 	t.Run("waits for an item that begins on the same VM", func(t *testing.T) {
 		w := newWorld(t, 1)
 		w.run(100)
-		w.submit(job(1), lasting(2, 1))
+		w.submit(job(1), longRunning(2, 1))
 		w.run(tackclock.Second)
 		m := w.workers[0]
 		failed := tackjob.Item{Job: job(1), Index: 1}
@@ -179,7 +179,7 @@
 	t.Run("counts a silent worker's items as away", func(t *testing.T) {
 		w := newWorld(t, 4)
 		w.run(100)
-		w.submit(job(1), lasting(4, 1))
+		w.submit(job(1), longRunning(4, 1))
 		w.run(2 * tackclock.Second)
 		w.workers[3].dead = true
 		w.run(3 * tackclock.Second)
@@ -191,7 +191,7 @@
 // VM came back and ran items. The same leader called again, and the platform consented,
 // since the upkeep was done. Only a call without an answer made a later consent
 // uncertain.
-func TestConsentToOwnEarlierCallEndsNoLife(t *testing.T) {
+func TestConsentToOwnEarlierCallEndsNoIncarnation(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(200)
 	wave := newWave(w, 1, "m-0")
@@ -219,7 +219,7 @@
 	for _, gang := range []bool{false, true} {
 		w := newWorld(t, 5)
 		label := w.workers[4].rack // the only one on its rack
-		last := lasting(2, 1)
+		last := longRunning(2, 1)
 		last.Requires = label
 		w.submit(job(1), last)
 		w.run(2 * tackclock.Second)
--- a/core/tackdispatch/worker.go
+++ b/core/tackdispatch/worker.go
@@ -12,7 +12,7 @@
 	"auburntack/core/tackroom"
 )
 
-// worker is one life of a worker, that is, one run of its process.
+// worker is one incarnation of a worker, that is, one run of its process.
 type worker struct {
 	id              WorkerID
 	vm              tackid.VM
@@ -67,7 +67,7 @@
 // its workspace until the worker no longer lists it.
 type orphanRun struct {
 	account         *tackquota.Account
-	room            tackroom.Resources
+	resources       tackroom.Resources
 	byEarlierLeader bool
 }
 
--- a/core/tackdispatch/world_fault_test.go
+++ b/core/tackdispatch/world_fault_test.go
@@ -9,7 +9,7 @@
 	"auburntack/core/tackroom"
 )
 
-// crash ends a worker's life without a goodbye. Its VM is back a while later.
+// crash ends a worker's incarnation without a goodbye. Its VM is back a while later.
 func (w *world) crash(m *modelWorker) {
 	m.dead = true
 	for _, r := range m.runs {
@@ -31,14 +31,15 @@
 	}
 }
 
-// name gives a life the name of an earlier one, and a start time by its own clock.
-func (w *world) name(m, before *modelWorker, born tackclock.Time) {
-	m.name, m.startedAt = before.name, born
+// name gives an incarnation the name of an earlier one, and a start time by its own
+// clock.
+func (w *world) name(m, before *modelWorker, startedAt tackclock.Time) {
+	m.name, m.startedAt = before.name, startedAt
 	m.id, _ = NewWorkerID(m.name, m.startedAt)
 }
 
-// restart ends a life without a goodbye, and begins another under its name. The clock may
-// have been set back in between.
+// restart ends an incarnation without a goodbye, and begins another under its name. The
+// clock may have been set back in between.
 func (w *world) restart(m *modelWorker, setBack tackclock.Duration) *modelWorker {
 	m.dead = true
 	next := w.addWorker(m.vm, 0)
@@ -50,7 +51,7 @@
 	return next
 }
 
-// rebootDue begins new lives on the VMs that are back.
+// rebootDue begins new incarnations on the VMs that are back.
 func (w *world) rebootDue() {
 	w.reboots = slices.DeleteFunc(w.reboots, func(r reboot) bool {
 		if w.now < r.at {
@@ -67,10 +68,10 @@
 
 // crashDue crashes the worker if it runs an item that is due to do so.
 func (w *world) crashDue(m *modelWorker) {
-	guilty := false
+	faulty := false
 	for item, r := range m.runs {
 		if after, ok := w.crashes[item]; ok && w.now.Sub(r.began) >= after {
-			guilty = true
+			faulty = true
 			w.crashed[item]++
 			// No leader sees the crash if the run was ordered by an earlier one and not
 			// listed since, or if the worker was leaving anyway.
@@ -79,7 +80,7 @@
 			}
 		}
 	}
-	if guilty {
+	if faulty {
 		w.crash(m)
 	}
 }
--- a/core/tackdispatch/world_test.go
+++ b/core/tackdispatch/world_test.go
@@ -32,19 +32,19 @@
 	// world is a model of workers, and of a log that commits at once unless held, around
 	// a real Dispatcher. It checks invariants from the workers' side.
 	world struct {
-		t         failer
-		now       tackclock.Time
-		state     tackwork.State
-		index     tackid.Revision
-		term      tackreplica.Term
-		d         *Dispatcher
-		workers   []*modelWorker
-		lifeCount int
-		held      bool // the log commits nothing
-		waiting   []heldEnds
-		found     tackjob.Findings // yet to be logged
-		delayed   []*Report        // heartbeats that are delayed
-		started   map[tackjob.Item]int
+		t                failer
+		now              tackclock.Time
+		state            tackwork.State
+		index            tackid.Revision
+		term             tackreplica.Term
+		d                *Dispatcher
+		workers          []*modelWorker
+		incarnationCount int
+		held             bool // the log commits nothing
+		waiting          []heldEnds
+		found            tackjob.Findings // yet to be logged
+		delayed          []*Report        // heartbeats that are delayed
+		started          map[tackjob.Item]int
 		// acknowledged are items whose end was acknowledged to a worker.
 		acknowledged map[tackjob.Item]bool
 		// saved are the checkpoints made by the runs of each item.
@@ -68,13 +68,13 @@
 		grants  []tackquota.Grant // yet to be logged
 		// unseen counts crashes under such an item that no leader saw.
 		unseen map[tackjob.Item]int
-		// sendsStartTimes says that workers report when their life began.
+		// sendsStartTimes says that workers report when their incarnation began.
 		sendsStartTimes bool
 		// away is how long a VM is down after a crash; zero stands for worldReboot.
 		away tackclock.Duration
 	}
 
-	// reboot is the next life of a VM, at a given time.
+	// reboot is the next incarnation of a VM, at a given time.
 	reboot struct {
 		at     tackclock.Time
 		before *modelWorker
@@ -150,9 +150,9 @@
 }
 
 func (w *world) addWorker(vm tackid.VM, rack int) *modelWorker {
-	w.lifeCount++
+	w.incarnationCount++
 	m := &modelWorker{
-		name: fmt.Sprintf("i-%d", w.lifeCount), vm: vm, service: "names-api", rack: fmt.Sprintf("r-%d", rack),
+		name: fmt.Sprintf("i-%d", w.incarnationCount), vm: vm, service: "names-api", rack: fmt.Sprintf("r-%d", rack),
 		capacity: tackroom.Resources{MilliCores: 16000, MemoryMB: 32768},
 		runs:     make(map[tackjob.Item]*modelRun), highest: make(map[tackjob.Item]RunNumber), heartbeatAt: w.now,
 		lapsed: make(map[uint64]bool),
@@ -382,9 +382,10 @@
 	return o
 }
 
-// delayHeartbeat delays a heartbeat. A first heartbeat of a life without a start time is
-// delivered, and the next one delayed instead: that such a late heartbeat is accepted by
-// a leader which does not know the life is a limit listed in docs/INCIDENTS.md.
+// delayHeartbeat delays a heartbeat. A first heartbeat of an incarnation without a start
+// time is delivered, and the next one delayed instead: that such a late heartbeat is
+// accepted by a leader which does not know the incarnation is a limit listed in
+// docs/INCIDENTS.md.
 func (w *world) delayHeartbeat(m *modelWorker) *Report {
 	r := m.report(w)
 	for r.Sequence <= maxFirstSequence && m.startedAt == 0 {
@@ -455,15 +456,15 @@
 	w.checkOrder(j, s.Item)
 	w.checkContent(j, &s)
 	w.countCrashing(s.Item)
-	takes := step.Estimate
+	duration := step.Estimate
 	if w.actual != nil {
-		takes = w.actual(s.Item, step)
+		duration = w.actual(s.Item, step)
 	}
 	w.checkRoom(m, s.Item, step)
 	w.checkCap(j, s.Item)
 	w.started[s.Item]++
 	m.runs[s.Item] = &modelRun{
-		number: s.Run, step: step, began: w.now, pace: 100, saved: s.Checkpoint, endsAt: w.now.Add(takes * tackclock.Duration(max(1, m.slow))),
+		number: s.Run, step: step, began: w.now, pace: 100, saved: s.Checkpoint, endsAt: w.now.Add(duration * tackclock.Duration(max(1, m.slow))),
 	}
 }
 
@@ -490,8 +491,8 @@
 	}
 }
 
-func lasting(count, mayMiss int) tackjob.Step {
+func longRunning(count, maxUnavailable int) tackjob.Step {
 	s := batch(count, 1.5, 500)
-	s.LongRunning, s.MaxUnavailable = true, mayMiss
+	s.LongRunning, s.MaxUnavailable = true, maxUnavailable
 	return s
 }
--- a/core/tacklimit/urgent_test.go
+++ b/core/tacklimit/urgent_test.go
@@ -175,7 +175,7 @@
 // At five times the capacity, a request that can't start in time must be refused
 // when it arrives, with a time to wait before a retry. When all requests were
 // queued, callers waited until their deadline, got no answer and retried at once.
-func TestRefusedAtOnceWithTimeToComeBack(t *testing.T) {
+func TestRefusedAtOnceWithRetryTime(t *testing.T) {
 	convey.Convey("At five times the capacity", t, func() {
 		s := newSimulation(10)
 		var verdicts []tacklimit.Verdict
--- a/core/tackpool/reserve.go
+++ b/core/tackpool/reserve.go
@@ -71,7 +71,7 @@
 	}
 	pool := r.pools[service]
 	if pool == nil {
-		// Work that a new leader finds on its first look may have risen just before.
+		// Work that a new leader finds when it first plans may have risen just before.
 		pool = &demandWindow{samples: []demandSample{{at: now}}}
 		r.pools[service] = pool
 	}
--- a/core/tackquota/book.go
+++ b/core/tackquota/book.go
@@ -49,13 +49,13 @@
 	// concurrent use.
 	Book struct {
 		accounts map[tackid.Workspace]*Account
-		// leasesOver is the time from which on nothing runs that an earlier leader
+		// earlierLeasesEnd is the time from which on nothing runs that an earlier leader
 		// started and that no worker has reported.
-		leasesOver tackclock.Time
-		requesting []*Account // accounts with a grant to propose
-		all        tackroom.Resources
-		weights    float64 // sum over all workspaces
-		lowerAt    tackclock.Time
+		earlierLeasesEnd tackclock.Time
+		requesting       []*Account // accounts with a grant to propose
+		all              tackroom.Resources
+		weights          float64 // sum over all workspaces
+		lowerAt          tackclock.Time
 	}
 
 	// Account tracks what one workspace has running.
@@ -82,10 +82,10 @@
 )
 
 // Begin resets the accounts for a new leader that finds the given grants in its log.
-// Until leasesOver, there may be running items that an earlier leader started and that no
-// worker has reported.
-func (b *Book) Begin(leasesOver tackclock.Time, workspaces []tackworkspace.Workspace, grants Grants) {
-	*b = Book{accounts: make(map[tackid.Workspace]*Account), leasesOver: leasesOver}
+// Until earlierLeasesEnd, there may be running items that an earlier leader started and
+// that no worker has reported.
+func (b *Book) Begin(earlierLeasesEnd tackclock.Time, workspaces []tackworkspace.Workspace, grants Grants) {
+	*b = Book{accounts: make(map[tackid.Workspace]*Account), earlierLeasesEnd: earlierLeasesEnd}
 	for name, resources := range grants {
 		a := b.Account(name)
 		a.inherited, a.granted, a.requested = resources, resources, resources
@@ -95,9 +95,9 @@
 
 // Restart resets the accounts for the same leader, some of whose proposals may not be
 // committed yet.
-func (b *Book) Restart(leasesOver tackclock.Time, workspaces []tackworkspace.Workspace, grants Grants) {
+func (b *Book) Restart(earlierLeasesEnd tackclock.Time, workspaces []tackworkspace.Workspace, grants Grants) {
 	before := b.accounts
-	b.Begin(leasesOver, nil, grants)
+	b.Begin(earlierLeasesEnd, nil, grants)
 	for name, a := range before {
 		if len(a.proposed) > 0 {
 			next := b.Account(name)
@@ -176,7 +176,7 @@
 
 // lower requests lower grants for the accounts whose grant far exceeds what runs.
 func (b *Book) lower(now tackclock.Time) {
-	if now < b.leasesOver || now < b.lowerAt {
+	if now < b.earlierLeasesEnd || now < b.lowerAt {
 		return
 	}
 	b.lowerAt = now.Add(lowerInterval)
@@ -323,7 +323,7 @@
 // expired, they may have started everything that was granted, no matter how much of it
 // has been reported.
 func (a *Account) running(now tackclock.Time) tackroom.Resources {
-	if now >= a.book.leasesOver {
+	if now >= a.book.earlierLeasesEnd {
 		return a.used
 	}
 	return a.used.Minus(a.earlier).Plus(a.earlier.Max(a.inherited))
--- a/core/tackquota/book_test.go
+++ b/core/tackquota/book_test.go
@@ -109,7 +109,7 @@
 // only what workers have reported, it would start up to the cap again beside what the
 // lost leader had started, and the workspace would exceed its cap.
 func TestNextLeaderCountsGrantAsRunning(t *testing.T) {
-	const leasesOver = 3000
+	const earlierLeasesEnd = 3000
 	b, a, grants := newAccount(cores(40))
 	a.Start(cores(10), false)
 	commitWanted(b, 1, grants)
@@ -118,7 +118,7 @@
 		t.Fatalf("granted %d for 10,000", granted)
 	}
 	next := new(Book)
-	next.Begin(leasesOver, capped(cores(40)), grants)
+	next.Begin(earlierLeasesEnd, capped(cores(40)), grants)
 	a = next.Account(mairies)
 	beside := tackroom.Resources{MilliCores: 40_000 - granted}
 	assertAllows(t, a, 100, beside.Plus(tackroom.Resources{MilliCores: 1}), false)
@@ -136,10 +136,10 @@
 	})
 	t.Run("then by what actually runs", func(t *testing.T) {
 		a.Start(cores(8), true)
-		a.Allows(leasesOver, cores(32))
-		commitWanted(next, leasesOver, grants)
-		assertAllows(t, a, leasesOver, cores(32), true)
-		assertAllows(t, a, leasesOver, cores(33), false)
+		a.Allows(earlierLeasesEnd, cores(32))
+		commitWanted(next, earlierLeasesEnd, grants)
+		assertAllows(t, a, earlierLeasesEnd, cores(32), true)
+		assertAllows(t, a, earlierLeasesEnd, cores(33), false)
 	})
 }
 
@@ -275,7 +275,7 @@
 			}
 			// The leases of runs that were not reported to this leader have expired by
 			// now.
-			if f.now >= f.book.leasesOver {
+			if f.now >= f.book.earlierLeasesEnd {
 				for i := len(f.runs) - 1; i >= 0; i-- {
 					if !f.heard[i] {
 						f.end(i)
@@ -292,7 +292,7 @@
 
 // assertProgress fails the test if nothing runs and nothing can ever start.
 func (f *fleet) assertProgress(t *rapid.T) {
-	if len(f.runs) > 0 || f.now < f.book.leasesOver || len(f.inFlight) > 0 {
+	if len(f.runs) > 0 || f.now < f.book.earlierLeasesEnd || len(f.inFlight) > 0 {
 		return
 	}
 	a := f.book.Account(mairies)
--- a/core/tackretry/budget_test.go
+++ b/core/tackretry/budget_test.go
@@ -18,7 +18,7 @@
 	}{
 		{"idempotent", func(*tackretry.Attempt) {}, tackretry.ReasonNone},
 		{"may have run", func(a *tackretry.Attempt) { a.Idempotent = false }, tackretry.ReasonUnsafe},
-		{"surely not run", func(a *tackretry.Attempt) { a.Idempotent, a.NotRun = false, true }, tackretry.ReasonNone},
+		{"certainly not run", func(a *tackretry.Attempt) { a.Idempotent, a.NotRun = false, true }, tackretry.ReasonNone},
 		{"tried often", func(a *tackretry.Attempt) { a.Tries = 3 }, tackretry.ReasonTries},
 		{"no time left", func(a *tackretry.Attempt) { a.TimeLeft = 1 }, tackretry.ReasonTime},
 	}
--- a/core/tacksilence/watch.go
+++ b/core/tacksilence/watch.go
@@ -17,8 +17,8 @@
 type (
 	// Watch holds the silent workers during a leadership. Its zero value is empty.
 	Watch struct {
-		doubts map[tackid.VM][]doubt
-		fell   []silence
+		doubts   map[tackid.VM][]doubt
+		silences []silence
 	}
 
 	// doubt is a run of a worker that is silent, or that has been replaced by another on
@@ -29,19 +29,19 @@
 		since tackclock.Time // when the doubt arose
 	}
 
-	// silence is a worker that stopped reporting. tried says that it ran an item that may
-	// be the cause.
+	// silence is a worker that stopped reporting. ranSuspect says that it ran an item
+	// that may be the cause.
 	silence struct {
-		vm    tackid.VM
-		heard tackclock.Time
-		tried bool
+		vm         tackid.VM
+		heard      tackclock.Time
+		ranSuspect bool
 	}
 )
 
 // FellSilent records that a worker, last heard from at the given time, stopped reporting.
-// tried says that it ran an item that may be the cause.
-func (w *Watch) FellSilent(vm tackid.VM, heard tackclock.Time, tried bool) {
-	w.fell = append(w.fell, silence{vm: vm, heard: heard, tried: tried})
+// ranSuspect says that it ran an item that may be the cause.
+func (w *Watch) FellSilent(vm tackid.VM, heard tackclock.Time, ranSuspect bool) {
+	w.silences = append(w.silences, silence{vm: vm, heard: heard, ranSuspect: ranSuspect})
 }
 
 // Doubt records a run whose worker may have crashed, since now.
@@ -52,12 +52,12 @@
 	w.doubts[x.VM] = append(w.doubts[x.VM], doubt{Doubt: x, heard: heard, since: now})
 }
 
-// Resolve resolves the doubts about a VM after a report from a worker process there. Doubts
-// about the same process, and about processes whose end is excused, are dismissed; the
-// other processes have crashed.
-func (w *Watch) Resolve(vm tackid.VM, life string, excused func(life string) bool) (dismissed []tackjob.Doubt, crashed []tackjob.Crash) {
+// Resolve resolves the doubts about a VM after a report from a worker process there.
+// Doubts about the same process, and about processes for which endedByOrder returns true,
+// are dismissed; the other processes have crashed.
+func (w *Watch) Resolve(vm tackid.VM, id string, endedByOrder func(id string) bool) (dismissed []tackjob.Doubt, crashed []tackjob.Crash) {
 	for _, x := range w.doubts[vm] {
-		if x.WorkerID == life || excused(x.WorkerID) {
+		if x.WorkerID == id || endedByOrder(x.WorkerID) {
 			dismissed = append(dismissed, x.Doubt)
 			continue
 		}
@@ -71,9 +71,9 @@
 // together reports whether another worker that ran no suspect item fell silent at the
 // same time. Then both most likely lost power or their network.
 func (w *Watch) together(x *doubt) bool {
-	return slices.ContainsFunc(w.fell, func(s silence) bool {
+	return slices.ContainsFunc(w.silences, func(s silence) bool {
 		apart := max(s.heard.Sub(x.heard), x.heard.Sub(s.heard))
-		return s.vm != x.VM && !s.tried && apart <= togetherWithin
+		return s.vm != x.VM && !s.ranSuspect && apart <= togetherWithin
 	})
 }
 
@@ -92,6 +92,6 @@
 			delete(w.doubts, vm)
 		}
 	}
-	w.fell = slices.DeleteFunc(w.fell, func(s silence) bool { return s.heard < before })
+	w.silences = slices.DeleteFunc(w.silences, func(s silence) bool { return s.heard < before })
 	return old
 }
--- a/core/tacksilence/watch_test.go
+++ b/core/tacksilence/watch_test.go
@@ -8,13 +8,13 @@
 )
 
 // doubtOf returns a doubt about a trial run that was alone on a worker process of VM m-1.
-func doubtOf(run uint64, life string) tackjob.Doubt {
+func doubtOf(run uint64, id string) tackjob.Doubt {
 	return tackjob.Doubt{Item: tackjob.Item{Job: "a"}, Doubt: tackcrash.Doubt{
-		WorkerID: life, Crash: tackcrash.Crash{Run: run, VM: "m-1", BeforeReport: true, Alone: true},
+		WorkerID: id, Crash: tackcrash.Crash{Run: run, VM: "m-1", BeforeReport: true, Alone: true},
 	}}
 }
 
-func neverExcused(string) bool { return false }
+func neverOrdered(string) bool { return false }
 
 func assertSettled(t *testing.T, dismissed []tackjob.Doubt, crashed []tackjob.Crash, wantDismissed, wantCrashed int) {
 	t.Helper()
@@ -27,32 +27,32 @@
 	t.Run("a report of the same process clears its runs", func(t *testing.T) {
 		var w Watch
 		w.Doubt(1000, doubtOf(1, "i-1"), 100)
-		dismissed, crashed := w.Resolve("m-1", "i-1", neverExcused)
+		dismissed, crashed := w.Resolve("m-1", "i-1", neverOrdered)
 		assertSettled(t, dismissed, crashed, 1, 0)
 	})
 	t.Run("another process on the VM proves the crash", func(t *testing.T) {
 		var w Watch
 		w.Doubt(1000, doubtOf(1, "i-1"), 100)
-		dismissed, crashed := w.Resolve("m-1", "i-2", neverExcused)
+		dismissed, crashed := w.Resolve("m-1", "i-2", neverOrdered)
 		assertSettled(t, dismissed, crashed, 0, 1)
 		if !crashed[0].Alone {
 			t.Error("the item ran alone, but the crash is not marked so")
 		}
-		dismissed, crashed = w.Resolve("m-1", "i-3", neverExcused)
+		dismissed, crashed = w.Resolve("m-1", "i-3", neverOrdered)
 		assertSettled(t, dismissed, crashed, 0, 0)
 	})
-	t.Run("an order excuses the process that it was given to", func(t *testing.T) {
+	t.Run("an order explains the end of the process that it was given to", func(t *testing.T) {
 		var w Watch
 		w.Doubt(1000, doubtOf(1, "i-1"), 100)
 		w.Doubt(1000, doubtOf(2, "i-2"), 100)
-		dismissed, crashed := w.Resolve("m-1", "i-3", func(life string) bool { return life == "i-1" })
+		dismissed, crashed := w.Resolve("m-1", "i-3", func(id string) bool { return id == "i-1" })
 		assertSettled(t, dismissed, crashed, 1, 1)
 	})
 	t.Run("a crash at the same time as others counts less", func(t *testing.T) {
 		var w Watch
 		w.Doubt(1000, doubtOf(1, "i-1"), 100)
 		w.FellSilent("m-2", 900, false)
-		if _, crashed := w.Resolve("m-1", "i-2", neverExcused); crashed[0].Alone {
+		if _, crashed := w.Resolve("m-1", "i-2", neverOrdered); crashed[0].Alone {
 			t.Error("another VM fell silent within the same second, but the crash counts in full")
 		}
 	})
@@ -61,7 +61,7 @@
 		w.Doubt(1000, doubtOf(1, "i-1"), 100)
 		w.FellSilent("m-2", 900, true)
 		w.FellSilent("m-3", 1200, false)
-		if _, crashed := w.Resolve("m-1", "i-2", neverExcused); !crashed[0].Alone {
+		if _, crashed := w.Resolve("m-1", "i-2", neverOrdered); !crashed[0].Alone {
 			t.Error("the crash does not count in full")
 		}
 	})
@@ -72,7 +72,7 @@
 		if old := w.Expire(2000); len(old) != 1 || old[0].Run != 1 {
 			t.Errorf("expired %+v, want run 1", old)
 		}
-		dismissed, crashed := w.Resolve("m-1", "i-1", neverExcused)
+		dismissed, crashed := w.Resolve("m-1", "i-1", neverOrdered)
 		assertSettled(t, dismissed, crashed, 1, 0)
 	})
 }
--- a/core/tackwave/phase.go
+++ b/core/tackwave/phase.go
@@ -21,7 +21,7 @@
 
 // advance moves the VMs that a wave holds to their next phases. It does so
 // regardless of the wave's status: otherwise a VM left drained by a paused,
-// stopped or cancelled wave would be missing from its pool for good.
+// stopped or cancelled wave would be missing from its pool permanently.
 func (t *tick) advance(w *tackfleet.Wave) {
 	var phases []tackfleet.WavePhase
 	for i := range w.VMs {
