--- a/core/tackdispatch/admit_test.go
+++ b/core/tackdispatch/admit_test.go
@@ -8,17 +8,17 @@
 	"auburntack/core/tackjob"
 )
 
-// offer submits up to most jobs of one step until one is refused, and returns how many
+// offer submits up to limit jobs of one step until one is refused, and returns how many
 // were accepted and the refusal.
-func (w *world) offer(name tackid.Workspace, first, most int, step tackjob.Step) (int, Admission) {
-	for n := range most {
+func (w *world) offer(name tackid.Workspace, first, limit int, step tackjob.Step) (int, Admission) {
+	for n := range limit {
 		spec := &tackjob.Spec{ID: job(first + n), Queue: testQueue.QueueKey, Steps: []tackjob.Step{step}}
 		if a := w.d.Admit(w.now, &testQueue, spec, name); !a.Accepted {
 			return n, a
 		}
 		w.submitFor(name, job(first+n), step)
 	}
-	return most, Admission{}
+	return limit, Admission{}
 }
 
 // assertRefusal fails the test unless the caller is told a realistic time to retry: when
--- a/core/tackdispatch/crash.go
+++ b/core/tackdispatch/crash.go
@@ -118,7 +118,7 @@
 			return false
 		}
 	}
-	return w.orphanRoom == (tackroom.Resources{})
+	return w.orphanUsed == (tackroom.Resources{})
 }
 
 // settled reports whether the run was listed for so long that a crash of the worker says
--- a/core/tackdispatch/dispatch_test.go
+++ b/core/tackdispatch/dispatch_test.go
@@ -78,8 +78,8 @@
 
 // Guards against items that run twice after a change of leader: a heartbeat is delayed by
 // a partition, the worker crashes, and the next incarnation on its VM runs items. The new
-// leader receives a heartbeat of that incarnation, then the late one, and takes the
-// sender of the last heartbeat on a VM for its newest incarnation.
+// leader receives a heartbeat of that incarnation, then the late one, and assumes
+// that the sender of the last heartbeat on a VM is its newest incarnation.
 func TestLateHeartbeatOfAnEarlierIncarnationEndsNothing(t *testing.T) {
 	w := newWorld(t, 1)
 	w.run(2 * tackclock.Second)
@@ -138,7 +138,7 @@
 	}
 }
 
-func TestItemsThatLastAreSpread(t *testing.T) {
+func TestLongRunningItemsAreSpread(t *testing.T) {
 	w := newWorld(t, 5)
 	w.run(100)
 	w.submit(job(1), longRunning(5, 1))
@@ -167,7 +167,7 @@
 
 // Guards against a job that is late by the time for which a worker hangs: the worker's
 // items make no progress, but it goes on sending heartbeats.
-func TestItemThatStandsStillStartsElsewhere(t *testing.T) {
+func TestStalledItemStartsElsewhere(t *testing.T) {
 	w := newWorld(t, 3)
 	w.workers[0].stalled = true
 	w.submit(job(1), batch(12, 3, 600))
@@ -190,7 +190,7 @@
 // Guards against jobs that wait beside workers with room, even without faults: a worker
 // runs only items of one such step, and each of them counted against it, although they
 // share one estimate.
-func TestLowEstimateSpeaksAgainstNoWorker(t *testing.T) {
+func TestLowEstimateCountsAgainstNoWorker(t *testing.T) {
 	w := newWorld(t, 2)
 	w.actual = func(tackjob.Item, *tackjob.Step) tackclock.Duration { return 3 * tackclock.Second }
 	w.submit(job(1), batch(4, 2, 400))
@@ -348,8 +348,8 @@
 }
 
 // Guards against workers that stay idle for a minute after a partition of a few seconds,
-// beside a queue of work: a worker whose lease ran out behind the partition was taken for
-// one whose incarnation is over.
+// beside a queue of work: a worker whose lease ran out behind the partition was treated
+// as one whose incarnation is over.
 func TestWorkerBackAfterItsLeaseGetsWork(t *testing.T) {
 	w := newWorld(t, 1)
 	m := w.workers[0]
--- a/core/tackdispatch/dispatcher.go
+++ b/core/tackdispatch/dispatcher.go
@@ -1,6 +1,19 @@
 // Package tackdispatch decides on the leader which item starts on which worker, and when.
 // Workers get their orders in the answers to their own heartbeats. Nothing here is
 // durable: a new leader learns from the workers' reports what runs.
+//
+// An item is the unit that a worker executes, and a run is one start of it. An
+// incarnation of a worker is one run of its process. An answer grants the worker a lease,
+// after whose end the worker stops everything. A run is an orphan if its worker lists it
+// although its item is not needed there.
+//
+// A worker that stops reporting may have crashed because of an item. Until its VM reports
+// again, the runs that it started recently are in doubt; see package tackcrash. An item
+// that may be at fault runs on a worker of its own first: it is on trial.
+//
+// An upkeep is the platform's maintenance of a worker's VM, for which the VM is down for
+// some seconds; see package tackupkeep. A VM can also move to the pool of another
+// service, or to the standby pool; see package tackpool.
 package tackdispatch
 
 import (
@@ -369,7 +382,7 @@
 	w.idleSince = now
 	w.used = w.used.Minus(r.reserved)
 	if r.step.LongRunning {
-		w.longRunningRoom = w.longRunningRoom.Minus(r.reserved)
+		w.longRunningUsed = w.longRunningUsed.Minus(r.reserved)
 	}
 	w.steps[r.step.key()]--
 	if w.steps[r.step.key()] <= 0 {
--- a/core/tackdispatch/heartbeat.go
+++ b/core/tackdispatch/heartbeat.go
@@ -78,12 +78,12 @@
 func (d *Dispatcher) join(now tackclock.Time, r *Report) *worker {
 	if before := d.workersByName[r.Worker.Name()]; before != nil {
 		d.doubtRuns(now, before)
-		d.lose(now, before, "another process under its name")
+		d.lose(now, before, "another process reported under its name")
 	}
 	if r.VM != "" {
 		if before := d.workersByVM[r.VM]; before != nil {
 			d.doubtRuns(now, before)
-			d.lose(now, before, "another process on its VM")
+			d.lose(now, before, "another process reported from its VM")
 		}
 		d.resolveDoubts(now, r.VM, r.Worker)
 	}
@@ -223,7 +223,7 @@
 	// never started: the answer was lost or came too late.
 	for _, run := range w.runsInOrder() {
 		if !listed[run.item] && run.sentIn < r.Sequence {
-			d.noteRun(now, EventNotStarted, run, "not listed")
+			d.noteRun(now, EventNotStarted, run, "worker does not list it")
 			d.withdrawDoubt(run)
 			d.removeRun(now, run)
 			d.requeue(now, run)
@@ -280,7 +280,7 @@
 
 // addOrphan counts the resources of a run that the worker must stop.
 func (d *Dispatcher) addOrphan(w *worker, row *Running) {
-	w.orphanRoom = w.orphanRoom.Plus(d.resourcesOf(w, row.Item))
+	w.orphanUsed = w.orphanUsed.Plus(d.resourcesOf(w, row.Item))
 	if d.table == nil {
 		return
 	}
@@ -298,7 +298,7 @@
 	for _, x := range w.orphans {
 		x.account.End(x.resources, x.byEarlierLeader)
 	}
-	w.orphanRoom, w.orphans = tackroom.Resources{}, nil
+	w.orphanUsed, w.orphans = tackroom.Resources{}, nil
 }
 
 // resourcesOf returns the resources of a run whose item is no longer needed. Closed
@@ -320,7 +320,7 @@
 	w.runs[r.item] = r
 	w.used = w.used.Plus(r.reserved)
 	if r.step.LongRunning {
-		w.longRunningRoom = w.longRunningRoom.Plus(r.reserved)
+		w.longRunningUsed = w.longRunningUsed.Plus(r.reserved)
 	}
 	w.steps[r.step.key()]++
 	d.running[r.item] = r
--- a/core/tackdispatch/incarnation_test.go
+++ b/core/tackdispatch/incarnation_test.go
@@ -51,7 +51,7 @@
 
 // Guards against a worker that restarts under its id and gets no work, or whose items run
 // twice: it numbers its heartbeats and ends from one again, and those numbers were
-// processed before. One id was taken for one incarnation.
+// processed before. Without the start time, the id does not distinguish incarnations.
 func TestWorkerStartsAgainUnderItsName(t *testing.T) {
 	w := newStartTimeWorld(t, 2)
 	m := w.workers[0]
--- a/core/tackdispatch/loss.go
+++ b/core/tackdispatch/loss.go
@@ -15,7 +15,8 @@
 
 // endLapsed records that lapsed incarnations on a VM, or under a name, are over, because
 // another has followed or the VM was taken down. Otherwise a heartbeat of theirs that a
-// partition delayed would be taken for the next incarnation and end the one that runs.
+// partition delayed would be accepted as one of the next incarnation and end the one that
+// runs.
 func (d *Dispatcher) endLapsed(now tackclock.Time, vm tackid.VM, name string) {
 	for id, l := range d.lapsed {
 		if vm != "" && l.vm == vm || name != "" && id.Name() == name {
@@ -72,7 +73,7 @@
 	}
 	if w := d.workers[id]; w != nil {
 		d.resolveDoubts(now, w.vm, id)
-		d.lose(now, w, "left")
+		d.lose(now, w, "worker left")
 	}
 	if l, ok := d.lapsed[id]; ok {
 		d.resolveDoubts(now, l.vm, id)
--- a/core/tackdispatch/overlap_test.go
+++ b/core/tackdispatch/overlap_test.go
@@ -160,7 +160,7 @@
 // submit several times what it can run, and refused callers retry when they are told to.
 // The test guards against jobs that are accepted and late, against a pool that does less
 // the more is asked of it, and against refusals after the load.
-func TestOverlappingTurns(t *testing.T) {
+func TestOverlappingBursts(t *testing.T) {
 	eachOverlap(t, []float64{2, 4}, func(t *testing.T, o *overlap, load float64) {
 		o.w.d.cfg.AdmitPercent = 100 // no VMs arrive from other pools
 		busy := o.burst(load)
--- a/core/tackdispatch/pools.go
+++ b/core/tackdispatch/pools.go
@@ -164,7 +164,7 @@
 			continue
 		}
 		vm := tackpool.VM{Name: w.vm, Resources: w.batchRoom(), Labels: w.labels}
-		if len(w.runs) == 0 && w.orphanRoom == (tackroom.Resources{}) {
+		if len(w.runs) == 0 && w.orphanUsed == (tackroom.Resources{}) {
 			vm.Idle = max(1, now.Sub(w.idleSince))
 		}
 		vm.Busy, vm.Emptying = w.busyFor(now), now < w.emptiedUntil
--- a/core/tackdispatch/pools_test.go
+++ b/core/tackdispatch/pools_test.go
@@ -25,7 +25,7 @@
 // Guards against a pool that is short of VMs and cannot get those that were sent to the
 // standby pool two seconds before: nothing reports from there, so their moves seemed to
 // last until they had certainly failed.
-func TestVMAtRestCanBeCalledBack(t *testing.T) {
+func TestStandbyVMCanBeCalledBack(t *testing.T) {
 	w := newWorld(t, 2)
 	w.run(300)
 	m := w.workers[0]
--- a/core/tackdispatch/retry_test.go
+++ b/core/tackdispatch/retry_test.go
@@ -24,7 +24,8 @@
 // and so late with the others. After a burst hundreds of workers have room, and each
 // asked several times a second, however many others did.
 //
-// Of 200 workers without work 1,334 heartbeats a second came before, 500 come now.
+// 200 workers without work sent 1,334 heartbeats a second when the interval did not
+// depend on their number, and send 500 now.
 func TestWorkersOfALargePoolAskLessOften(t *testing.T) {
 	const second = tackclock.Second
 	t.Run("a small pool", func(t *testing.T) {
--- a/core/tackdispatch/start.go
+++ b/core/tackdispatch/start.go
@@ -17,10 +17,10 @@
 	// its step. The platform allows three seconds while there is free room.
 	spreadPatience = 1500 * tackclock.Millisecond
 	// packFactor is how many times the work that waits must fit the room of the busy
-	// workers for idle ones to be left alone: an item that waits costs its caller time.
+	// workers for idle ones to get nothing: an item that waits costs its caller time.
 	packFactor = 3
-	// packPatience is how long anything waits before idle workers take it after all. The
-	// rooms of several workers may suffice in total and each be too small.
+	// packPatience is how long anything waits before idle workers get it after all. The
+	// free capacity of the busy workers may suffice in total, but not on any one of them.
 	packPatience = 300 * tackclock.Millisecond
 )
 
--- a/core/tackdispatch/trial.go
+++ b/core/tackdispatch/trial.go
@@ -133,13 +133,13 @@
 	if r.listed || r.worker.vm == "" {
 		return false
 	}
-	d.doubtRun(now, r, "on trial")
+	d.doubtRun(now, r, "trial begins")
 	return true
 }
 
 // idle reports whether nothing runs on the worker and no start is planned there.
 func (w *worker) idle() bool {
-	return len(w.runs) == 0 && w.orphanRoom == (tackroom.Resources{})
+	return len(w.runs) == 0 && w.orphanUsed == (tackroom.Resources{})
 }
 
 // startTrials starts an item that needs a trial, and reports whether the worker must get
@@ -192,7 +192,7 @@
 	case waited > 2*trialPatience:
 		return true
 	case waited > trialPatience:
-		return w.longRunningRoom == (tackroom.Resources{}) || !d.anyWithoutLongRunning(now, p)
+		return w.longRunningUsed == (tackroom.Resources{}) || !d.anyWithoutLongRunning(now, p)
 	}
 	return w.idle() && !s.job.CrashesUnder(s.item(i.index)).CrashedOn(w.vm)
 }
@@ -202,7 +202,7 @@
 // crash.
 func (d *Dispatcher) anyWithoutLongRunning(now tackclock.Time, p *pool) bool {
 	return slices.ContainsFunc(p.workers, func(w *worker) bool {
-		return w.longRunningRoom == (tackroom.Resources{}) && w.acceptsItems(now) && !w.silent(now) && !d.cordon[w.vm]
+		return w.longRunningUsed == (tackroom.Resources{}) && w.acceptsItems(now) && !w.silent(now) && !d.cordon[w.vm]
 	})
 }
 
--- a/core/tackdispatch/upkeep_test.go
+++ b/core/tackdispatch/upkeep_test.go
@@ -86,7 +86,7 @@
 
 // Guards against items that run twice. A leader's call took a VM down, and the leader was
 // lost before that was logged; the VM came back and ran items. The next leader called
-// again, and the platform consented, since the upkeep was done, which was taken for the
+// again, and the platform consented, since the upkeep was done, which was treated as the
 // end of the VM's present incarnation.
 func TestConsentToAnEarlierCallEndsNoIncarnation(t *testing.T) {
 	w := newWorld(t, 2)
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestUpkeepSparesItemsThatLast(t *testing.T) {
+func TestUpkeepSparesLongRunningItems(t *testing.T) {
 	t.Run("one VM at a time where one may be away", func(t *testing.T) {
 		w := newWorld(t, 4)
 		w.run(100)
--- a/core/tackdispatch/worker.go
+++ b/core/tackdispatch/worker.go
@@ -22,7 +22,7 @@
 	labels          []string
 	capacity        tackroom.Resources
 	used            tackroom.Resources
-	longRunningRoom tackroom.Resources // the part of used that long-running items take
+	longRunningUsed tackroom.Resources // the part of used that long-running items take
 	sequence        uint64
 	reports         int // accepted by this dispatcher
 	// jitterPhase makes the jitter of workers differ that joined at the same time.
@@ -40,9 +40,9 @@
 	runs         map[tackjob.Item]*run
 	steps        map[stepKey]int
 	ends         ends
-	// orphanRoom is taken by runs that must stop and are not in runs; orphans are those
+	// orphanUsed is taken by runs that must stop and are not in runs; orphans are those
 	// of them that count against a workspace.
-	orphanRoom tackroom.Resources
+	orphanUsed tackroom.Resources
 	orphans    []orphanRun
 	stops      []Stop
 	// planned are starts of gangs and trials that wait for its next heartbeat.
@@ -110,11 +110,11 @@
 
 // room returns what is free on the worker.
 func (w *worker) room() tackroom.Resources {
-	return w.capacity.Minus(w.used).Minus(w.orphanRoom)
+	return w.capacity.Minus(w.used).Minus(w.orphanUsed)
 }
 
 // batchRoom returns the worker's room for batch items when all present ones have ended.
 // Long-running items never make room for them.
 func (w *worker) batchRoom() tackroom.Resources {
-	return w.capacity.Minus(w.longRunningRoom)
+	return w.capacity.Minus(w.longRunningUsed)
 }
--- a/core/tackdispatch/world_test.go
+++ b/core/tackdispatch/world_test.go
@@ -57,8 +57,8 @@
 		actual func(tackjob.Item, *tackjob.Step) tackclock.Duration
 		// crashes are items that crash each worker, by the time after their start.
 		crashes map[tackjob.Item]tackclock.Duration
-		// crashed counts the workers that crashed under such an item, and after its
-		// starts beyond crashesTolerated crashes.
+		// crashed counts the workers that crashed under such an item, and after
+		// counts its starts since crashesTolerated of them have.
 		crashed, after map[tackjob.Item]int
 		reboots        []reboot
 		// caps are what each workspace may have running. Lowering one does not stop
@@ -114,7 +114,7 @@
 		dead        bool
 		stalled     bool // items make no progress
 		failing     bool // items fail soon after they start
-		shrunk      bool // its room was at some time smaller than what ran there
+		shrunk      bool // its capacity was at some time smaller than what ran there
 		early       bool // one of its first heartbeats is delayed
 		slow        int  // factor for the duration of items; 0 stands for 1
 	}
--- a/core/tackjob/job_test.go
+++ b/core/tackjob/job_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestChainIsLongestPath(t *testing.T) {
+func TestCriticalPathIsLongestPath(t *testing.T) {
 	s := validSpec()
 	s.Steps = append(s.Steps, Step{Count: 1, Estimate: 400})
 	if got := s.CriticalPath(); got != 400 {
--- a/core/tackplace/failure_test.go
+++ b/core/tackplace/failure_test.go
@@ -123,7 +123,7 @@
 // Guards against a worker that gets more tasks than fit into its memory:
 // proposed assignments take long to be applied, more urgent tasks are created
 // meanwhile, and the resources of the proposals count as free.
-func TestPromisedRoomIsTaken(t *testing.T) {
+func TestProposedAssignmentsCount(t *testing.T) {
 	w := newWorld(10, 1, 8, 4000)
 	w.late = 1
 	for _, class := range []tackid.Class{tackid.ClassBatch, tackid.ClassNormal, tackid.ClassUrgent} {
--- a/core/tackpool/parkdelay_test.go
+++ b/core/tackpool/parkdelay_test.go
@@ -55,7 +55,7 @@
 // No fixed time before parking suits all loads: VMs are kept idle for hours for queues
 // with a burst once an hour, or are missing at the start of each burst of queues with one
 // every few seconds.
-func TestRestFollowsLoadPattern(t *testing.T) {
+func TestParkDelayFollowsLoadPattern(t *testing.T) {
 	around := func(d tackclock.Duration) gapPattern {
 		return func(r *rand.Rand) tackclock.Duration { return d*9/10 + tackclock.Duration(r.Int64N(int64(d)/5)) }
 	}
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestRestNeverExceedsBreakEven(t *testing.T) {
+func TestParkDelayNeverExceedsBreakEven(t *testing.T) {
 	gaps := make([]tackclock.Duration, minGaps)
 	for _, breakEven := range []tackclock.Duration{100, tackclock.Second, tackclock.Minute} {
 		if got := cheapest(gaps, breakEven); got > breakEven {
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestRestStartsAtBreakEven(t *testing.T) {
+func TestParkDelayStartsAtBreakEven(t *testing.T) {
 	var r ParkDelay
 	if got := r.After(1000, breakEven); got != breakEven {
 		t.Errorf("parked after %v, want the break-even time", got)
--- a/core/tackpool/reserve_test.go
+++ b/core/tackpool/reserve_test.go
@@ -143,7 +143,7 @@
 	})
 }
 
-// Work that a new leader finds must not be taken for work that never rises.
+// Work that a new leader finds must not count as work that never rises.
 func TestInitialWorkCountsAsRise(t *testing.T) {
 	f := newFleet(500)
 	f.run(5*tackclock.Second, constant(100*vmCores))
--- a/core/tackupkeep/wave.go
+++ b/core/tackupkeep/wave.go
@@ -1,6 +1,7 @@
-// Package tackupkeep holds the maintenance waves over the VMs of workers. The dispatcher
-// decides by them which VM may go down next: never more at a time than the wave allows,
-// and only when what runs there can be interrupted.
+// Package tackupkeep holds the waves of upkeep over the VMs of workers. An upkeep is the
+// maintenance that the platform carries out on a VM, which is down meanwhile. The
+// dispatcher decides by the waves which VM may go down next: never more at a time than
+// the wave allows, and only when what runs there can be interrupted.
 package tackupkeep
 
 import (
@@ -15,7 +16,7 @@
 	// Number identifies a wave; the operator chooses it.
 	Number int64
 
-	// Wave is an accepted request for maintenance. Accepted and Due are log times.
+	// Wave is an accepted request for the upkeep of VMs. Accepted and Due are log times.
 	Wave struct {
 		Number Number             `cbor:"1,keyasint"`
 		VMs    []tackid.VM        `cbor:"2,keyasint"`
@@ -25,7 +26,7 @@
 		Accepted tackclock.Time `cbor:"5,keyasint,omitempty"`
 		// Term is that of the leader that accepted the wave.
 		Term tackreplica.Term `cbor:"7,keyasint,omitempty"`
-		// Begun are the VMs that are gone or whose maintenance the platform has begun.
+		// Begun are the VMs that are gone or whose upkeep the platform has begun.
 		Begun []tackid.VM `cbor:"6,keyasint,omitempty"`
 	}
 
@@ -65,24 +66,24 @@
 	t.waves = waves
 }
 
-// Begin records that the maintenance of vm has begun.
+// Begin records that the upkeep of vm has begun.
 func (w *Wave) Begin(vm tackid.VM) {
 	if !slices.Contains(w.Begun, vm) {
 		w.Begun = append(w.Begun, vm)
 	}
 }
 
-// Due returns the log time by which all maintenance should have begun.
+// Due returns the log time by which every upkeep should have begun.
 func (w *Wave) Due() tackclock.Time {
 	return w.Accepted.Add(w.Within)
 }
 
-// Complete reports whether the maintenance of every VM has begun.
+// Complete reports whether the upkeep of every VM has begun.
 func (w *Wave) Complete() bool {
 	return len(w.Remaining()) == 0
 }
 
-// Remaining returns the VMs whose maintenance has not begun.
+// Remaining returns the VMs whose upkeep has not begun.
 func (w *Wave) Remaining() []tackid.VM {
 	var left []tackid.VM
 	for _, vm := range w.VMs {
--- a/core/tackwork/state.go
+++ b/core/tackwork/state.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// defaultKeepClosed is two minutes, plus 30 seconds for callers that are late.
-	defaultKeepClosed = 150 * tackclock.Second
+	// defaultClosedRetention is two minutes, plus 30 seconds for callers that are late.
+	defaultClosedRetention = 150 * tackclock.Second
 	// expireInterval is the interval between the passes that remove closed jobs.
 	expireInterval = 10 * tackclock.Second
 )
@@ -204,7 +204,7 @@
 		return
 	}
 	s.expired = now
-	s.Jobs.Expire(now.Add(-cmp.Or(s.ClosedRetention, defaultKeepClosed)))
+	s.Jobs.Expire(now.Add(-cmp.Or(s.ClosedRetention, defaultClosedRetention)))
 }
 
 // Snapshot returns the encoded state, which Restore reads.
