--- a/core/tackdispatch/copy_test.go
+++ b/core/tackdispatch/copy_test.go
@@ -119,8 +119,8 @@
 		}
 	})
 	// Guards against an item that starts after its last permitted failure: the copy
-	// fails, then the earlier run, whose lower number was taken for an end that had been
-	// counted before.
+	// fails, then the earlier run, whose lower number was mistaken for an end that had
+	// been counted before.
 	t.Run("failures count in any order", func(t *testing.T) {
 		w, host := cut(t)
 		other := w.workers[0]
--- a/core/tackdispatch/crash.go
+++ b/core/tackdispatch/crash.go
@@ -55,9 +55,9 @@
 		return
 	}
 	w.doubted = true
-	reason := false
+	mayBeCause := false
 	for _, r := range w.runsInOrder() {
-		reason = reason || r.mayCauseCrash()
+		mayBeCause = mayBeCause || r.mayCauseCrash()
 		if r.settled() || r.sentIn == notSent {
 			continue
 		}
@@ -66,7 +66,7 @@
 		}
 		d.silences.Doubt(now, r.doubt(), w.heardAt)
 	}
-	d.silences.FellSilent(w.vm, w.heardAt, reason)
+	d.silences.FellSilent(w.vm, w.heardAt, mayBeCause)
 }
 
 // mayCauseCrash reports whether a crash of the worker may be the run's fault: the run was
--- a/core/tackdispatch/schedule_test.go
+++ b/core/tackdispatch/schedule_test.go
@@ -198,7 +198,7 @@
 func TestRandomSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, 0)
-		w.sendsStartTimes = rapid.Bool().Draw(t, "tells born")
+		w.sendsStartTimes = rapid.Bool().Draw(t, "sends start times")
 		for n := range 5 {
 			w.addWorker(tackid.VM(fmt.Sprintf("m-%d", n)), n/4)
 		}
--- a/core/tackdispatch/upkeep.go
+++ b/core/tackdispatch/upkeep.go
@@ -57,12 +57,12 @@
 // NextUpkeep returns the VMs of a wave that can be taken down now, and withholds new work
 // from those that come next.
 func (d *Dispatcher) NextUpkeep(now tackclock.Time, w *tackupkeep.Wave) []tackid.VM {
-	room := max(w.MaxDown, 1) - d.down(now, w)
+	more := max(w.MaxDown, 1) - d.down(now, w)
 	next := d.retryCalls(now, w)
-	if room <= 0 {
+	if more <= 0 {
 		return next
 	}
-	for _, vm := range d.soonest(w, room) {
+	for _, vm := range d.soonest(w, more) {
 		st := d.upkeepOf(vm)
 		if st.drainedFrom == 0 {
 			st.drainedFrom = now
--- a/core/tackdispatch/world_check_test.go
+++ b/core/tackdispatch/world_check_test.go
@@ -37,9 +37,9 @@
 // these caps.
 func (w *world) putCaps(caps map[tackid.Workspace]tackroom.Resources) {
 	var list []tackworkspace.Workspace
-	for name, room := range caps {
+	for name, limit := range caps {
 		list = append(list, tackworkspace.Workspace{
-			Name: name, Cap: room, Keys: []tackworkspace.Fingerprint{tackworkspace.FingerprintOf(string(name))},
+			Name: name, Cap: limit, Keys: []tackworkspace.Fingerprint{tackworkspace.FingerprintOf(string(name))},
 		})
 	}
 	slices.SortFunc(list, func(a, b tackworkspace.Workspace) int { return cmp.Compare(a.Name, b.Name) })
--- a/core/tackpool/parkdelay.go
+++ b/core/tackpool/parkdelay.go
@@ -154,8 +154,8 @@
 		if i+1 < len(gaps) && max(gaps[i+1], minParkAfter) == after {
 			continue // the next gap has the same time before parking
 		}
-		rest := tackclock.Duration(len(gaps) - 1 - i)
-		if c := waited + rest*(after+breakEven); c < bestCost {
+		longer := tackclock.Duration(len(gaps) - 1 - i)
+		if c := waited + longer*(after+breakEven); c < bestCost {
 			best, bestCost = after, c
 		}
 	}
