--- a/core/tackledger/state.go
+++ b/core/tackledger/state.go
@@ -120,12 +120,12 @@
 // claiming the key; it is Claimed if the key is free. Only Recorded and
 // Mismatch are final. Other results may have been changed by log entries that
 // this peer has not applied yet.
-func (s *State) Lookup(now tackclock.Time, id ID, fingerprint Fingerprint) Claim {
+func (s *State) Lookup(now tackclock.Time, id ID, print Fingerprint) Claim {
 	r := s.records[id.digest()]
 	if r == nil || r.outcome == OutcomeDidNotRun || s.expired(r, now) {
 		return Claim{Kind: Claimed}
 	}
-	return s.verdict(r, fingerprint, max(now, s.now))
+	return s.verdict(r, print, max(now, s.now))
 }
 
 // Revision returns the revision of the last change applied.
@@ -253,9 +253,9 @@
 }
 
 // verdict returns the claim of another request with the key of the record.
-func (s *State) verdict(r *record, fingerprint Fingerprint, now tackclock.Time) Claim {
+func (s *State) verdict(r *record, print Fingerprint, now tackclock.Time) Claim {
 	switch {
-	case r.fingerprint != digest(fingerprint[:]):
+	case r.fingerprint != digest(print[:]):
 		return Claim{Kind: Mismatch}
 	case r.outcome == OutcomeAnswered && r.answer != nil:
 		return Claim{Kind: Recorded, Answer: *r.answer}
