--- a/core/tackdispatch/cancel_test.go
+++ b/core/tackdispatch/cancel_test.go
@@ -8,12 +8,12 @@
 	"auburntack/core/tackwork"
 )
 
-// Guards against items of a cancelled job that run on: long-running items are listed by their
-// workers when the job is cancelled, and heartbeats carry no stop for them, because only
-// runs unknown to the dispatcher are stopped.
+// Guards against items of a cancelled job that run on: long-running items are listed by
+// their workers when the job is cancelled, and heartbeats carry no stop for them, because
+// only runs unknown to the dispatcher are stopped.
 func TestCancelStopsWhatRuns(t *testing.T) {
 	w := newWorld(t, 4)
-	w.submit(job(1), lasting(4, 1))
+	w.submit(job(1), longRunning(4, 1))
 	w.submit(job(2), batch(20, 1, 20*tackclock.Second))
 	w.run(3 * tackclock.Second)
 	assertRuns(t, w, job(1), 4)
--- a/core/tackdispatch/pool.go
+++ b/core/tackdispatch/pool.go
@@ -65,11 +65,11 @@
 		trials bool
 		// maxOver is the largest excess of a workspace over its share.
 		maxOver int
-		// simple says that any worker could start any of the steps; room is what they
-		// take together, and since is when the first of them began to wait.
-		simple bool
-		room   tackroom.Resources
-		since  tackclock.Time
+		// simple says that any worker could start any of the steps; resources is what
+		// they reserve together, and since is when the first of them began to wait.
+		simple    bool
+		resources tackroom.Resources
+		since     tackclock.Time
 	}
 
 	// totals are totals over workers.
@@ -169,23 +169,23 @@
 
 // partitionOf returns the partition to which a step belongs now.
 func (d *Dispatcher) partitionOf(now tackclock.Time, s *openStep) int {
-	shelf := 0
+	partition := 0
 	if s.Gang {
-		shelf |= partitionGang
+		partition |= partitionGang
 	}
 	if s.Requires != "" {
-		shelf |= partitionLabelled
+		partition |= partitionLabelled
 	}
 	if s.late(now) {
-		shelf |= partitionLate
+		partition |= partitionLate
 	}
 	if !s.job.fresh && !d.EarlierLeasesEnded(now) {
-		shelf |= partitionInherited
+		partition |= partitionInherited
 		if s.Speculative {
-			shelf |= partitionCopied
+			partition |= partitionCopied
 		}
 	}
-	return shelf
+	return partition
 }
 
 // review removes the steps without waiting items, moves the steps whose partition has
@@ -203,7 +203,7 @@
 			return true
 		}
 		p.summary.add(now, s)
-		if shelf := d.partitionOf(now, s); shelf != s.partition {
+		if partition := d.partitionOf(now, s); partition != s.partition {
 			moved = append(moved, s)
 			return true
 		}
@@ -224,7 +224,7 @@
 		x.simple = false
 		return
 	}
-	x.room = x.room.Plus(s.Resources.Times(len(s.waiting)))
+	x.resources = x.resources.Plus(s.Resources.Times(len(s.waiting)))
 	x.since = min(x.since, s.waiting[0].since)
 }
 
--- a/core/tackquota/book.go
+++ b/core/tackquota/book.go
@@ -49,13 +49,13 @@
 	// concurrent use.
 	Book struct {
 		accounts map[tackid.Workspace]*Account
-		// leasesOver is the time from which on nothing runs that an earlier leader
+		// earlierLeasesEnd is the time from which on nothing runs that an earlier leader
 		// started and that no worker has reported.
-		leasesOver tackclock.Time
-		requesting []*Account // accounts with a grant to propose
-		all        tackroom.Resources
-		weights    float64 // sum over all workspaces
-		lowerAt    tackclock.Time
+		earlierLeasesEnd tackclock.Time
+		requesting       []*Account // accounts with a grant to propose
+		all              tackroom.Resources
+		weights          float64 // sum over all workspaces
+		lowerAt          tackclock.Time
 	}
 
 	// Account tracks what one workspace has running.
@@ -82,22 +82,22 @@
 )
 
 // Begin resets the accounts for a new leader that finds the given grants in its log.
-// Until leasesOver, there may be running items that an earlier leader started and that no
-// worker has reported.
-func (b *Book) Begin(leasesOver tackclock.Time, workspaces []tackworkspace.Workspace, grants Grants) {
-	*b = Book{accounts: make(map[tackid.Workspace]*Account), leasesOver: leasesOver}
-	for name, room := range grants {
+// Until earlierLeasesEnd, there may be running items that an earlier leader started and
+// that no worker has reported.
+func (b *Book) Begin(earlierLeasesEnd tackclock.Time, workspaces []tackworkspace.Workspace, grants Grants) {
+	*b = Book{accounts: make(map[tackid.Workspace]*Account), earlierLeasesEnd: earlierLeasesEnd}
+	for name, resources := range grants {
 		a := b.Account(name)
-		a.inherited, a.granted, a.requested = room, room, room
+		a.inherited, a.granted, a.requested = resources, resources, resources
 	}
 	b.SetCaps(workspaces)
 }
 
 // Restart resets the accounts for the same leader, some of whose proposals may not be
 // committed yet.
-func (b *Book) Restart(leasesOver tackclock.Time, workspaces []tackworkspace.Workspace, grants Grants) {
+func (b *Book) Restart(earlierLeasesEnd tackclock.Time, workspaces []tackworkspace.Workspace, grants Grants) {
 	before := b.accounts
-	b.Begin(leasesOver, nil, grants)
+	b.Begin(earlierLeasesEnd, nil, grants)
 	for name, a := range before {
 		if len(a.proposed) > 0 {
 			next := b.Account(name)
@@ -169,14 +169,14 @@
 // grant records the committed grant.
 func (a *Account) grant(held tackroom.Resources) {
 	a.granted = held
-	for _, room := range a.proposed {
-		a.granted = a.granted.Min(room)
+	for _, resources := range a.proposed {
+		a.granted = a.granted.Min(resources)
 	}
 }
 
 // lower requests lower grants for the accounts whose grant far exceeds what runs.
 func (b *Book) lower(now tackclock.Time) {
-	if now < b.leasesOver || now < b.lowerAt {
+	if now < b.earlierLeasesEnd || now < b.lowerAt {
 		return
 	}
 	b.lowerAt = now.Add(lowerInterval)
@@ -223,8 +223,8 @@
 	return false
 }
 
-// RequestAhead requests, within the cap, the grant that allows need to start soon, so that the
-// start need not wait for the log once there is a worker for it.
+// RequestAhead requests, within the cap, the grant that allows need to start soon, so
+// that the start need not wait for the log once there is a worker for it.
 func (a *Account) RequestAhead(now tackclock.Time, need tackroom.Resources) {
 	if a != nil && a.capped() {
 		a.request(a.running(now).Plus(need).CappedBy(a.cap))
@@ -233,12 +233,12 @@
 
 // WithinCap reports whether a start that was counted already, but has not been ordered yet,
 // is still within the cap.
-func (a *Account) WithinCap(now tackclock.Time, room tackroom.Resources) bool {
+func (a *Account) WithinCap(now tackclock.Time, resources tackroom.Resources) bool {
 	if a == nil {
 		return true
 	}
 	total := a.running(now)
-	return a.within(total.Minus(room), total)
+	return a.within(total.Minus(resources), total)
 }
 
 // within reports whether what runs may grow from runs to total.
@@ -256,14 +256,15 @@
 	return a == nil || a.cap.Allows(need)
 }
 
-// Start records that room has been ordered to start, or was so by an earlier leader.
-func (a *Account) Start(room tackroom.Resources, earlier bool) {
+// Start records that a run with these resources was ordered to start, now or by an
+// earlier leader.
+func (a *Account) Start(resources tackroom.Resources, earlier bool) {
 	if a == nil {
 		return
 	}
-	a.used = a.used.Plus(room)
+	a.used = a.used.Plus(resources)
 	if earlier {
-		a.earlier = a.earlier.Plus(room)
+		a.earlier = a.earlier.Plus(resources)
 	}
 	a.prefetch()
 }
@@ -284,14 +285,14 @@
 		part(grant.MemoryMB, total.MemoryMB, a.cap.MemoryMB) && part(grant.GPUs, total.GPUs, a.cap.GPUs)
 }
 
-// End records that room, which was started before, no longer runs.
-func (a *Account) End(room tackroom.Resources, earlier bool) {
+// End records that a run with these resources, for which Start was called, has ended.
+func (a *Account) End(resources tackroom.Resources, earlier bool) {
 	if a == nil {
 		return
 	}
-	a.used = a.used.Minus(room)
+	a.used = a.used.Minus(resources)
 	if earlier {
-		a.earlier = a.earlier.Minus(room)
+		a.earlier = a.earlier.Minus(resources)
 	}
 }
 
@@ -322,7 +323,7 @@
 // expired, they may have started everything that was granted, no matter how much of it
 // has been reported.
 func (a *Account) running(now tackclock.Time) tackroom.Resources {
-	if now >= a.book.leasesOver {
+	if now >= a.book.earlierLeasesEnd {
 		return a.used
 	}
 	return a.used.Minus(a.earlier).Plus(a.earlier.Max(a.inherited))
--- a/io/tackvm/routes.go
+++ b/io/tackvm/routes.go
@@ -48,7 +48,7 @@
 	}
 	v.publishedInputs = next
 	v.routes.Store(v.buildRoutes(leased))
-	if v.sharer.User != nil {
+	if v.sharer.Consumer != nil {
 		v.sharer.SetTable(now, v.routes.Load())
 	}
 }
--- a/io/tackvm/share.go
+++ b/io/tackvm/share.go
@@ -16,10 +16,10 @@
 // other peers. From then on only the loop accesses the sharer.
 func (v *VM) startSharing(now tackclock.Time, members []tackreplica.Member) {
 	v.sharer = tackshare.Sharer{
-		Self:  v.cfg.VM.ID,
-		Home:  v.cfg.VM.DataCentre,
-		Epoch: uint64(now),
-		User:  v.caller,
+		Self:     v.cfg.VM.ID,
+		Home:     v.cfg.VM.DataCentre,
+		Epoch:    uint64(now),
+		Consumer: v.caller,
 	}
 	v.sharer.SetPeers(now, peerLocations(members))
 	v.sharer.SetTable(now, v.routes.Load())
