--- a/core/tackdispatch/pool.go
+++ b/core/tackdispatch/pool.go
@@ -44,8 +44,8 @@
 		steps    tackqueue.Queue[*openStep]
 		reviewAt tackclock.Time
 		summary  waitingSummary
-		// trialReserved holds workers reserved for items that must start on an idle worker.
-		trialReserved trialReservation
+		// clear holds workers reserved for items that must start on an idle worker.
+		clear trialReservation
 		// arrivals are the recently submitted jobs.
 		arrivals []arrival
 		// retryTimes are the times at which refused callers were told to retry.
