--- a/cmd/auburntackd/config_bench_test.go
+++ b/cmd/auburntackd/config_bench_test.go
@@ -12,10 +12,10 @@
 	"auburntack/io/tackstandin"
 )
 
-// BenchmarkSetConfig measures from the moment at which a command is sent to
-// the answer, which comes once the change is in force on every daemon. It is
-// sent to the leader, to another daemon, and with one daemon frozen just
-// before, which holds the answer up until its lease has run out.
+// BenchmarkSetConfig measures the time from sending a command to its answer,
+// which comes once the change is in force on every daemon. The command is
+// sent to the leader, to a follower, and to the leader just after another
+// daemon was frozen, which delays the answer until that daemon's lease expires.
 func BenchmarkSetConfig(b *testing.B) {
 	sites := []struct {
 		name   string
@@ -36,8 +36,8 @@
 	}
 }
 
-// places returns one place in each of the data centres, the first ones with a
-// vote.
+// places returns one place in each of the data centres. The first replicas of
+// them are voting replicas.
 func places(replicas int, in ...string) []tackstandin.Place {
 	var all []tackstandin.Place
 	for i, dc := range in {
@@ -46,7 +46,8 @@
 	return all
 }
 
-// newCluster starts daemons and returns the leader and the last of the others.
+// newCluster starts one daemon for each place and returns the leader and the
+// last of the others.
 func newCluster(b *testing.B, places []tackstandin.Place) (leader, other *tackstandin.Daemon) {
 	b.Helper()
 	daemons, err := tackstandin.NewCluster(binary, b.TempDir(), "", places)
@@ -58,7 +59,7 @@
 		started.Add(1)
 		go func() {
 			defer started.Done()
-			if err := d.Start(startLimit); err != nil {
+			if err := d.Start(waitTimeout); err != nil {
 				b.Error(err)
 			}
 		}()
@@ -83,17 +84,18 @@
 	return leader, other
 }
 
-// refreeze lets a daemon get its lease back and freezes it again.
+// refreeze resumes a frozen daemon, waits until it has a lease again, and
+// freezes it once more.
 func refreeze(b *testing.B, d *tackstandin.Daemon) {
 	b.Helper()
 	d.Signal(syscall.SIGCONT)
-	for end := time.Now().Add(startLimit); ; time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(50 * time.Millisecond) {
 		reply, err := d.Ask("show config")
 		if err == nil && reply.Confirmed {
 			break
 		}
 		if time.Now().After(end) {
-			b.Fatalf("%s does not get its lease back: %v %v", d.ID, reply, err)
+			b.Fatalf("%s has no lease after being resumed: %v %v", d.ID, reply, err)
 		}
 	}
 	d.Signal(syscall.SIGSTOP)
--- a/cmd/auburntackd/cutoff_test.go
+++ b/cmd/auburntackd/cutoff_test.go
@@ -8,17 +8,17 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Symptom: during a partition a VM gets work from a VM of the system that
-// cannot know whether it was drained, moved or rebooted.
-// Sequence: brest is cut off, and its own backend server leaves; a request
-// comes, and the backend server of the other data centre can be reached.
-// Cause: a VM without a lease that sends work where another side may decide.
-// Fails with HomeOnly never set in io/tackvm.
+// Guards against work sent to a VM that the other side of a partition may have
+// drained, moved or rebooted. The brest daemon is partitioned and its own
+// backend server leaves; then a request arrives while the backend server of the
+// other data centre can be reached. A daemon without a lease must not send work
+// out of its data centre. Fails if routing in io/tackvm is never restricted to
+// the daemon's own data centre.
 func TestCutOffPeerKeepsToItsDataCentre(t *testing.T) {
 	s := newSite(t, 2)
 	alone, home, far := s.daemons[1], s.servers[1], s.servers[0]
 	s.wires.Cut(alone, true)
-	s.await(t, "the lease to run out", func() bool {
+	s.await(t, "the lease to expire", func() bool {
 		reply, err := alone.Ask("show config")
 		return err == nil && !reply.Confirmed
 	})
@@ -35,14 +35,14 @@
 	})
 }
 
-// Symptom: a request is cut by a reboot during a partition, or requests of two
-// pools' services reach one VM.
-// Sequence: a daemon has a request on a VM of its data centre when it is cut
-// off; the VM is drained, or moved to another pool, on the other side.
-// Cause: a daemon whose lease has run out was taken for one without work,
-// though it goes on serving its own data centre. The drain fails with fenced
-// and idleOn of io/tackvm passing over peers without a lease, the move with
-// Fenced passing over them.
+// Guards against a request that is cut by a reboot during a partition, and
+// against requests of two pools' services that reach one VM. A daemon has a
+// request on a VM of its data centre when it is partitioned; the VM is drained,
+// or moved to another pool, on the other side. A daemon whose lease has expired
+// still serves its own data centre and must not count as idle. The drain fails
+// if the checks in io/tackvm for older revisions (fenced) and for idle VMs
+// (idleOn) skip peers without a lease, the move if the check for older
+// revisions skips them.
 func TestFleetWaitsForCutOffPeer(t *testing.T) {
 	tests := []struct {
 		command string
@@ -64,15 +64,16 @@
 	}
 }
 
-// whileCutOff has the command accepted while brest is cut off with a request
-// on its VM. It reports whether the query had a row before the request ended,
-// and what the request was answered with. After the cut the row must come.
+// whileCutOff sends the command while brest is partitioned and has a request on
+// its VM. It reports whether the query done had a row before the request ended,
+// and returns the answer to the request. After the partition the row must
+// appear.
 func (s *site) whileCutOff(t *testing.T, command, done string) (early bool, got answer) {
 	t.Helper()
 	cut, server := s.daemons[1], s.servers[1]
-	if leads, _ := s.leader(t); leads == cut {
+	if leader, _ := s.leader(t); leader == cut {
 		cut.Kill()
-		must(t, cut.Start(startLimit))
+		must(t, cut.Start(waitTimeout))
 	}
 	server.Delay = 6 * time.Second
 	answered := make(chan answer, 1)
--- a/cmd/auburntackd/drain_test.go
+++ b/cmd/auburntackd/drain_test.go
@@ -8,19 +8,18 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Symptom: a request is cut by a reboot, although the wave says that it waited
-// until the VM was idle.
-// Sequence: a VM of the system is stopped as planned, for an upgrade, and
-// starts again; later a request through it runs on a VM that is drained.
-// Cause: the leader went on by the word of the former life, which had nothing
-// left and would take no more.
+// Guards against a request that is cut by a reboot although the wave waited
+// until the VM was idle. A daemon is shut down gracefully, for an upgrade, and
+// starts again; later a request through it runs on a VM that is drained. The
+// leader must not use the last report of the previous process, which had no
+// requests left and accepted no more.
 func TestDrainWaitsForRestartedPeer(t *testing.T) {
 	s := newSite(t, 1)
 	s.servers[0].Delay = 4 * time.Second
 	_, others := s.leader(t)
 	peer := others[0]
 	peer.Stop()
-	must(t, peer.Start(startLimit))
+	must(t, peer.Start(waitTimeout))
 	answered := make(chan int, 1)
 	go func() {
 		r, err := http.Get("http://" + peer.Caller + "/names-api/slow")
--- a/cmd/auburntackd/failure_test.go
+++ b/cmd/auburntackd/failure_test.go
@@ -14,15 +14,15 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// leader returns the daemon that leads, and the others.
+// leader returns the leader and the other daemons.
 func (s *site) leader(t testing.TB) (*tackstandin.Daemon, []*tackstandin.Daemon) {
 	t.Helper()
-	var leads *tackstandin.Daemon
+	var leader *tackstandin.Daemon
 	s.await(t, "a leader", func() bool {
 		for _, d := range s.daemons {
 			reply, err := d.Ask("show peers where role = leader")
 			if err == nil && reply.Confirmed && len(reply.Rows) == 1 {
-				leads = s.named(fmt.Sprint(reply.Rows[0][0]))
+				leader = s.named(fmt.Sprint(reply.Rows[0][0]))
 				return true
 			}
 		}
@@ -30,11 +30,11 @@
 	})
 	var others []*tackstandin.Daemon
 	for _, d := range s.daemons {
-		if d != leads {
+		if d != leader {
 			others = append(others, d)
 		}
 	}
-	return leads, others
+	return leader, others
 }
 
 func (s *site) named(id string) *tackstandin.Daemon {
@@ -58,7 +58,8 @@
 	return reply
 }
 
-// valueOn returns the value of a key as d knows it, and whether d is sure.
+// valueOn returns the value of a key on d, and whether d confirms it as the
+// latest.
 func valueOn(d *tackstandin.Daemon, key string) (value string, confirmed bool) {
 	reply, err := d.Ask("show config where key = " + key)
 	if err != nil || len(reply.Rows) != 1 {
@@ -67,13 +68,12 @@
 	return fmt.Sprint(reply.Rows[0][1]), reply.Confirmed
 }
 
-// Symptom: after the leader's machine dies, changes that operators were told
-// are accepted are gone, or no more can be made.
-// Sequence: changes are accepted through every daemon, the leader is killed,
-// the same command is sent again through another daemon, the dead one starts
-// again on its data folder.
-// Cause: an answer before the change was on the disks of a majority, or a
-// command id that only the dead leader remembered.
+// Guards against accepted changes that are lost with the leader, and against a
+// cluster that accepts no more after it. Changes are accepted through every
+// daemon, the leader is killed, the same command is sent again through another
+// daemon, and the former leader starts again with its data folder. A change
+// must be on the disks of a majority before it is answered, and command ids
+// must be replicated.
 func TestKillLeader(t *testing.T) {
 	s := newSite(t, 2)
 	first := s.acceptedBy(t, s.daemons[1], "set config greeting demat", "greeting-1")
@@ -83,8 +83,8 @@
 	s.acceptedBy(t, others[0], "set config after kill", "after-1")
 	t.Logf("a command was accepted %v after the leader was killed", time.Since(killed))
 	again := s.acceptedBy(t, others[1], "set config greeting demat", "greeting-1")
-	must(t, dead.Start(startLimit))
-	Convey("What was accepted stands on every daemon, once", t, func() {
+	must(t, dead.Start(waitTimeout))
+	Convey("Every daemon has each accepted change, once", t, func() {
 		So(again.Revision, ShouldEqual, first.Revision)
 		for _, d := range s.daemons {
 			for key, want := range map[string]string{"greeting": "demat", "after": "kill"} {
@@ -95,15 +95,14 @@
 	})
 }
 
-// Symptom: a process comes back with an old configuration after hundreds of
-// changes, and goes back on what it showed.
-// Sequence: 1,100 changes, so that a snapshot was taken; all daemons are
-// killed at the same time and start again.
-// Cause: a snapshot without the changes after it, or changes applied twice.
+// Guards against a process that restarts with an older configuration than it
+// served before. 1,100 changes are made, so that a snapshot is taken; all
+// daemons are killed at the same time and start again. The changes after the
+// snapshot must be applied, and none of them twice.
 func TestRestartAfterManyChanges(t *testing.T) {
 	const changes = 1100
 	s := newSite(t, 2)
-	// This key is in the snapshot alone; the others are set again after it.
+	// This key is only in the snapshot; the others are set again after it.
 	s.do(t, "set config earliest once")
 	var senders sync.WaitGroup
 	for i := range changes {
@@ -134,11 +133,10 @@
 	})
 }
 
-// Symptom: an operator reads a value that was replaced seconds ago, and is
-// told that it is the newest.
-// Sequence: the leader is frozen for longer than its lease, another takes
-// over and accepts a change, the frozen one wakes and is asked at once.
-// Cause: a leader that trusts its role rather than its lease.
+// Guards against a stale read that is answered as confirmed. The leader is
+// frozen for longer than its lease, another daemon becomes the leader and
+// accepts a change, and the frozen one is resumed and queried at once. It must
+// check its lease, not its role.
 func TestFrozenLeader(t *testing.T) {
 	s := newSite(t, 2)
 	s.do(t, "set config colour red")
@@ -146,10 +144,10 @@
 	must(t, frozen.Signal(syscall.SIGSTOP))
 	reply := s.acceptedBy(t, others[0], "set config colour blue", "colour-1")
 	must(t, frozen.Signal(syscall.SIGCONT))
-	Convey("The woken leader never confirms the old value", t, func() {
+	Convey("The resumed leader never confirms the old value", t, func() {
 		So(reply.NotInForce, ShouldResemble, []string{frozen.ID})
 		sawNew := false
-		for end := time.Now().Add(startLimit); !sawNew && time.Now().Before(end); {
+		for end := time.Now().Add(waitTimeout); !sawNew && time.Now().Before(end); {
 			value, confirmed := valueOn(frozen, "colour")
 			if confirmed {
 				So(value, ShouldEqual, "blue")
@@ -160,33 +158,32 @@
 	})
 }
 
-// Symptom: callers see failures whenever a VM of the system is upgraded.
-// Sequence: each daemon in turn is stopped as planned under load and started
-// again, the leader among them, while the balancer follows readiness.
-// Cause: a port closed before the balancer looked away, or requests cut when
-// the process ends.
+// Guards against requests that fail whenever a daemon is upgraded. Each daemon
+// in turn, the leader among them, is shut down gracefully under load and
+// started again, while the balancer checks readiness. A port must not close
+// before the balancer has stopped using it, nor a process exit with requests in
+// flight.
 func TestPlannedStopUnderLoad(t *testing.T) {
 	s := newSite(t, 4)
 	callers := s.startCallers(8)
 	codes := make([]int, 0, len(s.daemons))
 	for _, d := range s.daemons {
 		codes = append(codes, d.Stop())
-		must(t, d.Start(startLimit))
-		s.await(t, "the balancer to see "+d.ID, func() bool { return len(s.balancer.Ready()) == len(s.daemons) })
+		must(t, d.Start(waitTimeout))
+		s.await(t, "the balancer to use "+d.ID, func() bool { return len(s.balancer.Ready()) == len(s.daemons) })
 	}
 	counts := callers.Stop()
-	Convey("No request fails and every stop is clean", t, func() {
+	Convey("No request fails and every daemon exits with code 0", t, func() {
 		So(codes, ShouldResemble, []int{0, 0, 0})
-		s.assertWhole(counts)
+		s.assertAllAnswered(counts)
 	})
 }
 
-// Symptom: changes that were accepted are gone after one disk was replaced and
-// then another VM lost.
-// Sequence: a replica is killed and its data folder removed, it comes back
-// empty and catches up; then another replica is killed for good.
-// Cause: an emptied replica that votes as if it had never held anything, or a
-// leader that counts it before it has caught up.
+// Guards against accepted changes that are lost after one disk is replaced and
+// another VM fails. A replica is killed and its data folder removed, it restarts
+// empty and catches up; then another replica is killed for good. An emptied
+// replica must not vote as if it had never stored anything, and the leader must
+// not count it before it has caught up.
 func TestLostDiskThenLostVM(t *testing.T) {
 	s := newSite(t, 2)
 	for i := range 20 {
@@ -195,14 +192,14 @@
 	emptied := s.daemons[1]
 	emptied.Kill()
 	must(t, os.RemoveAll(emptied.DataFolder()))
-	must(t, emptied.Start(startLimit))
+	must(t, emptied.Start(waitTimeout))
 	s.await(t, "the emptied replica to catch up", func() bool {
 		value, confirmed := valueOn(emptied, "key-19")
 		return confirmed && value == "value-19"
 	})
 	s.daemons[0].Kill()
 	last := s.acceptedBy(t, emptied, "set config after loss", "after-1")
-	Convey("The two that are left hold everything", t, func() {
+	Convey("The two remaining daemons have every change", t, func() {
 		So(last.Accepted, ShouldBeTrue)
 		for _, d := range s.daemons[1:] {
 			for i := range 20 {
@@ -211,5 +208,5 @@
 			}
 		}
 	})
-	must(t, s.daemons[0].Start(startLimit))
+	must(t, s.daemons[0].Start(waitTimeout))
 }
--- a/cmd/auburntackd/faults_test.go
+++ b/cmd/auburntackd/faults_test.go
@@ -14,44 +14,46 @@
 )
 
 const (
-	faultsEach = 20
-	faultMost  = 4 * time.Second
+	faultsPerSeed    = 20
+	maxFaultDuration = 4 * time.Second
 )
 
-// faults breaks one daemon at a time, in an order that the seed gives.
+// faults injects faults into one daemon at a time, in an order that depends on
+// the seed.
 type faults struct {
 	*site
 	rand *rand.Rand
 }
 
-// strike breaks a daemon in some way and mends it again.
-func (f *faults) strike(b *testing.B) string {
+// inject injects a random fault into a random daemon, ends it after a random
+// time and describes it.
+func (f *faults) inject(b *testing.B) string {
 	d := f.daemons[f.rand.IntN(len(f.daemons))]
-	away := time.Duration(f.rand.Int64N(int64(faultMost)))
+	duration := time.Duration(f.rand.Int64N(int64(maxFaultDuration)))
 	kinds := []string{"kill", "freeze", "cut", "cut one way", "stop"}
 	kind := kinds[f.rand.IntN(len(kinds))]
 	switch kind {
 	case "kill":
 		d.Kill()
-		time.Sleep(away)
-		must(b, d.Start(startLimit))
+		time.Sleep(duration)
+		must(b, d.Start(waitTimeout))
 	case "freeze":
 		must(b, d.Signal(syscall.SIGSTOP))
-		time.Sleep(away)
+		time.Sleep(duration)
 		must(b, d.Signal(syscall.SIGCONT))
 	case "cut", "cut one way":
 		f.wires.Cut(d, kind == "cut")
-		time.Sleep(away)
+		time.Sleep(duration)
 		f.wires.Heal()
 	case "stop":
 		d.Stop()
-		time.Sleep(away)
-		must(b, d.Start(startLimit))
+		time.Sleep(duration)
+		must(b, d.Start(waitTimeout))
 	}
-	return fmt.Sprintf("%s %s for %v", kind, d.ID, away)
+	return fmt.Sprintf("%s %s for %v", kind, d.ID, duration)
 }
 
-// operator counts a setting up and reads it, through any daemon.
+// operator increments a setting and reads it, through all daemons.
 type operator struct {
 	*site
 	accepted atomic.Int64
@@ -59,8 +61,8 @@
 	reads    atomic.Int64
 }
 
-// write counts up until stop. A command is sent with the same id until it is
-// accepted, so that no count is left out.
+// write increments the setting until stop is closed. It repeats a command with
+// the same id until it is accepted, so that no value is skipped.
 func (o *operator) write(stop <-chan struct{}) {
 	for n := int64(1); ; n++ {
 		for i := 0; ; i++ {
@@ -78,8 +80,8 @@
 	}
 }
 
-// read asks d again and again, and counts the answers that claim to be the
-// newest and miss what had been accepted before the question.
+// read queries d until stop is closed, and counts the confirmed answers that
+// lack a change accepted before the query.
 func (o *operator) read(d *tackstandin.Daemon, stop <-chan struct{}) {
 	for {
 		select {
@@ -99,12 +101,12 @@
 	}
 }
 
-// BenchmarkRandomFaults breaks daemons one after the other under load and
-// reports what was promised and did not hold; each figure but the counts must
-// be 0. It is a benchmark because it takes minutes: -benchtime 5x takes five
-// seeds.
+// BenchmarkRandomFaults injects faults into one daemon after the other under
+// load and reports violated guarantees. doubled_keys, mixed_answers,
+// false_did_not_run and stale_reads must be 0; the other figures are totals. It
+// is a benchmark because it takes minutes: -benchtime 5x runs five seeds.
 func BenchmarkRandomFaults(b *testing.B) {
-	var doubled, mixed, falsely, stale, sent, answered, reads int64
+	var doubled, mixed, falseRefusals, stale, sent, answered, reads int64
 	for seed := range b.N {
 		s := newSite(b, 6)
 		f := faults{site: s, rand: rand.New(rand.NewPCG(uint64(seed), 1))}
@@ -116,8 +118,8 @@
 		for _, d := range s.daemons {
 			running.Go(func() { o.read(d, stop) })
 		}
-		for range faultsEach {
-			b.Log(seed, f.strike(b))
+		for range faultsPerSeed {
+			b.Log(seed, f.inject(b))
 			time.Sleep(time.Duration(f.rand.Int64N(int64(time.Second))))
 		}
 		s.leader(b)
@@ -126,8 +128,8 @@
 		counts := callers.Stop()
 		for _, body := range counts.DidNotRun {
 			if s.tally.OfBody(body) > 0 {
-				falsely++
-				b.Log("said did_not_run and ran:", body)
+				falseRefusals++
+				b.Log("answered did_not_run but ran:", body)
 			}
 		}
 		doubled += int64(s.tally.DoubledKeys())
@@ -139,7 +141,7 @@
 	}
 	b.ReportMetric(float64(doubled), "doubled_keys")
 	b.ReportMetric(float64(mixed), "mixed_answers")
-	b.ReportMetric(float64(falsely), "false_did_not_run")
+	b.ReportMetric(float64(falseRefusals), "false_did_not_run")
 	b.ReportMetric(float64(stale), "stale_reads")
 	b.ReportMetric(float64(reads), "confirmed_reads")
 	b.ReportMetric(float64(sent), "requests")
--- a/cmd/auburntackd/keyed_load_test.go
+++ b/cmd/auburntackd/keyed_load_test.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	keyedCallers = 16
-	keyedRepeats = 60 // of one request at most, until its outcome is known
-	repeatPause  = 100 * time.Millisecond
+	keyedCallers     = 16
+	maxKeyedAttempts = 60 // per request
+	retryDelay       = 100 * time.Millisecond
 )
 
-// keyedLoad is what callers saw of requests with a key that they repeat
-// through one daemon after another.
+// keyedLoad sends requests with idempotency keys, repeats them through one
+// daemon after another, and records the answers.
 type keyedLoad struct {
 	mu       sync.Mutex
-	answered map[string]string // key: request id that the first answer names
-	refused  map[string]bool   // keys of which every attempt said did_not_run
+	answered map[string]string // body of the last answer, by key
+	refused  map[string]bool   // keys whose every attempt was answered did_not_run
 	changed  []string          // keys with two different answers
 	unknown  int
 	stop     atomic.Bool
@@ -45,17 +45,17 @@
 	}
 }
 
-// run repeats one request until its outcome is known, and once more then.
+// run repeats one request until it has been answered twice.
 func (l *keyedLoad) run(s *site, client *http.Client, key string, first int) {
 	refused := true
 	answers := 0
-	for try := range keyedRepeats {
+	for try := range maxKeyedAttempts {
 		entry := s.daemons[(first+try)%len(s.daemons)].Caller
 		outcome, body := sendKeyed(client, entry, key)
 		refused = refused && outcome == "did_not_run"
 		switch outcome {
 		case "answered":
-			l.note(key, body)
+			l.record(key, body)
 			if answers++; answers == 2 {
 				return
 			}
@@ -65,14 +65,14 @@
 			l.unknown++
 			l.mu.Unlock()
 		}
-		time.Sleep(repeatPause)
+		time.Sleep(retryDelay)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refused[key] = refused
 }
 
-func (l *keyedLoad) note(key, body string) {
+func (l *keyedLoad) record(key, body string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if old, ok := l.answered[key]; ok && old != body {
@@ -101,28 +101,28 @@
 	return answer.Header.Get("Auburntack-Outcome"), string(got)
 }
 
-// Symptom: a Notice is sent twice, or a repeat gets another answer.
-// Sequence: callers repeat requests with keys through every daemon while the
-// leader, and then another one, is killed and started again.
-// Cause: a dispatch before its record was on a majority, a record that died
-// with a daemon, or an unfinished record that was taken for one that did not
-// run.
+// Guards against work with an idempotency key that runs twice, and against a
+// repeat that gets another answer. Callers repeat requests with keys through
+// every daemon while the leader, and then its successor, is killed and started
+// again. A request must not be sent before its record is on a majority, a
+// record must not be lost with a daemon, and an unfinished record must not be
+// taken for one that did not run.
 func TestKeysRunOnceThroughKills(t *testing.T) {
 	s := newSite(t, 4)
 	var load keyedLoad
 	load.start(s)
-	s.await(t, "work with keys is answered", func() bool { return load.count() > 50 })
+	s.await(t, "requests with keys to be answered", func() bool { return load.count() > 50 })
 	for range 2 {
 		dead, _ := s.leader(t)
 		dead.Kill()
 		before := load.count()
-		s.await(t, "work goes on without the leader", func() bool { return load.count() > before+50 })
-		must(t, dead.Start(startLimit))
+		s.await(t, "requests to be answered after the leader was killed", func() bool { return load.count() > before+50 })
+		must(t, dead.Start(waitTimeout))
 	}
 	load.stop.Store(true)
 	load.running.Wait()
-	t.Logf("%d keys answered, %d answers said unknown", len(load.answered), load.unknown)
-	Convey("No key ran twice, none was answered in two ways, and what did not run did not", t, func() {
+	t.Logf("%d keys answered, %d answers with outcome unknown", len(load.answered), load.unknown)
+	Convey("No key ran twice or got two different answers, and no refused key ran", t, func() {
 		So(s.tally.DoubledKeys(), ShouldEqual, 0)
 		So(load.changed, ShouldBeEmpty)
 		for key, refused := range load.refused {
--- a/cmd/auburntackd/keyed_test.go
+++ b/cmd/auburntackd/keyed_test.go
@@ -10,11 +10,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Symptom: a Notice or reconciliation runs twice.
-// Sequence: a request with a key is under way when the VM that sent it dies;
-// the caller repeats it through the others, at the same time and later.
-// Cause: a record of the key that only the dead VM held, or one that a repeat
-// may take over while the first run may still go on.
+// Guards against work with an idempotency key that runs twice. A request with a
+// key is in flight when the daemon that sent it is killed; the caller repeats it
+// through the others, concurrently and later. The record of the key must not
+// exist only on the killed daemon, and a repeat must not take it over while the
+// first execution may still be running.
 func TestKeyedWorkWhenTheEntryDies(t *testing.T) {
 	s := newSite(t, 4)
 	for _, b := range s.servers {
@@ -41,9 +41,9 @@
 		}()
 	}
 	repeats.Wait()
-	must(t, dead.Start(startLimit))
+	must(t, dead.Start(waitTimeout))
 	late := callOn(t, dead, http.MethodPost, "once", "once")
-	Convey("It ran once, and nobody is told that it did not run", t, func() {
+	Convey("It ran once, and no caller is told that it did not run", t, func() {
 		So(s.tally.OfKey("once"), ShouldEqual, 1)
 		for _, a := range append(answers, late) {
 			So(a.outcome, ShouldNotEqual, "did_not_run")
@@ -52,13 +52,12 @@
 	})
 }
 
-// Symptom: a key gives two answers.
-// Sequence: the same key comes through every VM at the same moment, while the
-// leader dies.
-// Cause: records that two VMs made apart.
+// Guards against one idempotency key with two answers. Requests with the same
+// key arrive at several daemons at the same time while the leader is killed. Two
+// daemons must not create records of the key independently.
 func TestKeyedWorkInARace(t *testing.T) {
 	s := newSite(t, 4)
-	leads, others := s.leader(t)
+	leader, others := s.leader(t)
 	var racers sync.WaitGroup
 	answers := make([]answer, 12)
 	for i := range answers {
@@ -68,7 +67,7 @@
 			answers[i] = callOn(t, others[i%2], http.MethodPost, "race", "race")
 		}()
 	}
-	leads.Kill()
+	leader.Kill()
 	racers.Wait()
 	var last answer
 	s.await(t, "the recorded answer", func() bool {
@@ -83,5 +82,5 @@
 			}
 		}
 	})
-	must(t, leads.Start(startLimit))
+	must(t, leader.Start(waitTimeout))
 }
--- a/cmd/auburntackd/leaving_test.go
+++ b/cmd/auburntackd/leaving_test.go
@@ -7,28 +7,27 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// leavingLimit is how long a leaving backend server may still get work.
-const leavingLimit = 2 * time.Second
+// leavingGrace is how long a leaving backend server may still receive requests.
+const leavingGrace = 2 * time.Second
 
-// Symptom: a backend server that said it leaves is stopped, and requests are
-// cut because new ones still came.
-// Sequence: it tells one VM only, under load through all of them.
-// Cause: a VM that goes on by an older announcement.
+// Guards against requests that are cut because a leaving backend server still
+// receives new ones. It announces to one daemon only that it is leaving, under
+// load through all of them; no daemon may use an older announcement.
 func TestLeavingGetsNoNewWork(t *testing.T) {
 	s := newSite(t, 4)
 	callers := s.startCallers(8)
 	b := s.servers[0]
-	s.await(t, "it to have work", func() bool { return b.Served() > 20 })
+	s.await(t, "the backend server to receive requests", func() bool { return b.Served() > 20 })
 	b.Leave()
-	time.Sleep(leavingLimit)
+	time.Sleep(leavingGrace)
 	before := b.Served()
-	time.Sleep(leavingLimit)
+	time.Sleep(leavingGrace)
 	after, active := b.Served(), b.Active()
 	b.Stop()
 	counts := callers.Stop()
-	Convey("After two seconds it gets nothing and can stop", t, func() {
+	Convey("After two seconds it receives no requests and can stop", t, func() {
 		So(after, ShouldEqual, before)
 		So(active, ShouldEqual, 0)
-		s.assertWhole(counts)
+		s.assertAllAnswered(counts)
 	})
 }
--- a/cmd/auburntackd/main.go
+++ b/cmd/auburntackd/main.go
@@ -1,4 +1,4 @@
-// Command auburntackd runs one VM of auburntack.
+// Command auburntackd is the daemon of auburntack, one on each of its VMs.
 package main
 
 import (
@@ -25,9 +25,9 @@
 	os.Exit(d.Main(os.Args[1:]))
 }
 
-// platformCommand serves on the users' platform, whose settings file names
-// ports, peers and limits.
-func platformCommand(stops <-chan os.Signal) *cobra.Command {
+// platformCommand returns the subcommand that serves on the users' platform,
+// whose settings file contains the ports, peers and limits.
+func platformCommand(stopSignals <-chan os.Signal) *cobra.Command {
 	config := ""
 	c := &cobra.Command{
 		Use:   "platform",
@@ -45,7 +45,7 @@
 			}
 			hangups := make(chan os.Signal, 1)
 			signal.Notify(hangups, syscall.SIGHUP)
-			return platform.Run(context.WithoutCancel(c.Context()), &tunables, stops, hangups)
+			return platform.Run(context.WithoutCancel(c.Context()), &tunables, stopSignals, hangups)
 		},
 	}
 	c.Flags().StringVar(&config, "config", "", "`FILE` with tunables, in the format of docs/SETTINGS.md")
--- a/cmd/auburntackd/member_test.go
+++ b/cmd/auburntackd/member_test.go
@@ -9,41 +9,40 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Symptom: a VM of the system that was added never takes part, or one that was
-// removed goes on answering as if it did or disturbs the others.
-// Sequence: a fourth daemon is added through one that does not lead, becomes a
-// replica, then the leader is removed.
-// Cause: a change of members that only the leader takes, that the added VM
-// learns nothing of, or elections that a removed one forces.
+// Guards against an added daemon that never becomes a member, and against a
+// removed one that continues to answer as a member or disturbs the others. A
+// fourth daemon is added through a follower and becomes a replica, then the
+// leader is removed. Every daemon must accept a change of members, the added
+// one must learn of it, and a removed one must not force elections.
 func TestMembersChange(t *testing.T) {
 	s := newSite(t, 2)
 	s.do(t, "set config colour red")
-	leads, others := s.leader(t)
+	leader, others := s.leader(t)
 	added, err := tackstandin.Joining(s.daemons, "", tackstandin.Place{DataCentre: "quimper", Replica: true})
 	must(t, err)
 	join := fmt.Sprintf("add peer %s address %s data_centre quimper replica ", added.ID, added.Peer)
 	s.acceptedBy(t, others[0], join+"no", "")
-	must(t, added.Start(startLimit))
+	must(t, added.Start(waitTimeout))
 	t.Cleanup(added.Kill)
-	s.await(t, "the added VM to catch up", func() bool {
+	s.await(t, "the added daemon to catch up", func() bool {
 		value, confirmed := valueOn(added, "colour")
 		return confirmed && value == "red"
 	})
 	s.acceptedBy(t, others[0], join+"yes", "")
-	s.acceptedBy(t, others[0], "remove peer "+leads.ID, "")
-	s.await(t, "the removed VM to know", func() bool {
-		reply, err := leads.Ask("show pools")
+	s.acceptedBy(t, others[0], "remove peer "+leader.ID, "")
+	s.await(t, "the removed daemon to answer as unconfirmed", func() bool {
+		reply, err := leader.Ask("show pools")
 		return err == nil && !reply.Confirmed
 	})
 	s.acceptedBy(t, added, "set config colour blue", "blue-1")
 	value, _ := valueOn(others[1], "colour")
 	rows, err := others[1].Ask("show peers")
 	must(t, err)
-	Convey("The three that are left go on", t, func() {
+	Convey("The three remaining daemons accept changes", t, func() {
 		So(value, ShouldEqual, "blue")
 		So(rows.Rows, ShouldHaveLength, 3)
 		for _, row := range rows.Rows {
-			So(row[0], ShouldNotEqual, leads.ID)
+			So(row[0], ShouldNotEqual, leader.ID)
 		}
 	})
 }
--- a/cmd/auburntackd/path_test.go
+++ b/cmd/auburntackd/path_test.go
@@ -15,13 +15,13 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// startLimit bounds what a start, an election or a wave may take before a
-// test gives up. It is no bound on speed.
-const startLimit = 60 * time.Second
+// waitTimeout limits how long a test waits for a start, an election or a wave.
+// It is not a performance requirement.
+const waitTimeout = 60 * time.Second
 
-// slowerThanStep is how long a request has to take for a wave that does not
-// wait for it to reboot its VM first.
-const slowerThanStep = 1200 * time.Millisecond
+// slowRequest is a duration of requests that is longer than a step of a wave: a
+// wave that does not wait for a request reboots its VM before the request ends.
+const slowRequest = 1200 * time.Millisecond
 
 var binary string
 
@@ -44,7 +44,7 @@
 	return m.Run()
 }
 
-// site is a cluster of daemons with backend servers and a platform.
+// site is a cluster of daemons with backend servers, a platform and a balancer.
 type site struct {
 	daemons  []*tackstandin.Daemon
 	servers  []*tackstandin.BackendServer
@@ -54,22 +54,22 @@
 	wires    *tackstandin.Wires
 }
 
-// newSite starts three daemons in two data centres, the last without a disk,
-// and n VMs with a backend server of names-api each.
+// newSite starts three replicas in two data centres and n VMs with a backend
+// server of names-api each.
 func newSite(t testing.TB, n int) *site {
 	t.Helper()
 	s := &site{platform: tackstandin.Platform{Reboot: 200 * time.Millisecond}}
 	must(t, s.platform.Start())
 	t.Cleanup(s.platform.Stop)
-	more := fmt.Sprintf("[platform]\naddress = %s\n[wave]\nsettle_ms = 300\nreboot_ms = 1000\nprefer = time\n[stop]\nlinger_ms = 500\n[log]\nlevel = info\n", s.platform.Address())
+	settings := fmt.Sprintf("[platform]\naddress = %s\n[wave]\nsettle_ms = 300\nreboot_ms = 1000\nprefer = time\n[stop]\nlinger_ms = 500\n[log]\nlevel = info\n", s.platform.Address())
 	var err error
-	s.daemons, err = tackstandin.NewCluster(binary, t.TempDir(), more, []tackstandin.Place{
+	s.daemons, err = tackstandin.NewCluster(binary, t.TempDir(), settings, []tackstandin.Place{
 		{DataCentre: "rennes-a", Replica: true},
 		{DataCentre: "brest", Replica: true},
 		{DataCentre: "rennes-a", Replica: true},
 	})
 	must(t, err)
-	s.wires, err = tackstandin.Rewire(s.daemons, more)
+	s.wires, err = tackstandin.Rewire(s.daemons, settings)
 	must(t, err)
 	t.Cleanup(s.wires.Close)
 	s.startDaemons(t)
@@ -97,7 +97,7 @@
 		started.Add(1)
 		go func() {
 			defer started.Done()
-			if err := d.Start(startLimit); err != nil {
+			if err := d.Start(waitTimeout); err != nil {
 				t.Error(err)
 			}
 		}()
@@ -131,12 +131,12 @@
 		s.servers = append(s.servers, b)
 		s.do(t, fmt.Sprintf("add vm %s to pool front", b.VM))
 	}
-	s.await(t, fmt.Sprintf("%d VMs that serve", n), func() bool {
+	s.await(t, fmt.Sprintf("%d VMs to serve", n), func() bool {
 		return len(s.rows(t, "show vms where health = serving")) == n
 	})
 }
 
-// do has the command accepted by the first daemon.
+// do sends the command to the first daemon, which must accept it.
 func (s *site) do(t testing.TB, command string) tackstandin.Reply {
 	t.Helper()
 	reply, err := s.daemons[0].Do(command, "")
@@ -147,7 +147,7 @@
 	return reply
 }
 
-// rows returns the rows that the last daemon answers a query with.
+// rows returns the rows of a query to the last daemon.
 func (s *site) rows(t testing.TB, query string) [][]any {
 	t.Helper()
 	reply, err := s.daemons[2].Ask(query)
@@ -160,12 +160,12 @@
 
 func (s *site) await(t testing.TB, what string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(startLimit); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if done() {
 			return
 		}
 	}
-	t.Fatalf("waited in vain for %s", what)
+	t.Fatalf("timed out waiting for %s", what)
 }
 
 func must(t testing.TB, err error) {
@@ -181,9 +181,9 @@
 	return c
 }
 
-// assertWhole fails the test unless every request was answered whole and
-// none ran twice or was cut.
-func (s *site) assertWhole(c tackstandin.CallerCounts) {
+// assertAllAnswered asserts that every request was answered completely, that no
+// idempotency key ran twice and that no request was cut.
+func (s *site) assertAllAnswered(c tackstandin.CallerCounts) {
 	So(c.Notes, ShouldBeEmpty)
 	So(c.Sent, ShouldBeGreaterThan, 100)
 	So(c.Answered, ShouldEqual, c.Sent)
@@ -191,16 +191,15 @@
 	So(s.tally.DoubledKeys(), ShouldEqual, 0)
 }
 
-// Symptom: callers see failed or cut requests during a nightly wave.
-// Sequence: a wave over the pool drains, reboots and returns every VM while
-// callers send requests of each kind through every daemon.
-// Cause: a VM that was stopped while a peer still sent it work, or still ran
-// some; what prevents it is that the leader waits for every peer's word. Fails
-// with idle of io/tackvm answering yes at once.
+// Guards against requests that fail or are cut during a maintenance wave. A wave
+// over the pool drains, reboots and returns every VM while callers send requests
+// of each kind through every daemon. A VM must not be stopped while it runs
+// requests or a peer still sends it some, so the leader waits for the reports of
+// all peers. Fails if the check for idle VMs in io/tackvm always returns true.
 func TestWaveUnderLoad(t *testing.T) {
 	s := newSite(t, 6)
 	for _, b := range s.servers {
-		b.Delay = slowerThanStep
+		b.Delay = slowRequest
 	}
 	s.do(t, "set budget names-api min_available 4")
 	callers := s.startCallers(8)
@@ -210,8 +209,8 @@
 		return len(s.rows(t, "show waves where state = finished")) == 1
 	})
 	counts := callers.Stop()
-	Convey("Every request is answered whole and every VM rebooted once", t, func() {
-		s.assertWhole(counts)
+	Convey("Every request is answered and every VM rebooted once", t, func() {
+		s.assertAllAnswered(counts)
 		for _, b := range s.servers {
 			So(s.platform.Times(b.VM), ShouldEqual, 1)
 		}
