--- a/cmd/tackmeasure/main.go
+++ b/cmd/tackmeasure/main.go
@@ -1,5 +1,5 @@
-// Command tackmeasure measures what real daemons use on this machine and
-// writes the tables of docs/CAPACITY.md.
+// Command tackmeasure measures the resource use of daemons that run as
+// processes on this machine and writes the tables of docs/CAPACITY.md.
 package main
 
 import (
@@ -17,8 +17,8 @@
 	"github.com/spf13/cobra"
 )
 
-// limit ends a run that hangs.
-const limit = 15 * time.Minute
+// runTimeout limits the duration of a run, in case it hangs.
+const runTimeout = 15 * time.Minute
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// run measures in a folder of its own, which it removes.
+// run carries out the plan in a temporary folder, which it removes.
 func run(ctx context.Context, plan tackmeasure.Plan) error {
 	folder, err := os.MkdirTemp("", "tackmeasure")
 	if err != nil {
@@ -142,7 +142,7 @@
 	}
 	defer os.RemoveAll(folder)
 	plan.Folder = folder
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, runTimeout)
 	defer cancel()
 	return plan.Run(ctx)
 }
