--- a/cmd/tacksoak/main.go
+++ b/cmd/tacksoak/main.go
@@ -1,5 +1,5 @@
-// Command tacksoak runs the real programs as processes on this machine, breaks
-// what they run on by a seeded schedule, and checks what was promised.
+// Command tacksoak runs the real programs as processes on this machine, injects
+// faults on a seeded schedule, and checks the guarantees of the system.
 package main
 
 import (
@@ -51,7 +51,7 @@
 }
 
 func run(ctx context.Context, cfg tacksoak.Config, seeds int) error {
-	broken := 0
+	failedSeeds := 0
 	for range seeds {
 		folder, err := os.MkdirTemp("", "tacksoak")
 		if err != nil {
@@ -68,7 +68,7 @@
 			fmt.Println("  broken at", b)
 		}
 		if len(result.Broken) > 0 {
-			broken++
+			failedSeeds++
 			fmt.Println("  logs in", folder)
 		} else if err := os.RemoveAll(folder); err != nil {
 			return err
@@ -78,8 +78,8 @@
 			break
 		}
 	}
-	if broken > 0 {
-		return fmt.Errorf("%d of %d seeds broke a promise", broken, seeds)
+	if failedSeeds > 0 {
+		return fmt.Errorf("%d of %d seeds broke a promise", failedSeeds, seeds)
 	}
 	return nil
 }
--- a/cmd/tacksoak/soak_test.go
+++ b/cmd/tacksoak/soak_test.go
@@ -12,19 +12,20 @@
 	"auburntack/platform/tacksoak"
 )
 
-// seeds are played in CI: one that is short, and each that ever broke a promise,
-// with a line on the cause. Real processes do not repeat a run exactly; the seed
-// repeats what is broken, when and for how long.
+// seeds are run in CI: one for a short run, and each that ever found a violated
+// guarantee, with its cause. Runs of real processes are not exactly repeatable;
+// the seed determines which faults are injected, when and for how long.
 var seeds = []struct {
 	seed  uint64
 	cause string
 }{
-	{1, "the short run"},
-	{112, "a cancel without an answer had taken effect, and the oracle counted the job as owed"},
+	{1, "short run"},
+	{112, "a cancellation whose answer was lost had taken effect, and the oracle still expected the job to run"},
 }
 
-// network keeps runs of the test side by side apart: all processes of a run
-// have the same ports, on loopback addresses of their own.
+// network returns the second byte of the loopback addresses. It differs between
+// concurrent runs of the test, since all processes use the same ports, each on a
+// loopback address of its own.
 func network() byte {
 	return byte(80 + os.Getpid()%120)
 }
@@ -49,7 +50,7 @@
 				t.Errorf("seed %d: %s", s.seed, b)
 			}
 			if result.Accepted == 0 || result.Starts == 0 {
-				t.Errorf("seed %d: nothing was served: %+v", s.seed, result)
+				t.Errorf("seed %d: no job was accepted or started: %+v", s.seed, result)
 			}
 			if t.Failed() {
 				t.Logf("%s", out.Bytes())
