--- a/internal/tackverdict/known.go
+++ b/internal/tackverdict/known.go
@@ -15,15 +15,15 @@
 		test string
 	}
 
-	// knownRed is a test that fails for a fault that is known.
-	knownRed struct {
+	// knownFailure is a test that fails because of a known fault.
+	knownFailure struct {
 		name    testName
-		command string // how to see it fail, with its seed
-		seen    string
+		command string // reproduces the failure, with its seed
+		seen    string // the observed failure
 		issue   string
 	}
 
-	// listError reports a list of known failures that cannot be taken.
+	// listError reports an invalid list of known failures.
 	listError struct {
 		File   string
 		Line   int
@@ -31,7 +31,6 @@
 	}
 )
 
-// Error implements error.
 func (e *listError) Error() string {
 	return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Reason)
 }
@@ -41,8 +40,9 @@
 	return n.pkg + "." + n.test
 }
 
-// readKnown reads the list in file; there is none where the file is missing.
-func readKnown(file string) ([]knownRed, error) {
+// readKnown reads the list of known failures in file. A missing file is an
+// empty list.
+func readKnown(file string) ([]knownFailure, error) {
 	data, err := os.ReadFile(file)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -54,55 +54,57 @@
 }
 
 // parseKnown reads the entries of the list. The error is a *listError.
-func parseKnown(file, text string) ([]knownRed, error) {
-	var known []knownRed
-	var entry knownRed
-	begun := 0 // the line on which the entry began, zero between entries
+func parseKnown(file, text string) ([]knownFailure, error) {
+	var known []knownFailure
+	var entry knownFailure
+	firstLine := 0 // of the current entry, zero between entries
 	for i, line := range strings.Split(text+"\n\n", "\n") {
 		line = strings.TrimSpace(line)
-		if strings.HasPrefix(line, "#") || line == "" && begun == 0 {
+		if strings.HasPrefix(line, "#") || line == "" && firstLine == 0 {
 			continue
 		}
 		if line == "" {
 			if missing := entry.missing(); missing != "" {
-				return nil, &listError{File: file, Line: begun, Reason: "an entry without " + missing}
+				return nil, &listError{File: file, Line: firstLine, Reason: "an entry without " + missing}
 			}
 			known = append(known, entry)
-			entry, begun = knownRed{}, 0
+			entry, firstLine = knownFailure{}, 0
 			continue
 		}
-		if begun == 0 {
-			begun = i + 1
+		if firstLine == 0 {
+			firstLine = i + 1
 		}
-		if reason := entry.take(line); reason != "" {
+		if reason := entry.parseLine(line); reason != "" {
 			return nil, &listError{File: file, Line: i + 1, Reason: reason}
 		}
 	}
 	return known, nil
 }
 
-// take reads one line of an entry; the result says what is wrong with it.
-func (k *knownRed) take(line string) string {
+// parseLine parses one line of an entry and returns why it is invalid, or the
+// empty string.
+func (k *knownFailure) parseLine(line string) string {
 	field, value, _ := strings.Cut(line, ":")
 	value = strings.TrimSpace(value)
-	into := map[string]*string{"command": &k.command, "seen": &k.seen, "issue": &k.issue}[field]
+	target := map[string]*string{"command": &k.command, "seen": &k.seen, "issue": &k.issue}[field]
 	switch {
 	case value == "":
 		return fmt.Sprintf("%q: want a field and its value", line)
-	case field == "test" && k.name != testName{}, into != nil && *into != "":
+	case field == "test" && k.name != testName{}, target != nil && *target != "":
 		return "a second " + field + " in one entry"
 	case field == "test":
-		return k.takeName(value)
-	case into == nil:
+		return k.parseName(value)
+	case target == nil:
 		return fmt.Sprintf("unknown field %q, want test, command, seen or issue", field)
 	}
-	*into = value
+	*target = value
 	return ""
 }
 
-// takeName reads PACKAGE.TEST. A whole package or a subtest cannot be listed: the
-// one would hide too much, the other's failure cannot be told from its parent's own.
-func (k *knownRed) takeName(name string) string {
+// parseName parses PACKAGE.TEST. A whole package cannot be listed, since it would
+// excuse too much, nor can a subtest, since its failure cannot be distinguished
+// from one of its parent.
+func (k *knownFailure) parseName(name string) string {
 	dot := strings.LastIndex(name, ".")
 	if dot <= 0 || !strings.HasPrefix(name[dot+1:], "Test") || strings.Contains(name[dot+1:], "/") {
 		return fmt.Sprintf("%q is no PACKAGE.TEST at top level", name)
@@ -111,8 +113,8 @@
 	return ""
 }
 
-// missing names the first field that the entry lacks.
-func (k *knownRed) missing() string {
+// missing returns the first field that the entry lacks, or the empty string.
+func (k *knownFailure) missing() string {
 	switch {
 	case k.name == testName{}:
 		return "test"
--- a/internal/tackverdict/verdict.go
+++ b/internal/tackverdict/verdict.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// module prefixes the packages in the events.
-	module = "auburntack/"
+	// modulePrefix is the prefix of the package paths in the events.
+	modulePrefix = "auburntack/"
 
 	actionRun    = "run"
 	actionPass   = "pass"
@@ -19,9 +19,9 @@
 	actionSkip   = "skip"
 	actionOutput = "output"
 
-	// endedFailed is the line by which a test binary whose tests failed says
-	// that it ran to its end. One that panicked or timed out never gets there.
-	endedFailed = "FAIL\n"
+	// completedFailed is the line that a test binary prints when it has run all
+	// tests and some failed. After a panic or a timeout it is missing.
+	completedFailed = "FAIL\n"
 )
 
 type (
@@ -33,28 +33,28 @@
 		Output  string
 	}
 
-	// packageRun is what became of a package.
+	// packageRun holds the results of a package.
 	packageRun struct {
-		failed  bool
-		red     bool // a test of it failed
-		results map[string]string
-		output  map[string][]string // by test; the package's own under ""
+		failed     bool
+		testFailed bool                // whether one of its tests failed
+		results    map[string]string   // last action by test
+		output     map[string][]string // by test; that of the package under ""
 	}
 
-	// verdict counts tests at top level, each with its subtests, and packages
-	// that failed by themselves.
+	// verdict counts top-level tests, each including its subtests, and packages
+	// that failed other than by their tests.
 	verdict struct {
 		passed   int
 		failed   int
 		skipped  int
 		packages map[string]*packageRun
-		// part says that the events are of some tests only: a listed one may
-		// be missing, or all.
-		part bool
+		// partial is set if the events are of a part of the tests only: some or
+		// all of the listed ones may be missing.
+		partial bool
 	}
 )
 
-// read takes in all events and prints what does not come as an event.
+// read reads all events from r and prints the output of builds to w.
 func (v *verdict) read(r io.Reader, w io.Writer) error {
 	v.packages = make(map[string]*packageRun)
 	d := json.NewDecoder(r)
@@ -68,7 +68,7 @@
 			return fmt.Errorf("events of go test: %w", err)
 		}
 		if e.Package == "" {
-			fmt.Fprint(w, e.Output) // of the build
+			fmt.Fprint(w, e.Output) // output of a build
 			continue
 		}
 		v.add(e)
@@ -76,7 +76,7 @@
 }
 
 func (v *verdict) add(e event) {
-	pkg := strings.TrimPrefix(e.Package, module)
+	pkg := strings.TrimPrefix(e.Package, modulePrefix)
 	p := v.packages[pkg]
 	if p == nil {
 		p = &packageRun{results: make(map[string]string), output: make(map[string][]string)}
@@ -95,31 +95,31 @@
 	}
 }
 
-// judge counts, prints every failure, and returns whether all of them are
-// known.
-func (v *verdict) judge(known []knownRed, w io.Writer) bool {
-	good := true
+// evaluate counts the tests, prints every failure, and returns whether all of
+// them are known.
+func (v *verdict) evaluate(known []knownFailure, w io.Writer) bool {
+	ok := true
 	for _, name := range sortedKeys(v.packages) {
-		if !v.judgePackage(name, known, w) {
-			good = false
+		if !v.evaluatePackage(name, known, w) {
+			ok = false
 		}
 	}
 	for _, k := range known {
 		if !v.report(k, w) {
-			good = false
+			ok = false
 		}
 	}
-	if v.passed == 0 && !v.part {
+	if v.passed == 0 && !v.partial {
 		fmt.Fprintln(w, "no test passed")
-		good = false
+		ok = false
 	}
 	fmt.Fprintf(w, "tests: %d passed, %d failed, %d skipped\n", v.passed, v.failed, v.skipped)
-	return good
+	return ok
 }
 
-func (v *verdict) judgePackage(name string, known []knownRed, w io.Writer) bool {
+func (v *verdict) evaluatePackage(name string, known []knownFailure, w io.Writer) bool {
 	p := v.packages[name]
-	good := true
+	ok := true
 	for _, test := range sortedKeys(p.results) {
 		switch p.results[test] {
 		case actionPass:
@@ -129,22 +129,23 @@
 			printOutput(w, "SKIP", testName{name, test}, p.output[test])
 		default:
 			v.failed++
-			p.red = true
-			good = isKnown(testName{name, test}, known) && good
+			p.testFailed = true
+			ok = isKnown(testName{name, test}, known) && ok
 			printOutput(w, "FAIL", testName{name, test}, p.output[test])
 		}
 	}
-	return v.judgeEnd(name, p, w) && good
+	return v.evaluateEnd(name, p, w) && ok
 }
 
-// judgeEnd looks at how a package ended. A test that panics takes the whole
-// package down and the tests after it never run; if it is a known one, they
-// would be passed over with it, so such an end is never excused.
-func (v *verdict) judgeEnd(name string, p *packageRun, w io.Writer) bool {
+// evaluateEnd checks how a package ended and returns whether CI may pass. A test
+// that panics ends the test binary, so that the tests after it never run. Such
+// an end is never excused, even for a known failure, as the tests that did not
+// run would be excused with it.
+func (v *verdict) evaluateEnd(name string, p *packageRun, w io.Writer) bool {
 	if !p.failed {
 		return true
 	}
-	if p.red && !p.wasCut() {
+	if p.testFailed && !p.endedEarly() {
 		return true
 	}
 	v.failed++
@@ -152,29 +153,30 @@
 	return false
 }
 
-// wasCut reports whether the test binary ended before all tests had run.
-func (p *packageRun) wasCut() bool {
+// endedEarly reports whether the test binary ended before all tests had run.
+func (p *packageRun) endedEarly() bool {
 	for _, result := range p.results {
 		if result == actionRun {
 			return true
 		}
 	}
-	return !slices.Contains(p.output[""], endedFailed)
+	return !slices.Contains(p.output[""], completedFailed)
 }
 
-// report prints what became of a known test and returns false if no such
-// test ran, as the list then excuses a name that anyone may take.
-func (v *verdict) report(k knownRed, w io.Writer) bool {
+// report prints the result of a listed test. It returns false if no such test
+// ran, unless the run is partial: the entry would excuse any later test of that
+// name.
+func (v *verdict) report(k knownFailure, w io.Writer) bool {
 	result := ""
 	if p := v.packages[k.name.pkg]; p != nil {
 		result = p.results[k.name.test]
 	}
 	switch result {
 	case "":
-		if !v.part {
+		if !v.partial {
 			fmt.Fprintf(w, "known red: %s: did not run, mend the list\n", k.name)
 		}
-		return v.part
+		return v.partial
 	case actionPass:
 		fmt.Fprintf(w, "known red: %s: passes now, take it off the list (%s)\n", k.name, k.issue)
 	default:
@@ -183,8 +185,8 @@
 	return true
 }
 
-func isKnown(name testName, known []knownRed) bool {
-	return slices.ContainsFunc(known, func(k knownRed) bool { return k.name == name })
+func isKnown(name testName, known []knownFailure) bool {
+	return slices.ContainsFunc(known, func(k knownFailure) bool { return k.name == name })
 }
 
 func printOutput(w io.Writer, what string, name testName, lines []string) {
--- a/internal/tackverdict/verdict_test.go
+++ b/internal/tackverdict/verdict_test.go
@@ -37,22 +37,21 @@
 {"Action":"fail","Package":"auburntack/core/d","FailedBuild":"auburntack/core/d"}
 `
 	known = "# lead\n\n" + entryTwo
-	// entryTwo is a whole entry.
+	// entryTwo is a complete entry.
 	entryTwo = "test: core/b.TestTwo\ncommand: go test -run 'TestTwo|x' ./core/b -args -rapid.seed=7\nseen: the lease: kept too long\nissue: 5\n"
 )
 
-// Symptom: CI is green while a test that nobody excused fails.
-// Sequence: a listed test fails, and so does another: of the same name in
-// another package, or none at all because the package did not build or
-// panicked.
-// Cause: a verdict that compares names without packages, or that takes a
-// failed package for the failure of its listed test.
+// Guards against CI that passes although a test that is not listed fails: a
+// listed test fails together with a test of the same name in another package,
+// or a package fails because it did not build or panicked. Names must be
+// compared with their packages, and a failed package must not be taken for the
+// failure of its listed test.
 func TestOnlyListedTestsAreExcused(t *testing.T) {
 	tests := []struct {
 		name   string
 		list   string
 		events string
-		good   bool
+		ok     bool
 		prints string
 		counts string
 	}{
@@ -68,7 +67,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			assertVerdict(t, test.list, test.events, test.good, test.prints, test.counts)
+			assertVerdict(t, test.list, test.events, test.ok, test.prints, test.counts)
 		})
 	}
 }
@@ -97,7 +96,7 @@
 		{"a field twice", entryTwo + "issue: 6\n", 5},
 		{"two tests", entryTwo + "test: core/c.TestTwo\n", 5},
 		{"an unknown field", first + "cause: it fails\n", 6},
-		{"the former form", "core/b.TestTwo, cause, issue 5\n", 1},
+		{"one line for an entry", "core/b.TestTwo, cause, issue 5\n", 1},
 		{"a package", strings.Replace(entryTwo, "core/b.TestTwo", "core/b", 1), 1},
 		{"a subtest", strings.Replace(entryTwo, "core/b.TestTwo", "core/b.TestTwo/case", 1), 1},
 	}
@@ -118,13 +117,13 @@
 	})
 }
 
-func assertVerdict(t *testing.T, list, events string, good bool, prints, counts string) {
+func assertVerdict(t *testing.T, list, events string, ok bool, prints, counts string) {
 	t.Helper()
 	var out strings.Builder
 	file := filepath.Join(t.TempDir(), "counts")
 	got, err := run(writeList(t, list), file, false, strings.NewReader(events), &out)
-	if err != nil || got != good {
-		t.Errorf("run = %v, %v, want %v", got, err, good)
+	if err != nil || got != ok {
+		t.Errorf("run = %v, %v, want %v", got, err, ok)
 	}
 	if !strings.Contains(out.String(), prints) {
 		t.Errorf("printed %q, want %q in it", out.String(), prints)
