--- a/internal/tackdocs/docs.go
+++ b/internal/tackdocs/docs.go
@@ -1,3 +1,4 @@
-// Package tackdocs holds the pages of docs to the code by its tests: links
-// lead somewhere, settings files load, commands and queries can be read.
+// Package tackdocs tests that the documentation agrees with the code: links have
+// targets, settings files load, commands and queries parse, and the names of
+// error codes and metrics are explained.
 package tackdocs
--- a/internal/tackdocs/docs_test.go
+++ b/internal/tackdocs/docs_test.go
@@ -25,7 +25,7 @@
 	for _, page := range pages(t) {
 		for _, m := range iniFile.FindAllStringSubmatch(read(t, page), -1) {
 			if !strings.Contains(m[1], "[vm]") {
-				continue // a part of a file
+				continue // an excerpt of a file
 			}
 			n++
 			file := filepath.Join(t.TempDir(), "vm.ini")
@@ -38,7 +38,7 @@
 		}
 	}
 	if n < 3 {
-		t.Errorf("%d whole files in the pages, want the three of the README at least", n)
+		t.Errorf("%d complete settings files in the pages, want at least the three of the README", n)
 	}
 }
 
@@ -59,7 +59,7 @@
 		}
 	}
 	if n < 10 {
-		t.Errorf("%d commands and queries found in the pages", n)
+		t.Errorf("%d commands and queries in the pages, want at least 10", n)
 	}
 }
 
--- a/internal/tackdocs/fitting_test.go
+++ b/internal/tackdocs/fitting_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// theirNames are names of the users' deployments, data centres, services, classes of
-// requests and days. Those that the brief uses as examples are left out.
-var theirNames = regexp.MustCompile(`(?i)\b(` + strings.Join([]string{
+// deploymentNames matches names of the users' deployments, data centres, services,
+// classes of requests and days. Names that the brief uses as examples are not included.
+var deploymentNames = regexp.MustCompile(`(?i)\b(` + strings.Join([]string{
 	"sscto", "ortb", "bsnc", "kamloops", "vernon", "salmon-arm", "cotabato-hall", "zamboanga-hall", "marawi-hall", "davao-hall",
 	"vannes", "saint-brieuc", "gift-pass", "group-desk", "lamp-room", "partner-ledger", "timed-entry", "dawn-svc", "eid-svc",
 	"jumuah-svc", "member-svc", "ramadan-svc", "slot-hold", "slot-watch", "group-quote", "group-watch", "pass-check",
@@ -19,25 +19,25 @@
 	"ramadan-feed", "jumuah-calc", "jumuah-push", "eid-table", "eid-feed", `quiet-\d`, `trouble-\d`, `scale-\d`,
 }, "|") + `)\b`)
 
-// Symptom: the product serves one deployment well and another badly. Sequence: a
-// decision is tried on the deployments at hand until it does well there. Cause: it
-// goes by who asks, not by what it observes. A name in the code is how that shows.
+// Guards against a decision that depends on names instead of on what is observed,
+// because it was tuned on the known deployments: it works well for these and badly for
+// others. Such a decision is recognised by a name of a deployment in the code.
 func TestNoDecisionGoesByTheUsersNames(t *testing.T) {
 	files := productFiles(t)
 	if len(files) < 100 {
-		t.Fatalf("%d files found", len(files))
+		t.Fatalf("%d files found, want at least 100", len(files))
 	}
 	for _, file := range files {
 		for i, line := range strings.Split(read(t, file), "\n") {
-			if name := theirNames.FindString(line); name != "" {
+			if name := deploymentNames.FindString(line); name != "" {
 				t.Errorf("%s:%d: %q", file, i+1, name)
 			}
 		}
 	}
 }
 
-// productFiles returns the files that the product is built of, and those that say
-// how it is run.
+// productFiles returns the source files of the product, without tests, and its
+// deployment files.
 func productFiles(t *testing.T) []string {
 	t.Helper()
 	var files []string
--- a/internal/tackdocs/links_test.go
+++ b/internal/tackdocs/links_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// assertTarget checks that the file of a link is there, and its heading.
+// assertTarget checks that the file and the heading exist to which a link refers.
 func assertTarget(t *testing.T, page, target string) {
 	t.Helper()
 	file, anchor, _ := strings.Cut(target, "#")
--- a/internal/tackdocs/names_test.go
+++ b/internal/tackdocs/names_test.go
@@ -13,14 +13,13 @@
 	metricName = regexp.MustCompile(`\b(?:counter|gauge|GetOrRegister\w+)\("([a-z_]+)"`)
 )
 
-// Symptom: an operator meets a code or a metric that no page explains.
-// Sequence: a package gets a new one, and the page stays as it was.
-// Cause: pages kept apart from the code.
+// Guards against error codes and metrics that are added to the code but not to the
+// documentation.
 func TestEveryNameIsExplained(t *testing.T) {
 	tests := []struct {
 		page   string
 		name   *regexp.Regexp
-		prefix string // what may stand before the name on the page
+		prefix string // the page may have the name with this prefix
 	}{
 		{"docs/OPERATING.md", codeName, ""},
 		{"docs/METRICS.md", metricName, "peer_"},
@@ -30,7 +29,7 @@
 			page := read(t, filepath.Join(root, test.page))
 			names := namesInCode(t, test.name)
 			if len(names) < 10 {
-				t.Errorf("%d names found in the code", len(names))
+				t.Errorf("%d names found in the code, want at least 10", len(names))
 			}
 			for name, file := range names {
 				if !strings.Contains(page, "`"+name+"`") && !strings.Contains(page, "`"+test.prefix+name+"`") {
@@ -41,7 +40,7 @@
 	}
 }
 
-// namesInCode returns the names that the pattern captures and a file of each.
+// namesInCode returns the names that the pattern captures, each with a file that has it.
 func namesInCode(t *testing.T, pattern *regexp.Regexp) map[string]string {
 	t.Helper()
 	names := make(map[string]string)
