--- a/cmd/auburntackd/cut_test.go
+++ b/cmd/auburntackd/cut_test.go
@@ -45,7 +45,7 @@
 	s := newSite(t, 4)
 	s.do(t, "set config colour red")
 	brest := s.daemons[1]
-	s.wires.Cut(brest, true)
+	s.network.Cut(brest, true)
 	s.await(t, "brest to detect the partition", func() bool {
 		reply, err := brest.Ask("show pools")
 		return err == nil && !reply.Confirmed
@@ -69,7 +69,7 @@
 		So(keyed.outcome, ShouldEqual, "did_not_run")
 		So(s.tally.OfKey("key-1"), ShouldEqual, 0)
 	})
-	s.wires.Heal()
+	s.network.Heal()
 	seen := read.Revision
 	regressions := 0
 	s.await(t, "brest to apply the latest change", func() bool {
@@ -98,11 +98,11 @@
 func TestLeaderCutOneWay(t *testing.T) {
 	s := newSite(t, 2)
 	leader, others := s.leader(t)
-	s.wires.Cut(leader, false)
+	s.network.Cut(leader, false)
 	began := time.Now()
 	s.acceptedBy(t, others[0], "set config one way", "one-way-1")
 	t.Logf("a command was accepted %v after the leader was cut one way", time.Since(began))
-	s.wires.Heal()
+	s.network.Heal()
 	Convey("All daemons agree after the partition", t, func() {
 		s.await(t, "the former leader to catch up", func() bool {
 			value, confirmed := valueOn(leader, "one")
@@ -127,7 +127,7 @@
 		return value == "blue"
 	})
 	time.Sleep(time.Second)
-	s.wires.Cut(brest, true)
+	s.network.Cut(brest, true)
 	brest.Kill()
 	must(t, brest.Start(waitTimeout))
 	s.await(t, "backend servers to announce themselves", func() bool {
--- a/cmd/auburntackd/cutoff_test.go
+++ b/cmd/auburntackd/cutoff_test.go
@@ -17,7 +17,7 @@
 func TestCutOffPeerKeepsToItsDataCentre(t *testing.T) {
 	s := newSite(t, 2)
 	alone, home, far := s.daemons[1], s.servers[1], s.servers[0]
-	s.wires.Cut(alone, true)
+	s.network.Cut(alone, true)
 	s.await(t, "the lease to expire", func() bool {
 		reply, err := alone.Ask("show config")
 		return err == nil && !reply.Confirmed
@@ -79,7 +79,7 @@
 	answered := make(chan answer, 1)
 	go func() { answered <- callOn(t, cut, http.MethodPost, "slow", "") }()
 	s.await(t, "the request to run", func() bool { return server.Active() == 1 })
-	s.wires.Cut(cut, true)
+	s.network.Cut(cut, true)
 	s.acceptedBy(t, s.daemons[0], command, "while-cut-off")
 	isDone := func() bool { return len(s.rows(t, done)) == 1 }
 	s.await(t, "the request to end", func() bool {
@@ -87,7 +87,7 @@
 		early = early || isDone() && running
 		return !running
 	})
-	s.wires.Heal()
+	s.network.Heal()
 	s.await(t, command, isDone)
 	return early, <-answered
 }
--- a/cmd/auburntackd/faults_test.go
+++ b/cmd/auburntackd/faults_test.go
@@ -42,9 +42,9 @@
 		time.Sleep(duration)
 		must(b, d.Signal(syscall.SIGCONT))
 	case "cut", "cut one way":
-		f.wires.Cut(d, kind == "cut")
+		f.network.Cut(d, kind == "cut")
 		time.Sleep(duration)
-		f.wires.Heal()
+		f.network.Heal()
 	case "stop":
 		d.Stop()
 		time.Sleep(duration)
--- a/cmd/auburntackd/path_test.go
+++ b/cmd/auburntackd/path_test.go
@@ -51,7 +51,7 @@
 	platform tackstandin.Platform
 	balancer tackstandin.Balancer
 	tally    tackstandin.Tally
-	wires    *tackstandin.Wires
+	network  *tackstandin.Wires
 }
 
 // newSite starts three replicas in two data centres and n VMs with a backend
@@ -69,9 +69,9 @@
 		{DataCentre: "rennes-a", Replica: true},
 	})
 	must(t, err)
-	s.wires, err = tackstandin.Rewire(s.daemons, settings)
+	s.network, err = tackstandin.Rewire(s.daemons, settings)
 	must(t, err)
-	t.Cleanup(s.wires.Close)
+	t.Cleanup(s.network.Close)
 	s.startDaemons(t)
 	for _, d := range s.daemons {
 		s.balancer.Entries = append(s.balancer.Entries, tackstandin.Entry{Caller: d.Caller, Operator: d.Operator})
