--- a/io/tackstandin/announce.go
+++ b/io/tackstandin/announce.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	announceAtMost = time.Second
-	callLimit      = 2 * time.Second
+	maxAnnounceInterval = time.Second
+	callTimeout         = 2 * time.Second
 )
 
 // announceReply is the answer to an announcement.
@@ -18,15 +18,15 @@
 	NextWithinMS int64 `json:"next_within_ms"`
 }
 
-var client = &http.Client{Timeout: callLimit}
+var client = &http.Client{Timeout: callTimeout}
 
-// announceUntil announces until stop is closed, each time in half of the time
-// that the last answer allows.
+// announceUntil calls announce until stop is closed, each time after half of the
+// interval that announce returned.
 func announceUntil(stop <-chan struct{}, announce func() time.Duration) {
 	for {
 		next := announce() / 2
 		if next <= 0 {
-			next = announceAtMost / 4
+			next = maxAnnounceInterval / 4
 		}
 		select {
 		case <-stop:
@@ -36,15 +36,15 @@
 	}
 }
 
-// announceTo sends an announcement to the first of the operators' ports that
-// takes it, and returns how soon the next one is due.
+// announceTo sends an announcement to the operators' ports in turn until one
+// accepts it, and returns the time until the next announcement is due.
 func announceTo(operators []string, body []byte) time.Duration {
 	for _, operator := range operators {
 		if next, ok := post(operator, body); ok {
 			return next
 		}
 	}
-	return announceAtMost / 4
+	return maxAnnounceInterval / 4
 }
 
 func post(operator string, body []byte) (time.Duration, bool) {
--- a/io/tackstandin/backend.go
+++ b/io/tackstandin/backend.go
@@ -1,7 +1,9 @@
-// Package tackstandin holds small stand-ins for what auburntack meets from
-// outside: backend servers that announce themselves, the platform, and the
-// balancer before the callers' ports. The demonstration, the measuring tool
-// and the tests of whole processes share it. Everything listens on loopback.
+// Package tackstandin provides test doubles of the systems around auburntack:
+// backend servers and workers that announce themselves, the platform, callers,
+// and the balancer before the callers' ports. It also starts daemons as
+// processes and simulates network partitions between them. The demonstration,
+// the measuring tool and the tests of whole processes use it. Everything listens
+// on loopback.
 package tackstandin
 
 import (
@@ -25,12 +27,12 @@
 		DataCentre string
 		Rack       string
 		Slots      int
-		// Operators are the addresses of the operators' ports that it
-		// announces to, one at a time.
+		// Operators are the addresses of the operators' ports, which it
+		// tries in order for each announcement.
 		Operators []string
-		// Delay is how long each request takes.
+		// Delay is the duration of each request.
 		Delay time.Duration
-		// Tally counts what was run. It may be shared by many.
+		// Tally counts executed requests. Backend servers may share one.
 		Tally *Tally
 
 		mu          sync.Mutex
@@ -44,7 +46,7 @@
 		served      atomic.Int64
 	}
 
-	// Answer is what a BackendServer answers with, in JSON.
+	// Answer is the JSON body of a BackendServer's response.
 	Answer struct {
 		BackendServer string `json:"backend_server"`
 		RequestID     string `json:"request_id"`
@@ -66,8 +68,8 @@
 	}
 )
 
-// Start listens and announces as the next incarnation, unless it does so
-// already.
+// Start starts to listen and to announce the next incarnation, unless the
+// backend server is running.
 func (b *BackendServer) Start() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -95,8 +97,8 @@
 	return nil
 }
 
-// Stop ends the backend server at once, as a reboot does. Requests that run
-// are cut and counted as such.
+// Stop ends the backend server at once, as a reboot does. Requests in progress
+// are cut and counted as cut.
 func (b *BackendServer) Stop() {
 	b.mu.Lock()
 	server, stop := b.server, b.stop
@@ -113,7 +115,8 @@
 	b.done.Wait()
 }
 
-// Leave announces that the backend server is leaving.
+// Leave announces once that the backend server is leaving, as do all later
+// announcements of this incarnation.
 func (b *BackendServer) Leave() {
 	b.mu.Lock()
 	b.state = "leaving"
@@ -121,32 +124,33 @@
 	b.Announce()
 }
 
-// Address returns the host and port that it listens on.
+// Address returns the host and port on which the backend server listens.
 func (b *BackendServer) Address() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.address
 }
 
-// Active returns how many requests run now.
+// Active returns the number of requests in progress.
 func (b *BackendServer) Active() int {
 	return int(b.active.Load())
 }
 
-// Served returns how many requests it has begun.
+// Served returns the number of requests started since the beginning, over all
+// incarnations.
 func (b *BackendServer) Served() int {
 	return int(b.served.Load())
 }
 
-// Up reports whether it takes requests.
+// Up reports whether the backend server is running.
 func (b *BackendServer) Up() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.server != nil
 }
 
-// Announce announces once, to the first operators' port that answers, and
-// returns how soon it is due again.
+// Announce sends one announcement, to the first of the operators' ports that
+// accepts it, and returns the time until the next one is due.
 func (b *BackendServer) Announce() time.Duration {
 	b.mu.Lock()
 	a := announcement{
@@ -166,7 +170,7 @@
 	return announceTo(b.Operators, body)
 }
 
-// ServeHTTP runs one request and answers with an Answer.
+// ServeHTTP executes one request and responds with an Answer.
 func (b *BackendServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	n := b.active.Add(1)
 	defer b.active.Add(-1)
--- a/io/tackstandin/balancer.go
+++ b/io/tackstandin/balancer.go
@@ -9,18 +9,17 @@
 	"time"
 )
 
-// checkEvery is how often the balancer asks each entry whether it is ready.
-const checkEvery = 100 * time.Millisecond
+// checkInterval is the time between two readiness checks of the entries.
+const checkInterval = 100 * time.Millisecond
 
 type (
-	// Entry is one VM of the system as the balancer knows it.
+	// Entry holds the addresses of one daemon.
 	Entry struct {
 		Caller   string
 		Operator string
 	}
 
-	// Balancer picks entries that say they are ready, in turn. Set Entries,
-	// then call Start.
+	// Balancer picks the ready entries in turn. Set Entries, then call Start.
 	Balancer struct {
 		Entries []Entry
 
@@ -30,18 +29,18 @@
 		stop  chan struct{}
 	}
 
-	// NoEntryError says that no entry is ready.
+	// NoEntryError reports that none of the entries is ready.
 	NoEntryError struct {
 		Entries int
 	}
 )
 
-// Error implements error.
 func (e *NoEntryError) Error() string {
 	return fmt.Sprintf("standin: none of %d entries is ready", e.Entries)
 }
 
-// Start follows the entries until Stop.
+// Start checks the readiness of the entries once, then repeatedly in the
+// background until Stop is called.
 func (b *Balancer) Start() {
 	b.stop = make(chan struct{})
 	b.check()
@@ -50,14 +49,14 @@
 			select {
 			case <-b.stop:
 				return
-			case <-time.After(checkEvery):
+			case <-time.After(checkInterval):
 				b.check()
 			}
 		}
 	}()
 }
 
-// Stop ends following the entries.
+// Stop ends the readiness checks.
 func (b *Balancer) Stop() { close(b.stop) }
 
 // Pick returns the callers' port of a ready entry.
--- a/io/tackstandin/callers.go
+++ b/io/tackstandin/callers.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	callerLimit = 30 * time.Second
-	// notesKept bounds the problems that Callers keep in words.
-	notesKept = 20
+	callerTimeout = 30 * time.Second
+	// maxNotes limits the problems that Callers describe.
+	maxNotes = 20
 )
 
 type (
-	// Callers send requests through a balancer, in turn a PUT, a POST and a
+	// Callers send requests through a balancer, in turn a PUT, a POST, and a
 	// POST with an idempotency key that is sent twice, and check that each
-	// gets its own whole answer. Set the fields, then call Start.
+	// gets a complete answer of its own. Set the fields, then call Start.
 	Callers struct {
 		Balancer *Balancer
 		Service  string
-		// Number is how many send at the same time, each one request after
-		// the other with Pause between them.
+		// Number is the number of concurrent callers. Each sends one request
+		// after the other, with Pause between them.
 		Number int
 		Pause  time.Duration
 
@@ -39,34 +39,35 @@
 		took   []time.Duration
 	}
 
-	// CallerCounts is what came of the callers' requests.
+	// CallerCounts counts the callers' requests by result.
 	CallerCounts struct {
 		Sent     int
 		Answered int
-		// Refused got a whole answer of auburntack's own that says
-		// did_not_run, Unknown one that says unknown.
+		// Refused counts answers of auburntack with the outcome did_not_run,
+		// Unknown those with another outcome or status.
 		Refused int
 		Unknown int
-		// Broken got no whole answer, Mixed one that was not theirs.
+		// Broken counts requests without a complete answer, Mixed those that
+		// got the answer to another request.
 		Broken int
 		Mixed  int
-		// DidNotRun names the bodies of which every request was refused: a key
+		// DidNotRun lists the bodies of which every request was refused: a key
 		// may be refused at first and run when it is repeated. OutcomeUnknown
-		// names those that are unknown, a repeated key twice.
+		// lists the bodies of Unknown, a repeated key possibly twice.
 		DidNotRun      []string
 		OutcomeUnknown []string
-		// Notes tells the first problems in words.
+		// Notes describes the first problems.
 		Notes []string
 	}
 )
 
 var methods = [...]string{http.MethodPut, http.MethodPost, http.MethodPost}
 
-// Start sends until Stop.
+// Start sends requests in the background until Stop is called.
 func (c *Callers) Start() {
 	c.stop = make(chan struct{})
 	c.client = &http.Client{
-		Timeout:   callerLimit,
+		Timeout:   callerTimeout,
 		Transport: &http.Transport{MaxIdleConnsPerHost: c.Number},
 	}
 	for n := range c.Number {
@@ -75,7 +76,7 @@
 	}
 }
 
-// Stop ends sending, waits for the answers under way and returns the counts.
+// Stop stops sending, waits for requests in flight and returns the counts.
 func (c *Callers) Stop() CallerCounts {
 	close(c.stop)
 	c.running.Wait()
@@ -83,7 +84,7 @@
 	return c.Counts()
 }
 
-// Counts returns what has come of the requests so far.
+// Counts returns a copy of the counts so far.
 func (c *Callers) Counts() CallerCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,8 +95,8 @@
 	return counts
 }
 
-// Took returns the time that the share p of the answered requests took at
-// most, with p from 0 to 1.
+// Took returns the quantile p, from 0 to 1, of the durations of answered
+// requests.
 func (c *Callers) Took(p float64) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,7 +127,7 @@
 	}
 }
 
-// request sends one request and reports whether it was refused.
+// request sends one request and reports whether it was refused or not sent.
 func (c *Callers) request(method, body string, keyed bool) bool {
 	entry, err := c.Balancer.Pick()
 	if err != nil {
@@ -139,7 +140,7 @@
 	if keyed {
 		r.Header.Set("Idempotency-Key", body)
 	}
-	began := time.Now()
+	start := time.Now()
 	answer, err := c.client.Do(r)
 	if err != nil {
 		c.add(func(k *CallerCounts) { k.Broken++ }, "%s %s: %v", method, body, err)
@@ -151,15 +152,15 @@
 		c.add(func(k *CallerCounts) { k.Broken++ }, "%s %s: %v", method, body, err)
 		return false
 	}
-	return c.judge(answer, got, body, time.Since(began))
+	return c.record(answer, got, body, time.Since(start))
 }
 
-// judge counts the answer and reports whether it is a refusal.
-func (c *Callers) judge(answer *http.Response, got []byte, body string, took time.Duration) bool {
+// record counts the answer and reports whether it is a refusal.
+func (c *Callers) record(answer *http.Response, got []byte, body string, took time.Duration) bool {
 	outcome := answer.Header.Get("Auburntack-Outcome")
 	if outcome == "answered" && answer.StatusCode == http.StatusOK {
-		var whole Answer
-		if json.Unmarshal(bytes.TrimSpace(got), &whole) != nil || whole.Body != body {
+		var decoded Answer
+		if json.Unmarshal(bytes.TrimSpace(got), &decoded) != nil || decoded.Body != body {
 			c.add(func(k *CallerCounts) { k.Mixed++ }, "%s: another's answer %q", body, got)
 			return false
 		}
@@ -193,7 +194,7 @@
 	defer c.mu.Unlock()
 	c.counts.Sent++
 	count(&c.counts)
-	if len(c.counts.Notes) < notesKept {
+	if len(c.counts.Notes) < maxNotes {
 		c.counts.Notes = append(c.counts.Notes, fmt.Sprintf(format, args...))
 	}
 }
--- a/io/tackstandin/daemon.go
+++ b/io/tackstandin/daemon.go
@@ -21,24 +21,24 @@
 )
 
 const (
-	// Ports are taken below the range that the kernel gives to outgoing
-	// connections, so that none of those takes a daemon's port first.
+	// Ports are below the ephemeral range of the kernel, so that no outgoing
+	// connection takes a daemon's port before the daemon listens on it.
 	firstPort = 20000
 	lastPort  = 30000
 )
 
-// handedOut holds the addresses that FreePorts has returned.
-var handedOut = struct {
+// allocated holds the addresses that FreePorts has returned.
+var allocated = struct {
 	sync.Mutex
 	ports map[string]bool
 }{ports: make(map[string]bool)}
 
 type (
-	// Daemon is one auburntackd of a cluster of real processes.
+	// Daemon is an auburntackd process of a cluster.
 	Daemon struct {
 		ID         string
 		DataCentre string
-		// Replica gives it a data folder and a vote.
+		// Replica is set if the daemon has a data folder and a vote.
 		Replica  bool
 		Caller   string
 		Operator string
@@ -54,13 +54,13 @@
 		logs   bytes.Buffer
 	}
 
-	// Place says where a daemon of a cluster stands.
+	// Place is the data centre and the role of a daemon of a cluster.
 	Place struct {
 		DataCentre string
 		Replica    bool
 	}
 
-	// Reply is the answer of an operators' port.
+	// Reply is the answer of a daemon's operators' port.
 	Reply struct {
 		Status     int
 		Accepted   bool     `json:"accepted"`
@@ -76,9 +76,9 @@
 	}
 )
 
-// NewCluster writes the settings of one daemon for each place below folder.
-// More is appended to every file, for further settings. Nothing is started.
-func NewCluster(binary, folder, more string, places []Place) ([]*Daemon, error) {
+// NewCluster writes the settings file of one daemon for each place to folder and
+// appends extra, further settings, to every file. It starts no process.
+func NewCluster(binary, folder, extra string, places []Place) ([]*Daemon, error) {
 	var daemons []*Daemon
 	for i, p := range places {
 		d, err := newDaemon(binary, folder, i+1, p)
@@ -87,17 +87,17 @@
 		}
 		daemons = append(daemons, d)
 	}
-	return daemons, configure(daemons, more, nil)
+	return daemons, configure(daemons, extra, nil)
 }
 
-// Joining returns a further daemon, whose settings name all of the cluster
-// while theirs do not name it.
-func Joining(cluster []*Daemon, more string, p Place) (*Daemon, error) {
+// Joining returns a daemon to be added to the cluster. Its settings list all
+// daemons of the cluster, whose settings do not list it.
+func Joining(cluster []*Daemon, extra string, p Place) (*Daemon, error) {
 	d, err := newDaemon(cluster[0].binary, cluster[0].folder, len(cluster)+1, p)
 	if err != nil {
 		return nil, err
 	}
-	return d, d.configure(append(slices.Clone(cluster), d), more, nil)
+	return d, d.configure(append(slices.Clone(cluster), d), extra, nil)
 }
 
 func newDaemon(binary, folder string, number int, p Place) (*Daemon, error) {
@@ -117,46 +117,47 @@
 	}, nil
 }
 
-// Rewire writes the settings anew, so that every daemon reaches the others by
-// wires that can be cut. Call it before the daemons are started.
-func Rewire(daemons []*Daemon, more string) (*Wires, error) {
-	wires, err := newWires(daemons)
+// Rewire rewrites the settings files so that every daemon connects to the others
+// through proxies that can drop the traffic. Call it before the daemons are
+// started.
+func Rewire(daemons []*Daemon, extra string) (*Wires, error) {
+	proxies, err := newNetwork(daemons)
 	if err != nil {
 		return nil, err
 	}
-	return wires, configure(daemons, more, wires)
+	return proxies, configure(daemons, extra, proxies)
 }
 
-func configure(daemons []*Daemon, more string, wires *Wires) error {
+func configure(daemons []*Daemon, extra string, proxies *Wires) error {
 	for _, d := range daemons {
-		if err := d.configure(daemons, more, wires); err != nil {
+		if err := d.configure(daemons, extra, proxies); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (d *Daemon) configure(all []*Daemon, more string, wires *Wires) error {
+func (d *Daemon) configure(all []*Daemon, extra string, proxies *Wires) error {
 	d.config = filepath.Join(d.folder, d.ID+".ini")
-	if err := os.WriteFile(d.config, []byte(d.settings(all, wires)+more), 0o644); err != nil {
+	if err := os.WriteFile(d.config, []byte(d.settings(all, proxies)+extra), 0o644); err != nil {
 		return fmt.Errorf("standin: %w", err)
 	}
 	return nil
 }
 
-// FreePorts returns n loopback addresses that nothing listens on and that no
-// earlier call in this process returned: their owners may not listen yet, or
-// be about to start again.
+// FreePorts returns n loopback addresses on which no process listens and that no
+// earlier call in this process returned, since the users of those may not
+// listen yet or may be restarting.
 func FreePorts(n int) ([]string, error) {
-	handedOut.Lock()
-	defer handedOut.Unlock()
+	allocated.Lock()
+	defer allocated.Unlock()
 	var ports []string
 	for range 1000 {
 		if len(ports) == n {
 			return ports, nil
 		}
 		address := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(lastPort-firstPort))
-		if handedOut.ports[address] {
+		if allocated.ports[address] {
 			continue
 		}
 		l, err := net.Listen("tcp", address)
@@ -164,13 +165,13 @@
 			continue
 		}
 		l.Close()
-		handedOut.ports[address] = true
+		allocated.ports[address] = true
 		ports = append(ports, address)
 	}
 	return nil, fmt.Errorf("standin: no %d free ports from %d to %d", n, firstPort, lastPort)
 }
 
-func (d *Daemon) settings(all []*Daemon, wires *Wires) string {
+func (d *Daemon) settings(all []*Daemon, proxies *Wires) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[vm]\nid = %s\ndata_centre = %s\n", d.ID, d.DataCentre)
 	fmt.Fprintf(&b, "[listen]\ncaller = %s\noperator = %s\npeer = %s\n", d.Caller, d.Operator, d.Peer)
@@ -182,22 +183,22 @@
 			continue
 		}
 		address := p.Peer
-		if wires != nil {
-			address = wires.between[direction{d.ID, p.ID}].Address()
+		if proxies != nil {
+			address = proxies.between[direction{d.ID, p.ID}].Address()
 		}
 		fmt.Fprintf(&b, "[peer.%s]\ndata_centre = %s\naddress = %s\nreplica = %t\n", p.ID, p.DataCentre, address, p.Replica)
 	}
 	return b.String()
 }
 
-// DataFolder returns where a replica keeps its state.
+// DataFolder returns the folder in which a replica stores its state.
 func (d *Daemon) DataFolder() string {
 	return filepath.Join(d.folder, d.ID)
 }
 
-// Start starts the process and returns once it logged that it is ready or
-// limit has passed.
-func (d *Daemon) Start(limit time.Duration) error {
+// Start starts the process and waits until it logs that it is ready. It returns
+// an error if the process ends before, or after timeout.
+func (d *Daemon) Start(timeout time.Duration) error {
 	cmd := exec.Command(d.binary, "serve", "--config", d.config)
 	out, err := cmd.StderrPipe()
 	if err != nil {
@@ -212,7 +213,7 @@
 	d.cmd, d.exited = cmd, exited
 	d.mu.Unlock()
 	go func() {
-		d.follow(out, ready)
+		d.readLogs(out, ready)
 		cmd.Wait()
 		close(exited)
 	}()
@@ -221,47 +222,47 @@
 		return nil
 	case <-exited:
 		return fmt.Errorf("standin: %s ended: %s", d.ID, d.Logs())
-	case <-time.After(limit):
-		return fmt.Errorf("standin: %s not ready after %v: %s", d.ID, limit, d.Logs())
+	case <-time.After(timeout):
+		return fmt.Errorf("standin: %s not ready after %v: %s", d.ID, timeout, d.Logs())
 	}
 }
 
-func (d *Daemon) follow(out io.Reader, ready chan<- struct{}) {
-	told := false
+func (d *Daemon) readLogs(out io.Reader, ready chan<- struct{}) {
+	isReady := false
 	lines := bufio.NewScanner(out)
 	for lines.Scan() {
 		d.mu.Lock()
 		d.logs.Write(lines.Bytes())
 		d.logs.WriteByte('\n')
 		d.mu.Unlock()
-		if !told && strings.Contains(lines.Text(), `msg="ready"`) {
-			told = true
+		if !isReady && strings.Contains(lines.Text(), `msg="ready"`) {
+			isReady = true
 			close(ready)
 		}
 	}
 }
 
-// Logs returns what the process logged so far.
+// Logs returns the log output so far, over all starts of the daemon.
 func (d *Daemon) Logs() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.logs.String()
 }
 
-// Signal sends the process a signal.
+// Signal sends the signal s to the process.
 func (d *Daemon) Signal(s syscall.Signal) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.cmd.Process.Signal(s)
 }
 
-// Stop stops the process as planned and returns its exit code.
+// Stop shuts the process down gracefully and returns its exit code.
 func (d *Daemon) Stop() int {
 	d.Signal(syscall.SIGTERM)
 	return d.Wait()
 }
 
-// Kill ends the process at once, if it runs.
+// Kill ends the process at once, if it is running.
 func (d *Daemon) Kill() {
 	if !d.Running() {
 		return
@@ -270,7 +271,7 @@
 	d.Wait()
 }
 
-// Wait returns the exit code once the process has ended.
+// Wait waits for the process to end and returns its exit code.
 func (d *Daemon) Wait() int {
 	d.mu.Lock()
 	cmd, exited := d.cmd, d.exited
@@ -332,14 +333,14 @@
 	return reply, json.NewDecoder(answer.Body).Decode(&reply)
 }
 
-// CPU returns how many milliseconds of processor time the process has used,
-// and its resident memory in KiB.
+// CPU returns the processor time that the process has used, in milliseconds, and
+// its resident memory in KiB.
 func (d *Daemon) CPU() (ms int64, residentKiB int64, err error) {
 	return ProcessUse(d.PID())
 }
 
-// ProcessUse returns how many milliseconds of processor time a process has used,
-// and its resident memory in KiB.
+// ProcessUse returns the processor time that a process has used, in
+// milliseconds, and its resident memory in KiB.
 func ProcessUse(pid int) (ms int64, residentKiB int64, err error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/io/tackstandin/platform.go
+++ b/io/tackstandin/platform.go
@@ -10,10 +10,10 @@
 
 type (
 	// Platform reboots and upgrades the VMs of its backend servers and
-	// workers, and passes on what is asked of tasks. Set the fields, then
-	// call Start.
+	// workers, and forwards requests for tasks to the workers. Set the fields,
+	// then call Start.
 	Platform struct {
-		// Reboot is how long a VM is away.
+		// Reboot is the duration of a reboot or an upgrade.
 		Reboot time.Duration
 
 		mu      sync.Mutex
@@ -27,13 +27,13 @@
 	platformVM struct {
 		state     string
 		operation string
-		times     int
-		machines  []machine
+		restarts  int
+		processes []process
 		failing   bool
 	}
 
-	// machine is what runs on a VM and goes down with it.
-	machine interface {
+	// process is a process on a VM, which ends with the VM and restarts with it.
+	process interface {
 		Start() error
 		Stop()
 	}
@@ -49,29 +49,29 @@
 	}
 )
 
-// Add puts a backend server on its VM.
+// Add adds a backend server to its VM.
 func (p *Platform) Add(b *BackendServer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	vm := p.vm(b.VM)
-	vm.machines = append(vm.machines, b)
+	vm.processes = append(vm.processes, b)
 }
 
-// Fail makes the VM fail when it is next rebooted or upgraded.
+// Fail makes every later reboot or upgrade of the VM fail.
 func (p *Platform) Fail(vm string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.vm(vm).failing = true
 }
 
-// Times returns how often the VM was rebooted or upgraded.
+// Times returns the number of reboots and upgrades of the VM.
 func (p *Platform) Times(vm string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.vm(vm).times
+	return p.vm(vm).restarts
 }
 
-// Address returns the host and port that it listens on.
+// Address returns the host and port on which the platform listens.
 func (p *Platform) Address() string { return p.address }
 
 // Start listens on a loopback port.
@@ -86,20 +86,20 @@
 	mux.HandleFunc("POST /vms/{vm}/upgrade", p.operate)
 	mux.HandleFunc("GET /vms/{vm}", p.show)
 	mux.HandleFunc("POST /workers/{worker}/tasks", p.startTask)
-	mux.HandleFunc("POST /workers/{worker}/tasks/{task}/{verb}", p.askTask)
+	mux.HandleFunc("POST /workers/{worker}/tasks/{task}/{verb}", p.controlTask)
 	mux.HandleFunc("GET /workers/{worker}/tasks", p.listTasks)
 	p.server = &http.Server{Handler: mux}
 	go p.server.Serve(port)
 	return nil
 }
 
-// Stop ends the platform and waits for what it does.
+// Stop stops listening and waits for operations in progress.
 func (p *Platform) Stop() {
 	p.server.Close()
 	p.running.Wait()
 }
 
-// vm returns the VM, made on first use. The lock is held.
+// vm returns the VM, which it creates on first use. The caller holds p.mu.
 func (p *Platform) vm(id string) *platformVM {
 	if p.vms == nil {
 		p.vms = make(map[string]*platformVM)
@@ -123,7 +123,7 @@
 	if vm.operation != request.Operation {
 		vm.operation = request.Operation
 		vm.state = "rebooting"
-		vm.times++
+		vm.restarts++
 		p.running.Add(1)
 		go p.reboot(vm)
 	}
@@ -133,7 +133,7 @@
 
 func (p *Platform) reboot(vm *platformVM) {
 	defer p.running.Done()
-	for _, m := range vm.machines {
+	for _, m := range vm.processes {
 		m.Stop()
 	}
 	time.Sleep(p.Reboot)
@@ -143,7 +143,7 @@
 		vm.state = "failed"
 		return
 	}
-	for _, m := range vm.machines {
+	for _, m := range vm.processes {
 		if m.Start() != nil {
 			vm.state = "failed"
 			return
--- a/io/tackstandin/tally.go
+++ b/io/tackstandin/tally.go
@@ -2,14 +2,14 @@
 
 import "sync"
 
-// Tally counts executions by request and by idempotency key.
+// Tally counts executions of requests by request id, idempotency key and body.
 type Tally struct {
 	mu       sync.Mutex
 	requests map[string]int
 	keys     map[string]int
 	bodies   map[string]int
 	cut      int
-	overload int
+	overload int // executions beyond the slots of a backend server
 }
 
 func (t *Tally) add(id, key, body string, overloaded bool) {
@@ -38,7 +38,7 @@
 	t.cut += n
 }
 
-// Executions returns how many requests were run.
+// Executions returns the number of executions of all requests.
 func (t *Tally) Executions() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -49,21 +49,21 @@
 	return n
 }
 
-// OfKey returns how often work with the idempotency key was run.
+// OfKey returns the number of executions with the idempotency key.
 func (t *Tally) OfKey(key string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.keys[key]
 }
 
-// OfBody returns how often a request with the body was run.
+// OfBody returns the number of executions of requests with the body.
 func (t *Tally) OfBody(body string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.bodies[body]
 }
 
-// DoubledKeys returns how many idempotency keys were run more than once.
+// DoubledKeys returns the number of idempotency keys with more than one execution.
 func (t *Tally) DoubledKeys() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -76,15 +76,16 @@
 	return n
 }
 
-// Cut returns how many requests were cut by a stop.
+// Cut returns the number of requests that were cut because a backend server
+// stopped.
 func (t *Tally) Cut() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.cut
 }
 
-// Overload returns how many requests came beyond the slots of a backend
-// server.
+// Overload returns the number of requests that arrived while all slots of the
+// backend server were in use.
 func (t *Tally) Overload() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/io/tackstandin/tasks.go
+++ b/io/tackstandin/tasks.go
@@ -42,29 +42,29 @@
 	t.cut++
 }
 
-// Starts returns how often the task was started.
+// Starts returns the number of starts of the task.
 func (t *TaskTally) Starts(task string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.starts[task]
 }
 
-// Done returns how often the task ran to its end.
+// Done returns the number of times that the task was completed.
 func (t *TaskTally) Done(task string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.done[task]
 }
 
-// Doubled returns how often a task was started while another worker still
-// held a lease on it.
+// Doubled returns the number of starts of tasks on which another worker still
+// held a lease.
 func (t *TaskTally) Doubled() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.doubled
 }
 
-// Cut returns how many tasks were cut by a reboot.
+// Cut returns the number of tasks that were cut by a reboot.
 func (t *TaskTally) Cut() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/io/tackstandin/wire.go
+++ b/io/tackstandin/wire.go
@@ -7,161 +7,164 @@
 	"sync/atomic"
 )
 
-// Wire carries connections to one address and can be cut: bytes then vanish
-// without either end being told, as behind a network partition. Cutting only
-// one way of each connection is possible too.
-type Wire struct {
-	target string
-	port   net.Listener
-	// forth cuts what goes to the target, back what comes from it.
-	forth, back atomic.Bool
-
-	mu    sync.Mutex
-	conns []net.Conn
-	done  bool
+// Proxy forwards connections to one address and can simulate a network
+// partition: it then drops all bytes without closing the connections, in both
+// directions or only those to the target.
+type Proxy struct {
+	target   string
+	listener net.Listener
+	// dropTo drops bytes to the target, dropFrom bytes from it.
+	dropTo, dropFrom atomic.Bool
+
+	mu     sync.Mutex
+	conns  []net.Conn
+	closed bool
 }
 
-// NewWire listens on a loopback address for connections to target.
-func NewWire(target string) (*Wire, error) {
-	port, err := net.Listen("tcp", "127.0.0.1:0")
+// NewProxy listens on a loopback address for connections to target.
+func NewProxy(target string) (*Proxy, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("standin: %w", err)
 	}
-	w := &Wire{target: target, port: port}
-	go w.accept()
-	return w, nil
+	p := &Proxy{target: target, listener: listener}
+	go p.accept()
+	return p, nil
 }
 
-// Address returns the address to connect to in place of the target's.
-func (w *Wire) Address() string { return w.port.Addr().String() }
+// Address returns the address to connect to instead of the target's.
+func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Cut makes bytes vanish, both ways or only those to the target.
-func (w *Wire) Cut(bothWays bool) {
-	w.forth.Store(true)
-	w.back.Store(bothWays)
+// Cut drops all bytes until Heal is called, in both directions or only those to
+// the target.
+func (p *Proxy) Cut(bothWays bool) {
+	p.dropTo.Store(true)
+	p.dropFrom.Store(bothWays)
 }
 
-// Heal ends the cut. Connections that lost bytes are closed, as their ends
-// could make no sense of what follows.
-func (w *Wire) Heal() {
-	w.mu.Lock()
-	for _, c := range w.conns {
+// Heal ends a cut. It closes all connections, since the streams of those that
+// lost bytes cannot be decoded any more.
+func (p *Proxy) Heal() {
+	p.mu.Lock()
+	for _, c := range p.conns {
 		c.Close()
 	}
-	w.conns = nil
-	w.mu.Unlock()
-	w.forth.Store(false)
-	w.back.Store(false)
+	p.conns = nil
+	p.mu.Unlock()
+	p.dropTo.Store(false)
+	p.dropFrom.Store(false)
 }
 
-// Close ends the wire and its connections.
-func (w *Wire) Close() {
-	w.port.Close()
-	w.mu.Lock()
-	w.done = true
-	w.mu.Unlock()
-	w.Heal()
+// Close closes the listener and all connections.
+func (p *Proxy) Close() {
+	p.listener.Close()
+	p.mu.Lock()
+	p.closed = true
+	p.mu.Unlock()
+	p.Heal()
 }
 
-func (w *Wire) accept() {
+func (p *Proxy) accept() {
 	for {
-		near, err := w.port.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", w.target)
+		server, err := net.Dial("tcp", p.target)
 		if err != nil {
-			near.Close()
+			client.Close()
 			continue
 		}
-		if !w.keep(near, far) {
+		if !p.track(client, server) {
 			return
 		}
-		go carry(far, near, &w.forth)
-		go carry(near, far, &w.back)
+		go forward(server, client, &p.dropTo)
+		go forward(client, server, &p.dropFrom)
 	}
 }
 
-func (w *Wire) keep(conns ...net.Conn) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.done {
+// track records the connections, to be closed by Heal and Close. If the proxy is
+// closed, it closes them and returns false.
+func (p *Proxy) track(conns ...net.Conn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
 		for _, c := range conns {
 			c.Close()
 		}
 		return false
 	}
-	w.conns = append(w.conns, conns...)
+	p.conns = append(p.conns, conns...)
 	return true
 }
 
-// carry copies from one connection to another, or to nowhere while cut. An end
-// that closes during a cut is not told to the other; Heal closes that.
-func carry(to, from net.Conn, cut *atomic.Bool) {
+// forward copies bytes from one connection to the other and discards them while
+// drop is set. If from is closed during that time, to stays open until Heal.
+func forward(to, from net.Conn, drop *atomic.Bool) {
 	defer from.Close()
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && !cut.Load() {
+		if n > 0 && !drop.Load() {
 			_, err = to.Write(buffer[:n])
 		}
 		if err == nil {
 			continue
 		}
-		if !cut.Load() {
+		if !drop.Load() {
 			to.Close()
 		}
 		return
 	}
 }
 
-// Wires are the wires between the daemons of a cluster, one for each direction
-// in which connections are made.
+// Wires holds the proxies between the daemons of a cluster, one for each ordered
+// pair of daemons.
 type Wires struct {
-	between map[direction]*Wire
+	between map[direction]*Proxy
 }
 
 type direction struct {
 	from, to string
 }
 
-// Cut separates the daemon from all others, both ways or only what it sends
-// and is answered on its own connections.
+// Cut separates the daemon from all others: on all of its connections, or only
+// on those that it opened itself, of which both directions are cut.
 func (w *Wires) Cut(d *Daemon, bothWays bool) {
-	for between, wire := range w.between {
+	for between, proxy := range w.between {
 		if between.from == d.ID || bothWays && between.to == d.ID {
-			wire.Cut(true)
+			proxy.Cut(true)
 		}
 	}
 }
 
 // Heal ends every cut.
 func (w *Wires) Heal() {
-	for _, wire := range w.between {
-		wire.Heal()
+	for _, proxy := range w.between {
+		proxy.Heal()
 	}
 }
 
-// Close ends every wire.
+// Close closes every proxy.
 func (w *Wires) Close() {
-	for _, wire := range w.between {
-		wire.Close()
+	for _, proxy := range w.between {
+		proxy.Close()
 	}
 }
 
-func newWires(daemons []*Daemon) (*Wires, error) {
-	w := &Wires{between: make(map[direction]*Wire)}
+func newNetwork(daemons []*Daemon) (*Wires, error) {
+	w := &Wires{between: make(map[direction]*Proxy)}
 	for _, from := range daemons {
 		for _, to := range daemons {
 			if from == to {
 				continue
 			}
-			wire, err := NewWire(to.Peer)
+			proxy, err := NewProxy(to.Peer)
 			if err != nil {
 				w.Close()
 				return nil, err
 			}
-			w.between[direction{from.ID, to.ID}] = wire
+			w.between[direction{from.ID, to.ID}] = proxy
 		}
 	}
 	return w, nil
--- a/io/tackstandin/worker.go
+++ b/io/tackstandin/worker.go
@@ -18,9 +18,9 @@
 )
 
 type (
-	// Worker runs tasks under leases, as the platform asks it to, and
-	// announces itself to the operators' ports. Set the fields, then call
-	// Start. Its tasks do nothing but take time.
+	// Worker runs tasks under leases on request of the platform, and announces
+	// itself to the operators' ports. Its tasks only wait. Set the fields, then
+	// call Start.
 	Worker struct {
 		Name       string
 		DataCentre string
@@ -28,14 +28,14 @@
 		Cores      int
 		MemoryMB   int
 		Operators  []string
-		// Takes is how long a task runs, Saving how long a checkpoint.
+		// Takes is the duration of a task, Saving that of a checkpoint.
 		Takes  time.Duration
 		Saving time.Duration
-		// Lag is how old the usage is that it reports.
+		// Lag is the age of the usage data that the worker reports.
 		Lag time.Duration
 		// Failing makes every task fail at once.
 		Failing bool
-		// Tally counts what was run. It may be shared by many.
+		// Tally counts executed tasks. Workers may share one.
 		Tally *TaskTally
 
 		mu          sync.Mutex
@@ -46,7 +46,7 @@
 		tokens      map[string]uint64
 	}
 
-	// TaskTally counts starts and ends of tasks on all workers.
+	// TaskTally counts starts and ends of tasks on all workers that share it.
 	TaskTally struct {
 		mu      sync.Mutex
 		starts  map[string]int
@@ -64,7 +64,7 @@
 	workerTask struct {
 		order taskOrder
 		began time.Time
-		until time.Time // the lease's end
+		until time.Time // end of the lease
 		state string
 	}
 
@@ -96,8 +96,8 @@
 	}
 )
 
-// Start announces the worker as the next incarnation, without tasks, unless
-// it is up.
+// Start starts to announce the next incarnation of the worker, without tasks,
+// unless the worker is running.
 func (w *Worker) Start() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// Stop ends the worker at once, as a reboot does. Tasks that run are cut and
-// counted as such.
+// Stop ends the worker at once, as a reboot does. Running tasks are cut and
+// counted as cut.
 func (w *Worker) Stop() {
 	w.mu.Lock()
 	if w.stop == nil {
@@ -128,7 +128,7 @@
 	}
 	close(w.stop)
 	w.stop = nil
-	w.settle(time.Now())
+	w.update(time.Now())
 	for _, t := range w.tasks {
 		if t.state == taskRunning {
 			w.Tally.ended(t.order.Task, w.Name, false)
@@ -150,8 +150,9 @@
 	return announceTo(w.Operators, body)
 }
 
-// settle ends the tasks that are done and those whose lease ran out.
-func (w *Worker) settle(now time.Time) {
+// update ends the tasks that are complete and those whose lease has expired. The
+// caller holds w.mu.
+func (w *Worker) update(now time.Time) {
 	for _, t := range w.tasks {
 		switch end := t.began.Add(w.Takes); {
 		case t.state != taskRunning:
@@ -165,13 +166,13 @@
 	}
 }
 
-// start takes a task up, once for each token. A token below one seen is
-// refused: it is an earlier leader's, that has been overtaken.
+// start starts a task, once for each token. It refuses a token below an earlier
+// one, which comes from a former leader.
 func (w *Worker) start(o taskOrder) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	w.settle(now)
+	w.update(now)
 	if w.stop == nil {
 		return fmt.Errorf("worker is down")
 	}
@@ -192,15 +193,15 @@
 	return nil
 }
 
-// act does what is asked of a task that was started.
-func (w *Worker) act(task, verb string, o taskOrder) error {
+// handle carries out a checkpoint, stop or renew request for a started task.
+func (w *Worker) handle(task, verb string, o taskOrder) error {
 	if verb == "checkpoint" {
 		time.Sleep(w.Saving)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	w.settle(now)
+	w.update(now)
 	t := w.tasks[task]
 	if t == nil || t.order.Token != o.Token {
 		return fmt.Errorf("no task %s with token %d", task, o.Token)
@@ -222,13 +223,13 @@
 	return nil
 }
 
-// usage lists the tasks. Of those that run, what is younger than Lag has not
-// been measured yet.
+// usage returns the usage of all tasks except those that have been running for
+// less than Lag, which have not been measured yet.
 func (w *Worker) usage() []taskUsage {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	w.settle(now)
+	w.update(now)
 	list := make([]taskUsage, 0, len(w.tasks))
 	for id, t := range w.tasks {
 		if t.state == taskRunning && now.Sub(t.began) < w.Lag {
@@ -245,8 +246,8 @@
 
 func leaseOf(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// AddWorker lets the platform pass on what is asked of a worker, and reboot it
-// with its VM.
+// AddWorker adds a worker to its VM: the platform forwards requests to it and
+// reboots it with the VM.
 func (p *Platform) AddWorker(w *Worker) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -255,10 +256,10 @@
 	}
 	p.workers[w.Name] = w
 	vm := p.vm(w.Name)
-	vm.machines = append(vm.machines, w)
+	vm.processes = append(vm.processes, w)
 }
 
-func (p *Platform) worker(w http.ResponseWriter, r *http.Request) *Worker {
+func (p *Platform) workerOf(w http.ResponseWriter, r *http.Request) *Worker {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	found := p.workers[r.PathValue("worker")]
@@ -269,18 +270,18 @@
 }
 
 func (p *Platform) startTask(w http.ResponseWriter, r *http.Request) {
-	if worker := p.worker(w, r); worker != nil {
-		carryOut(w, r, worker.start)
+	if worker := p.workerOf(w, r); worker != nil {
+		serveOrder(w, r, worker.start)
 	}
 }
 
-func (p *Platform) askTask(w http.ResponseWriter, r *http.Request) {
-	if worker := p.worker(w, r); worker != nil {
-		carryOut(w, r, func(o taskOrder) error { return worker.act(r.PathValue("task"), r.PathValue("verb"), o) })
+func (p *Platform) controlTask(w http.ResponseWriter, r *http.Request) {
+	if worker := p.workerOf(w, r); worker != nil {
+		serveOrder(w, r, func(o taskOrder) error { return worker.handle(r.PathValue("task"), r.PathValue("verb"), o) })
 	}
 }
 
-func carryOut(w http.ResponseWriter, r *http.Request, do func(taskOrder) error) {
+func serveOrder(w http.ResponseWriter, r *http.Request, do func(taskOrder) error) {
 	var o taskOrder
 	if json.NewDecoder(r.Body).Decode(&o) != nil || o.Token == 0 {
 		http.Error(w, "token is missing", http.StatusBadRequest)
@@ -294,7 +295,7 @@
 }
 
 func (p *Platform) listTasks(w http.ResponseWriter, r *http.Request) {
-	worker := p.worker(w, r)
+	worker := p.workerOf(w, r)
 	if worker == nil {
 		return
 	}
