--- a/io/tackdemo/demo.go
+++ b/io/tackdemo/demo.go
@@ -1,6 +1,6 @@
-// Package tackdemo shows the whole system at work in one process on loopback:
-// three data centres, stand-in backend servers, callers, a platform, a wave
-// over a pool and a VM that is lost in its middle.
+// Package tackdemo demonstrates the whole system in one process on loopback:
+// three data centres, stand-in backend servers, callers and a platform, a
+// maintenance wave over a pool, and a VM that is lost during the wave.
 package tackdemo
 
 import (
@@ -24,14 +24,14 @@
 const (
 	poolVMs      = 12
 	minAvailable = 8
-	rackVMs      = 2
+	vmsPerRack   = 2
 	callers      = 12
 	callerPause  = 15 * time.Millisecond
-	rebootTakes  = 600 * time.Millisecond
-	requestTakes = 8 * time.Millisecond
-	lostFor      = 4 * time.Second
-	waveLimit    = 45 * time.Second
-	startLimit   = 15 * time.Second
+	rebootTime   = 600 * time.Millisecond
+	requestTime  = 8 * time.Millisecond
+	outageTime   = 4 * time.Second
+	waveTimeout  = 45 * time.Second
+	startTimeout = 15 * time.Second
 	service      = "names-api"
 	pool         = "front"
 )
@@ -39,12 +39,12 @@
 var dataCentres = [...]string{"rennes-a", "quimper", "brest"}
 
 type (
-	// demo is the running system and what was counted of it.
+	// demo is the running system with its measurements.
 	demo struct {
 		out     io.Writer
 		began   time.Time
 		folder  string
-		daemons []*tackstandin.Daemon // for their addresses and calls alone
+		daemons []*tackstandin.Daemon // addresses and clients only: the daemons run in this process
 		ended   []chan error
 		stop    context.CancelFunc
 
@@ -53,23 +53,22 @@
 		balancer tackstandin.Balancer
 		callers  tackstandin.Callers
 		tally    tackstandin.Tally
-		watch    watch
+		monitor  monitor
 		measures measures
 	}
 
-	// BrokenError names the invariants that did not hold.
+	// BrokenError reports the invariants that were violated.
 	BrokenError struct {
 		Invariants []string
 	}
 )
 
-// Error implements error.
 func (e *BrokenError) Error() string {
 	return fmt.Sprintf("tackdemo: %d invariants broke: %q", len(e.Invariants), e.Invariants)
 }
 
-// Run runs the demo, writes its progress and its measures to w, and returns a
-// *BrokenError if an invariant broke.
+// Run runs the demonstration, writes its progress and its measurements to w, and
+// returns a *BrokenError if an invariant was violated.
 func Run(ctx context.Context, w io.Writer) error {
 	folder, err := os.MkdirTemp("", "auburntack-demo")
 	if err != nil {
@@ -79,7 +78,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	d := &demo{out: w, began: time.Now(), folder: folder, stop: stop}
-	d.platform.Reboot = rebootTakes
+	d.platform.Reboot = rebootTime
 	if err := d.platform.Start(); err != nil {
 		return fmt.Errorf("tackdemo: %w", err)
 	}
@@ -91,13 +90,13 @@
 	if err := d.startServers(); err != nil {
 		return err
 	}
-	if err := d.night(ctx); err != nil {
+	if err := d.runScenario(ctx); err != nil {
 		return err
 	}
 	return d.report()
 }
 
-func (d *demo) say(format string, args ...any) {
+func (d *demo) printf(format string, args ...any) {
 	fmt.Fprintf(d.out, "%6.2fs  ", time.Since(d.began).Seconds())
 	fmt.Fprintf(d.out, format+"\n", args...)
 }
@@ -127,7 +126,7 @@
 		d.balancer.Entries = append(d.balancer.Entries, tackstandin.Entry{Caller: daemon.Caller, Operator: daemon.Operator})
 	}
 	d.balancer.Start()
-	return d.await(ctx, startLimit, "every VM of the system to be ready", func() bool {
+	return d.await(ctx, startTimeout, "every VM of the system to be ready", func() bool {
 		return len(d.balancer.Ready()) == len(d.daemons)
 	})
 }
@@ -171,10 +170,10 @@
 			VM:         fmt.Sprintf("w-%d", i+1),
 			Service:    service,
 			DataCentre: daemon.DataCentre,
-			Rack:       fmt.Sprintf("%s-r%d", daemon.DataCentre, i/len(d.daemons)/rackVMs+1),
+			Rack:       fmt.Sprintf("%s-r%d", daemon.DataCentre, i/len(d.daemons)/vmsPerRack+1),
 			Slots:      8,
 			Operators:  []string{daemon.Operator},
-			Delay:      requestTakes,
+			Delay:      requestTime,
 			Tally:      &d.tally,
 		}
 		d.platform.Add(b)
@@ -189,11 +188,12 @@
 			return err
 		}
 	}
-	d.say("%d data centres, %d backend servers, %d callers", len(dataCentres), poolVMs, callers)
+	d.printf("%d data centres, %d backend servers, %d callers", len(dataCentres), poolVMs, callers)
 	return nil
 }
 
-// do has a command accepted.
+// do sends a command to the first daemon and returns an error unless it is
+// accepted.
 func (d *demo) do(command string) (tackstandin.Reply, error) {
 	reply, err := d.daemons[0].Do(command, "")
 	if err == nil && !reply.Accepted {
@@ -202,7 +202,7 @@
 	return reply, err
 }
 
-// count returns how many rows a query gives, -1 where it is not answered.
+// count returns the number of rows of a query, or -1 if it is not answered.
 func (d *demo) count(query string) int {
 	reply, err := d.daemons[1].Ask(query)
 	if err != nil || reply.Rows == nil {
@@ -211,8 +211,8 @@
 	return len(reply.Rows)
 }
 
-func (d *demo) await(ctx context.Context, limit time.Duration, what string, done func() bool) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func (d *demo) await(ctx context.Context, timeout time.Duration, what string, done func() bool) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for !done() {
 		select {
@@ -224,7 +224,8 @@
 	return nil
 }
 
-// stopAll stops the system as planned, then the backend servers.
+// stopAll shuts the daemons down gracefully, then stops the balancer and the
+// backend servers.
 func (d *demo) stopAll() {
 	d.stop()
 	for _, ended := range d.ended {
--- a/io/tackdemo/night.go
+++ b/io/tackdemo/night.go
@@ -7,41 +7,42 @@
 )
 
 const (
-	watchEvery = 50 * time.Millisecond
-	// leavingLimit is how long a leaving backend server may still get work.
-	leavingLimit = 2 * time.Second
+	sampleInterval = 50 * time.Millisecond
+	// leavingGrace is how long a leaving backend server may still receive
+	// requests.
+	leavingGrace = 2 * time.Second
 )
 
 type (
-	// watch looks at the pool from outside, apart from the planner's own
-	// counting, until it is stopped.
-	watch struct {
-		stop     chan struct{}
-		done     chan struct{}
-		looks    int
-		outMost  int
-		outSum   int
-		breaches int
-		pools    int // VMs seen in other than one pool
+	// monitor samples the availability of the pool, independently of the
+	// planner's own counts.
+	monitor struct {
+		stop       chan struct{}
+		done       chan struct{}
+		samples    int
+		maxOut     int // VMs out of service at the same time
+		totalOut   int // sum over all samples
+		breaches   int // samples below the budget
+		poolErrors int // VMs not in exactly one pool, summed over all samples
 	}
 
-	// measures is what the demo ends with.
+	// measures are the measurements of the demonstration.
 	measures struct {
 		rollOut       time.Duration
 		moves         int
-		lostCut       int
-		plannedCut    int
-		stale         int
+		lostCut       int // requests cut by the loss of a VM
+		plannedCut    int // requests cut before that
+		stale         int // failed changes, and daemons not up to date after the answer
 		changes       int
-		changeSlowest time.Duration
-		leavingWork   int
+		slowestChange time.Duration
+		leavingWork   int // requests to a moved VM after leavingGrace
 	}
 )
 
-// night runs a wave over the pool under load, loses a VM in its middle, then
-// moves a VM to another pool.
-func (d *demo) night(ctx context.Context) error {
-	err := d.await(ctx, startLimit, "every backend server to serve", func() bool {
+// runScenario runs a wave over the pool under load, during which it stops a VM,
+// then moves a VM to another pool.
+func (d *demo) runScenario(ctx context.Context) error {
+	err := d.await(ctx, startTimeout, "every backend server to serve", func() bool {
 		return d.count("show vms where health = serving") == poolVMs
 	})
 	if err != nil {
@@ -55,14 +56,14 @@
 	d.callers.Number = callers
 	d.callers.Pause = callerPause
 	d.callers.Start()
-	d.startWatch()
+	d.startMonitor()
 	if err := d.wave(ctx); err != nil {
 		return err
 	}
 	if err := d.move(ctx); err != nil {
 		return err
 	}
-	d.stopWatch()
+	d.stopMonitor()
 	d.callers.Stop()
 	return nil
 }
@@ -73,25 +74,25 @@
 			return err
 		}
 	}
-	d.say("wave night started over %d VMs, budget %d", poolVMs, minAvailable)
-	began := time.Now()
+	d.printf("wave night started over %d VMs, budget %d", poolVMs, minAvailable)
+	start := time.Now()
 	lost := false
-	told := 0
-	err := d.await(ctx, waveLimit, "the wave to finish", func() bool {
+	reported := 0
+	err := d.await(ctx, waveTimeout, "the wave to finish", func() bool {
 		done := d.rebooted()
-		if done/3 > told/3 {
-			d.say("%d of %d VMs rebooted, %d requests answered", done, poolVMs, d.callers.Counts().Answered)
-			told = done
+		if done/3 > reported/3 {
+			d.printf("%d of %d VMs rebooted, %d requests answered", done, poolVMs, d.callers.Counts().Answered)
+			reported = done
 		}
 		d.configure()
 		if !lost && done >= poolVMs/3 {
 			lost = true
-			d.lose()
+			d.loseVM()
 		}
 		return d.count("show waves where state = finished") == 1
 	})
-	d.measures.rollOut = time.Since(began)
-	d.say("wave ended after %.1f s", d.measures.rollOut.Seconds())
+	d.measures.rollOut = time.Since(start)
+	d.printf("wave ended after %.1f s", d.measures.rollOut.Seconds())
 	return err
 }
 
@@ -103,9 +104,9 @@
 	return n
 }
 
-// lose ends a backend server that the wave has not reached, without a word,
-// and starts it again later.
-func (d *demo) lose() {
+// loseVM stops a backend server that the wave has not reached, without an
+// announcement, and restarts it later.
+func (d *demo) loseVM() {
 	for _, b := range d.servers {
 		if d.platform.Times(b.VM) > 0 || d.count("show vms where vm = "+b.VM+" and state = in_service") != 1 {
 			continue
@@ -113,85 +114,86 @@
 		d.measures.plannedCut = d.tally.Cut()
 		b.Stop()
 		d.measures.lostCut = d.tally.Cut() - d.measures.plannedCut
-		d.say("VM %s lost, %d requests cut", b.VM, d.measures.lostCut)
-		time.AfterFunc(lostFor, func() {
+		d.printf("VM %s lost, %d requests cut", b.VM, d.measures.lostCut)
+		time.AfterFunc(outageTime, func() {
 			if b.Start() == nil {
-				d.say("VM %s is back", b.VM)
+				d.printf("VM %s is back", b.VM)
 			}
 		})
 		return
 	}
 }
 
-// configure changes a setting and looks at every VM of the system right after
-// the answer.
+// configure changes a setting and, right after the answer, checks that it is in
+// force on every daemon that the answer does not exclude.
 func (d *demo) configure() {
 	d.measures.changes++
 	value := fmt.Sprintf("v%d", d.measures.changes)
-	began := time.Now()
+	start := time.Now()
 	reply, err := d.do("set config greeting " + value)
 	if err != nil {
 		d.measures.stale++
 		return
 	}
-	d.measures.changeSlowest = max(d.measures.changeSlowest, time.Since(began))
+	d.measures.slowestChange = max(d.measures.slowestChange, time.Since(start))
 	for _, daemon := range d.daemons {
 		got, err := daemon.Ask("show config where key = greeting")
-		excused := false
+		excluded := false
 		for _, p := range reply.NotInForce {
-			excused = excused || p == daemon.ID
+			excluded = excluded || p == daemon.ID
 		}
-		if !excused && (err != nil || len(got.Rows) != 1 || fmt.Sprint(got.Rows[0][1]) != value) {
+		if !excluded && (err != nil || len(got.Rows) != 1 || fmt.Sprint(got.Rows[0][1]) != value) {
 			d.measures.stale++
 		}
 	}
 }
 
-// move gives a VM to another pool and counts the work that it still gets once
-// two seconds have passed.
+// move moves a VM to another pool and counts the requests that it still receives
+// after leavingGrace.
 func (d *demo) move(ctx context.Context) error {
 	b := d.servers[len(d.servers)-1]
 	if _, err := d.do("move vm " + b.VM + " to pool spare"); err != nil {
 		return err
 	}
 	d.measures.moves++
-	err := d.await(ctx, startLimit, "the move", func() bool {
+	err := d.await(ctx, startTimeout, "the move", func() bool {
 		return d.count("show vms where vm = "+b.VM+" and pool = spare and state = in_service") == 1
 	})
 	if err != nil {
 		return err
 	}
-	time.Sleep(leavingLimit)
+	time.Sleep(leavingGrace)
 	before := b.Served()
-	time.Sleep(leavingLimit / 2)
+	time.Sleep(leavingGrace / 2)
 	d.measures.leavingWork = b.Served() - before
-	d.say("VM %s moved to pool spare", b.VM)
+	d.printf("VM %s moved to pool spare", b.VM)
 	return nil
 }
 
-func (d *demo) startWatch() {
-	d.watch.stop = make(chan struct{})
-	d.watch.done = make(chan struct{})
+func (d *demo) startMonitor() {
+	d.monitor.stop = make(chan struct{})
+	d.monitor.done = make(chan struct{})
 	go func() {
-		defer close(d.watch.done)
+		defer close(d.monitor.done)
 		for {
 			select {
-			case <-d.watch.stop:
+			case <-d.monitor.stop:
 				return
-			case <-time.After(watchEvery):
-				d.look()
+			case <-time.After(sampleInterval):
+				d.sample()
 			}
 		}
 	}()
 }
 
-func (d *demo) stopWatch() {
-	close(d.watch.stop)
-	<-d.watch.done
+func (d *demo) stopMonitor() {
+	close(d.monitor.stop)
+	<-d.monitor.done
 }
 
-// look counts, by the backend servers themselves, how many VMs can take work.
-func (d *demo) look() {
+// sample counts the VMs that can receive requests, by the state of the stand-in
+// backend servers instead of the health that the system reports.
+func (d *demo) sample() {
 	reply, err := d.daemons[2].Ask("show vms")
 	if err != nil {
 		return
@@ -213,16 +215,16 @@
 			available++
 		}
 	}
-	w := &d.watch
-	w.looks++
-	w.outMost = max(w.outMost, out)
-	w.outSum += out
+	m := &d.monitor
+	m.samples++
+	m.maxOut = max(m.maxOut, out)
+	m.totalOut += out
 	if available < minAvailable {
-		w.breaches++
+		m.breaches++
 	}
 	for _, n := range pools {
 		if n != 1 {
-			w.pools++
+			m.poolErrors++
 		}
 	}
 }
