--- a/cmd/auburntackd/failure_test.go
+++ b/cmd/auburntackd/failure_test.go
@@ -181,7 +181,7 @@
 
 // Guards against accepted changes that are lost after one disk is replaced and
 // another VM fails. A replica is killed and its data folder removed, it restarts
-// empty and catches up; then another replica is killed for good. An emptied
+// empty and catches up; then another replica is killed permanently. An emptied
 // replica must not vote as if it had never stored anything, and the leader must
 // not count it before it has caught up.
 func TestLostDiskThenLostVM(t *testing.T) {
--- a/io/tackstandin/platform.go
+++ b/io/tackstandin/platform.go
@@ -133,8 +133,8 @@
 
 func (p *Platform) reboot(vm *platformVM) {
 	defer p.running.Done()
-	for _, m := range vm.processes {
-		m.Stop()
+	for _, proc := range vm.processes {
+		proc.Stop()
 	}
 	time.Sleep(p.Reboot)
 	p.mu.Lock()
@@ -143,8 +143,8 @@
 		vm.state = "failed"
 		return
 	}
-	for _, m := range vm.processes {
-		if m.Start() != nil {
+	for _, proc := range vm.processes {
+		if proc.Start() != nil {
 			vm.state = "failed"
 			return
 		}
