--- a/cmd/auburntackd/config_bench_test.go
+++ b/cmd/auburntackd/config_bench_test.go
@@ -19,7 +19,7 @@
 func BenchmarkSetConfig(b *testing.B) {
 	sites := []struct {
 		name   string
-		places []tackstandin.Place
+		places []tackstandin.DaemonSpec
 	}{
 		{"3", places(3, "rennes-a", "quimper", "brest")},
 		{"8", places(5, "rennes-a", "rennes-b", "quimper", "brest", "rennes-a", "rennes-b", "quimper", "brest")},
@@ -38,17 +38,17 @@
 
 // places returns one place in each of the data centres. The first replicas of
 // them are voting replicas.
-func places(replicas int, in ...string) []tackstandin.Place {
-	var all []tackstandin.Place
+func places(replicas int, in ...string) []tackstandin.DaemonSpec {
+	var all []tackstandin.DaemonSpec
 	for i, dc := range in {
-		all = append(all, tackstandin.Place{DataCentre: dc, Replica: i < replicas})
+		all = append(all, tackstandin.DaemonSpec{DataCentre: dc, Replica: i < replicas})
 	}
 	return all
 }
 
 // newCluster starts one daemon for each place and returns the leader and the
 // last of the others.
-func newCluster(b *testing.B, places []tackstandin.Place) (leader, other *tackstandin.Daemon) {
+func newCluster(b *testing.B, places []tackstandin.DaemonSpec) (leader, other *tackstandin.Daemon) {
 	b.Helper()
 	daemons, err := tackstandin.NewCluster(binary, b.TempDir(), "", places)
 	if err != nil {
--- a/cmd/auburntackd/faults_test.go
+++ b/cmd/auburntackd/faults_test.go
@@ -132,8 +132,8 @@
 				b.Log("answered did_not_run but ran:", body)
 			}
 		}
-		doubled += int64(s.tally.DoubledKeys())
-		mixed += int64(counts.Mixed)
+		doubled += int64(s.tally.RepeatedKeys())
+		mixed += int64(counts.Mismatched)
 		stale += o.stale.Load()
 		reads += o.reads.Load()
 		sent += int64(counts.Sent)
--- a/cmd/auburntackd/keyed_load_test.go
+++ b/cmd/auburntackd/keyed_load_test.go
@@ -123,7 +123,7 @@
 	load.running.Wait()
 	t.Logf("%d keys answered, %d answers with outcome unknown", len(load.answered), load.unknown)
 	Convey("No key ran twice or got two different answers, and no refused key ran", t, func() {
-		So(s.tally.DoubledKeys(), ShouldEqual, 0)
+		So(s.tally.RepeatedKeys(), ShouldEqual, 0)
 		So(load.changed, ShouldBeEmpty)
 		for key, refused := range load.refused {
 			if refused {
--- a/cmd/auburntackd/main.go
+++ b/cmd/auburntackd/main.go
@@ -20,7 +20,7 @@
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	d := tackserve.Daemon{
 		Stdout: os.Stdout, Stderr: os.Stderr, Signals: signals, Run: tackvm.Run,
-		More: []*cobra.Command{platformCommand(signals)},
+		ExtraCommands: []*cobra.Command{platformCommand(signals)},
 	}
 	os.Exit(d.Main(os.Args[1:]))
 }
--- a/cmd/auburntackd/member_test.go
+++ b/cmd/auburntackd/member_test.go
@@ -18,7 +18,7 @@
 	s := newSite(t, 2)
 	s.do(t, "set config colour red")
 	leader, others := s.leader(t)
-	added, err := tackstandin.Joining(s.daemons, "", tackstandin.Place{DataCentre: "quimper", Replica: true})
+	added, err := tackstandin.NewMember(s.daemons, "", tackstandin.DaemonSpec{DataCentre: "quimper", Replica: true})
 	must(t, err)
 	join := fmt.Sprintf("add peer %s address %s data_centre quimper replica ", added.ID, added.Peer)
 	s.acceptedBy(t, others[0], join+"no", "")
--- a/cmd/auburntackd/path_test.go
+++ b/cmd/auburntackd/path_test.go
@@ -51,7 +51,7 @@
 	platform tackstandin.Platform
 	balancer tackstandin.Balancer
 	tally    tackstandin.Tally
-	network  *tackstandin.Wires
+	network  *tackstandin.Network
 }
 
 // newSite starts three replicas in two data centres and n VMs with a backend
@@ -63,13 +63,13 @@
 	t.Cleanup(s.platform.Stop)
 	settings := fmt.Sprintf("[platform]\naddress = %s\n[wave]\nsettle_ms = 300\nreboot_ms = 1000\nprefer = time\n[stop]\nlinger_ms = 500\n[log]\nlevel = info\n", s.platform.Address())
 	var err error
-	s.daemons, err = tackstandin.NewCluster(binary, t.TempDir(), settings, []tackstandin.Place{
+	s.daemons, err = tackstandin.NewCluster(binary, t.TempDir(), settings, []tackstandin.DaemonSpec{
 		{DataCentre: "rennes-a", Replica: true},
 		{DataCentre: "brest", Replica: true},
 		{DataCentre: "rennes-a", Replica: true},
 	})
 	must(t, err)
-	s.network, err = tackstandin.Rewire(s.daemons, settings)
+	s.network, err = tackstandin.UseProxies(s.daemons, settings)
 	must(t, err)
 	t.Cleanup(s.network.Close)
 	s.startDaemons(t)
@@ -188,7 +188,7 @@
 	So(c.Sent, ShouldBeGreaterThan, 100)
 	So(c.Answered, ShouldEqual, c.Sent)
 	So(s.tally.Cut(), ShouldEqual, 0)
-	So(s.tally.DoubledKeys(), ShouldEqual, 0)
+	So(s.tally.RepeatedKeys(), ShouldEqual, 0)
 }
 
 // Guards against requests that fail or are cut during a maintenance wave. A wave
@@ -212,7 +212,7 @@
 	Convey("Every request is answered and every VM rebooted once", t, func() {
 		s.assertAllAnswered(counts)
 		for _, b := range s.servers {
-			So(s.platform.Times(b.VM), ShouldEqual, 1)
+			So(s.platform.Restarts(b.VM), ShouldEqual, 1)
 		}
 		So(s.rows(t, "show vms where state = in_service"), ShouldHaveLength, 6)
 	})
--- a/cmd/auburntackd/task_test.go
+++ b/cmd/auburntackd/task_test.go
@@ -18,7 +18,7 @@
 		w := &tackstandin.Worker{
 			Name: fmt.Sprintf("b-%d", i), DataCentre: "rennes-a", Rack: fmt.Sprint("r", i), Cores: 4, MemoryMB: 8000,
 			Operators: []string{s.daemons[0].Operator, s.daemons[2].Operator},
-			Takes:     3 * time.Second, Saving: 50 * time.Millisecond, Lag: time.Second, Tally: tally,
+			TaskTime:  3 * time.Second, CheckpointTime: 50 * time.Millisecond, UsageAge: time.Second, Tally: tally,
 		}
 		s.platform.AddWorker(w)
 		must(t, w.Start())
@@ -55,7 +55,7 @@
 	done := len(s.rows(t, "show tasks where state = done"))
 	t.Logf("%d of %d tasks done", done, tasks)
 	Convey("No task has two leases or is cut, and no task that is not idempotent runs twice", t, func() {
-		So(tally.Doubled(), ShouldEqual, 0)
+		So(tally.OverlappingLeases(), ShouldEqual, 0)
 		So(tally.Cut(), ShouldEqual, 0)
 		for i := range tasks {
 			name := fmt.Sprintf("job-%02d", i)
--- a/cmd/tacksoak/main.go
+++ b/cmd/tacksoak/main.go
@@ -63,11 +63,11 @@
 			return err
 		}
 		fmt.Printf("seed %d: %d faults, %d jobs accepted, %d starts, %d answers checked, %d jobs given up, %d broken\n",
-			cfg.Seed, result.Faults, result.Accepted, result.Starts, result.Checked, result.GivenUp, len(result.Broken))
-		for _, b := range result.Broken {
+			cfg.Seed, result.Faults, result.Accepted, result.Starts, result.Checked, result.GivenUp, len(result.Violations))
+		for _, b := range result.Violations {
 			fmt.Println("  broken at", b)
 		}
-		if len(result.Broken) > 0 {
+		if len(result.Violations) > 0 {
 			failedSeeds++
 			fmt.Println("  logs in", folder)
 		} else if err := os.RemoveAll(folder); err != nil {
--- a/cmd/tacksoak/soak_test.go
+++ b/cmd/tacksoak/soak_test.go
@@ -46,7 +46,7 @@
 			if err != nil {
 				t.Fatalf("%v\n%s", err, out.Bytes())
 			}
-			for _, b := range result.Broken {
+			for _, b := range result.Violations {
 				t.Errorf("seed %d: %s", s.seed, b)
 			}
 			if result.Accepted == 0 || result.Starts == 0 {
--- a/io/tackcontrol/control.go
+++ b/io/tackcontrol/control.go
@@ -47,10 +47,10 @@
 	Config struct {
 		Self       tackid.Peer
 		DataCentre tackid.DataCentre
-		// Links is the port of the links between control VMs, Inner that of the calls from
+		// LinkPort is the port of the links between control VMs, Inner that of the calls from
 		// entry VMs. They are the same on all control VMs.
-		Links int
-		Inner int
+		LinkPort    int
+		ForwardPort int
 		// Seeds returns the control VMs that existed when the settings were written. With
 		// Bootstrap they are those of the initial start of the system.
 		Seeds     func() []tackid.Peer
@@ -62,14 +62,14 @@
 		// a new leader waits before it gives orders for a VM for which the previous leader
 		// may have given some.
 		Handover tackclock.Duration
-		// KeepClosed is how long a closed job can still be looked up.
-		KeepClosed tackclock.Duration
+		// ClosedRetention is how long a closed job can still be looked up.
+		ClosedRetention tackclock.Duration
 		// CallsPerSecond is the rate of orders that the platform accepts for the VMs of all
 		// pools together; zero means no limit.
 		CallsPerSecond float64
-		// RelayFrom is the number of workers from which on they report to control VMs other
+		// RelayThreshold is the number of workers from which on they report to control VMs other
 		// than the leader; zero means 1000.
-		RelayFrom int
+		RelayThreshold int
 		// Files is the file system of the data folder; nil means that of the operating
 		// system.
 		Files    tackdisk.Files
@@ -152,8 +152,8 @@
 		dispatch:  tackdispatch.New(cfg.Dispatch),
 		moveSlots: make(chan struct{}, maxMovesInFlight),
 	}
-	c.cfg.RelayFrom = cmp.Or(cfg.RelayFrom, defaultRelayFrom)
-	c.state.ClosedRetention = cfg.KeepClosed
+	c.cfg.RelayThreshold = cmp.Or(cfg.RelayThreshold, defaultRelayFrom)
+	c.state.ClosedRetention = cfg.ClosedRetention
 	c.orders.perSecond = cfg.CallsPerSecond
 	stored, err := c.openDisk()
 	if err != nil {
--- a/io/tackcontrol/control_test.go
+++ b/io/tackcontrol/control_test.go
@@ -134,8 +134,8 @@
 	c.t.Helper()
 	c.disks[p] = new(fillingDisk)
 	control, err := tackcontrol.New(tackcontrol.Config{
-		Files: c.disks[p], RelayFrom: c.relayFrom,
-		Self: p, Links: c.links, Inner: c.links + 1, Seeds: c.seedPeers, Bootstrap: bootstrap, Voters: 3,
+		Files: c.disks[p], RelayThreshold: c.relayFrom,
+		Self: p, LinkPort: c.links, ForwardPort: c.links + 1, Seeds: c.seedPeers, Bootstrap: bootstrap, Voters: 3,
 		Folder: filepath.Join(c.folder, string(p)), Cloud: noCloud{}, Clock: new(tackclock.Clock), Logger: c.log,
 	})
 	if err != nil {
@@ -162,9 +162,9 @@
 func (c *cluster) join(ctx context.Context, p tackid.Peer, control *tackcontrol.Control) {
 	for ctx.Err() == nil {
 		if !control.Member() {
-			for _, o := range control.Others() {
+			for _, o := range control.JoinTargets() {
 				if known, err := c.client.Join(ctx, o, p, ""); err == nil {
-					control.Meet(known)
+					control.AddPeers(known)
 				}
 			}
 		}
--- a/io/tackcontrol/disk.go
+++ b/io/tackcontrol/disk.go
@@ -65,7 +65,7 @@
 		return false, nil
 	}
 	c.mu.Lock()
-	c.state = tackwork.State{ClosedRetention: c.cfg.KeepClosed}
+	c.state = tackwork.State{ClosedRetention: c.cfg.ClosedRetention}
 	c.snapshotAt = 0
 	err = c.restore(stored)
 	c.mu.Unlock()
--- a/io/tackcontrol/jobs.go
+++ b/io/tackcontrol/jobs.go
@@ -34,8 +34,8 @@
 	return a
 }
 
-// Lead tells an entry VM whether this VM is the leader, and otherwise which one is.
-func (c *Control) Lead() tackwork.Answer {
+// LeaderStatus tells an entry VM whether this VM is the leader, and otherwise which one is.
+func (c *Control) LeaderStatus() tackwork.Answer {
 	if _, leads := c.leads(c.clock.Now()); !leads {
 		return c.notLeader()
 	}
--- a/io/tackcontrol/members.go
+++ b/io/tackcontrol/members.go
@@ -47,8 +47,8 @@
 	})
 }
 
-// Meet links this VM with control VMs that it was told of.
-func (c *Control) Meet(peers []tackid.Peer) {
+// AddPeers links this VM with control VMs that it was told of.
+func (c *Control) AddPeers(peers []tackid.Peer) {
 	c.loop.Post(context.Background(), func() {
 		if c.members.known == nil {
 			c.members.known = make(map[tackid.Peer]bool)
@@ -87,7 +87,7 @@
 	add := func(p tackid.Peer, address string) {
 		if !added[p] {
 			added[p] = true
-			list = append(list, tackpeer.Peer{ID: p, Address: address, Answering: learners[c.cfg.Self] && learners[p]})
+			list = append(list, tackpeer.Peer{ID: p, Address: address, DialBack: learners[c.cfg.Self] && learners[p]})
 		}
 	}
 	for _, m := range members {
@@ -195,8 +195,8 @@
 	})
 }
 
-// Others returns the control VMs that this one may ask to add it as a member.
-func (c *Control) Others() []tackid.Peer {
+// JoinTargets returns the control VMs that this one may ask to add it as a member.
+func (c *Control) JoinTargets() []tackid.Peer {
 	list := c.cfg.Seeds()
 	for _, p := range c.Peers() {
 		if !slices.Contains(list, p) {
--- a/io/tackcontrol/members_test.go
+++ b/io/tackcontrol/members_test.go
@@ -23,7 +23,7 @@
 	}
 	n := 0
 	for _, p := range c.peers(list) {
-		if !p.Answering {
+		if !p.DialBack {
 			n++
 		}
 	}
@@ -48,7 +48,7 @@
 	seeds := func() []tackid.Peer { return []tackid.Peer{controlVM(0), controlVM(1)} }
 	c := &Control{cfg: Config{Self: controlVM(9), Seeds: seeds}}
 	for _, p := range c.peers([]tackreplica.Member{{Peer: controlVM(0), Voter: true}, {Peer: controlVM(5)}}) {
-		if p.Answering {
+		if p.DialBack {
 			t.Errorf("a VM that is not a member yet does not connect to %s", p.ID)
 		}
 	}
--- a/io/tackcontrol/propose.go
+++ b/io/tackcontrol/propose.go
@@ -237,5 +237,5 @@
 
 // linkAddress returns the address on which a peer's links listen.
 func (c *Control) linkAddress(p tackid.Peer) string {
-	return addressOf(p, c.cfg.Links)
+	return addressOf(p, c.cfg.LinkPort)
 }
--- a/io/tackcontrol/relay.go
+++ b/io/tackcontrol/relay.go
@@ -85,7 +85,7 @@
 		if a.Problem != "" {
 			return Reply{}, &tackdispatch.ForeignError{Worker: r.Worker, Problem: a.Problem}
 		}
-		return Reply{Orders: a.Orders, Ask: a.NextPeer}, nil
+		return Reply{Orders: a.Orders, NextPeer: a.NextPeer}, nil
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -174,7 +174,7 @@
 	var foreign *tackdispatch.ForeignError
 	switch {
 	case err == nil:
-		a.Orders, a.NextPeer = reply.Orders, reply.Ask
+		a.Orders, a.NextPeer = reply.Orders, reply.NextPeer
 	case errors.As(err, &foreign):
 		a.Problem = foreign.Problem
 	default:
@@ -202,9 +202,9 @@
 // updateRelays decides whether workers report to relays. The caller holds mu.
 func (c *Control) updateRelays(now tackclock.Time) {
 	before, workers := c.roster.Enabled(), c.dispatch.Workers()
-	c.roster.Update(workers, c.cfg.RelayFrom, c.dispatch.EarlierLeasesEnded(now))
+	c.roster.Update(workers, c.cfg.RelayThreshold, c.dispatch.EarlierLeasesEnded(now))
 	if on := c.roster.Enabled(); on != before {
-		c.log.WithField("workers", workers).WithField("from", c.cfg.RelayFrom).WithField("relays", on).Info("relaying of reports changed")
+		c.log.WithField("workers", workers).WithField("from", c.cfg.RelayThreshold).WithField("relays", on).Info("relaying of reports changed")
 		for _, p := range c.roster.Live(now) { // they must know before the first worker reports to them
 			c.sendAnswers(p, tackrelay.Answers{On: on})
 		}
--- a/io/tackcontrol/waves.go
+++ b/io/tackcontrol/waves.go
@@ -46,8 +46,8 @@
 	// CloudError reports a call that the platform certainly did not carry out. Gone says that
 	// there is no such VM, or that it is not part of the wave.
 	CloudError struct {
-		Reason string
-		Gone   bool
+		Reason   string
+		NotFound bool
 	}
 
 	upkeep struct {
@@ -163,7 +163,7 @@
 	now := c.clock.Now()
 	c.log.WithFields(logrus.Fields{"vm": string(vm), "wave": int64(wave), "fence": order.Fence}).WithError(err).Info("upkeep ordered")
 	var refused *CloudError
-	started := err == nil || errors.As(err, &refused) && refused.Gone
+	started := err == nil || errors.As(err, &refused) && refused.NotFound
 	c.mu.Lock()
 	if uint64(c.dispatchTerm) == order.Fence {
 		c.dispatch.UpkeepCalled(now, vm, err == nil, refused != nil)
--- a/io/tackcontrol/worker_test.go
+++ b/io/tackcontrol/worker_test.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return
 	}
-	w.ask = reply.Ask
+	w.ask = reply.NextPeer
 	o := reply.Orders
 	kept := w.ended[:0]
 	for _, e := range w.ended {
@@ -54,7 +54,7 @@
 	_, err := w.control.Heartbeat(context.Background(), &tackdispatch.Report{
 		Worker: w.id, VM: tackid.VM("m-" + string(w.id)), Service: "names-api", Sequence: w.sequence,
 	})
-	return !errors.As(err, new(*tackcontrol.ElsewhereError))
+	return !errors.As(err, new(*tackcontrol.NotLeaderError))
 }
 
 // Guards against an item that crashes its workers and is started again after each election.
--- a/io/tackcontrol/workers.go
+++ b/io/tackcontrol/workers.go
@@ -13,22 +13,22 @@
 	// Reply is the answer to a worker's report.
 	Reply struct {
 		Orders tackdispatch.Orders
-		// Ask is the control VM to which the worker must send its next report.
-		Ask tackid.Peer
+		// NextPeer is the control VM to which the worker must send its next report.
+		NextPeer tackid.Peer
 	}
 
-	// ElsewhereError reports that this VM is not the leader and does not forward reports to
+	// NotLeaderError reports that this VM is not the leader and does not forward reports to
 	// it.
-	ElsewhereError struct{}
+	NotLeaderError struct{}
 )
 
 // Error implements error.
-func (*ElsewhereError) Error() string {
+func (*NotLeaderError) Error() string {
 	return "this VM does not lead"
 }
 
 // Heartbeat handles a worker's report and returns its orders. The error is an
-// *ElsewhereError, a *BusyError, or a *tackdispatch.ForeignError if the report is not from a
+// *NotLeaderError, a *BusyError, or a *tackdispatch.ForeignError if the report is not from a
 // worker that may be used; such a report changes nothing.
 func (c *Control) Heartbeat(ctx context.Context, r *tackdispatch.Report) (Reply, error) {
 	now := c.clock.Now()
@@ -39,14 +39,14 @@
 }
 
 // decide answers a report that the relay by has forwarded, or that came directly if by is
-// empty. The error is an *ElsewhereError or a *tackdispatch.ForeignError.
+// empty. The error is an *NotLeaderError or a *tackdispatch.ForeignError.
 func (c *Control) decide(r *tackdispatch.Report, by tackid.Peer) (Reply, error) {
 	now := c.clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	term, leads := c.leads(now)
 	if !leads || c.dispatchTerm != term {
-		return Reply{}, &ElsewhereError{}
+		return Reply{}, &NotLeaderError{}
 	}
 	if !c.dispatch.Knows(r.Worker) && !c.poolExists(r.Service) {
 		return Reply{}, &tackdispatch.ForeignError{
@@ -64,10 +64,10 @@
 	// If the lease expired in the meantime, another leader may already have taken over. What
 	// dispatch has recorded is corrected by the next heartbeat.
 	if _, leads := c.leads(c.clock.Now()); !leads {
-		return Reply{}, &ElsewhereError{}
+		return Reply{}, &NotLeaderError{}
 	}
 	ask := c.roster.Choose(now, r.Worker.Name(), r.Zone, by)
-	return Reply{Orders: orders, Ask: cmp.Or(ask, c.cfg.Self)}, nil
+	return Reply{Orders: orders, NextPeer: cmp.Or(ask, c.cfg.Self)}, nil
 }
 
 // poolExists reports whether the catalog names the service, or an earlier catalog did and
--- a/io/tackdemo/night.go
+++ b/io/tackdemo/night.go
@@ -99,7 +99,7 @@
 func (d *demo) rebooted() int {
 	n := 0
 	for _, b := range d.servers {
-		n += min(d.platform.Times(b.VM), 1)
+		n += min(d.platform.Restarts(b.VM), 1)
 	}
 	return n
 }
@@ -108,7 +108,7 @@
 // announcement, and restarts it later.
 func (d *demo) loseVM() {
 	for _, b := range d.servers {
-		if d.platform.Times(b.VM) > 0 || d.count("show vms where vm = "+b.VM+" and state = in_service") != 1 {
+		if d.platform.Restarts(b.VM) > 0 || d.count("show vms where vm = "+b.VM+" and state = in_service") != 1 {
 			continue
 		}
 		d.measures.plannedCut = d.tally.Cut()
--- a/io/tackdemo/report.go
+++ b/io/tackdemo/report.go
@@ -21,7 +21,7 @@
 	fmt.Fprintf(d.out, "  buffer cost     %d VMs out at most, %.1f on average\n", mon.maxOut, float64(mon.totalOut)/float64(max(mon.samples, 1)))
 	fmt.Fprintf(d.out, "  roll-out time   %.1f s for %d VMs\n", m.rollOut.Seconds(), poolVMs)
 	fmt.Fprintf(d.out, "  moves           %d VMs, 0 tasks\n", m.moves)
-	fmt.Fprintf(d.out, "  requests        p50 %v, p99 %v\n\ninvariants\n", d.callers.Took(0.5).Round(time.Millisecond/10), d.callers.Took(0.99).Round(time.Millisecond/10))
+	fmt.Fprintf(d.out, "  requests        p50 %v, p99 %v\n\ninvariants\n", d.callers.Latency(0.5).Round(time.Millisecond/10), d.callers.Latency(0.99).Round(time.Millisecond/10))
 	var broken []string
 	for _, i := range d.invariants() {
 		state := "held"
@@ -54,7 +54,7 @@
 	unknown := len(slices.Compact(c.OutcomeUnknown))
 	notOnce := 0
 	for _, b := range d.servers {
-		if d.platform.Times(b.VM) != 1 {
+		if d.platform.Restarts(b.VM) != 1 {
 			notOnce++
 		}
 	}
@@ -62,9 +62,9 @@
 		{"availability budget", fmt.Sprintf("%d looks, %d below %d", mon.samples, mon.breaches, minAvailable), mon.breaches == 0 && mon.samples > 0},
 		{"a VM is in exactly one pool", fmt.Sprintf("%d otherwise", mon.poolErrors), mon.poolErrors == 0},
 		{"one whole answer for each request", fmt.Sprintf("%d sent, %d answered, %d refused, %d unknown, %d broken", c.Sent, c.Answered, c.Refused, c.Unknown, c.Broken), c.Broken == 0 && unknown <= m.lostCut && c.Sent > 0},
-		{"never part of another's answer", fmt.Sprintf("%d mixed", c.Mixed), c.Mixed == 0},
+		{"never part of another's answer", fmt.Sprintf("%d mixed", c.Mismatched), c.Mismatched == 0},
 		{"did_not_run did not run", fmt.Sprintf("%d said, %d ran", c.Refused, falseRefusals), falseRefusals == 0},
-		{"work with a key runs at most once", fmt.Sprintf("%d doubled", d.tally.DoubledKeys()), d.tally.DoubledKeys() == 0},
+		{"work with a key runs at most once", fmt.Sprintf("%d doubled", d.tally.RepeatedKeys()), d.tally.RepeatedKeys() == 0},
 		{"no work for a VM that left, after 2 s", fmt.Sprintf("%d requests", m.leavingWork), m.leavingWork == 0},
 		{"a planned stop cuts nothing", fmt.Sprintf("%d cut, and %d by the VM that was lost", planned, m.lostCut), planned == 0},
 		{"every VM maintained once", fmt.Sprintf("%d otherwise", notOnce), notOnce == 0},
--- a/io/tackforward/server.go
+++ b/io/tackforward/server.go
@@ -28,8 +28,8 @@
 	// Control is a control VM as entry VMs and other control VMs call it.
 	Control interface {
 		Do(ctx context.Context, r *tackwork.Request) tackwork.Answer
-		// Lead returns Done on the leader; other VMs name the leader.
-		Lead() tackwork.Answer
+		// LeaderStatus returns Done on the leader; other VMs name the leader.
+		LeaderStatus() tackwork.Answer
 		Join(p tackid.Peer, dc tackid.DataCentre)
 		Peers() []tackid.Peer
 		Leader() tackid.Peer
@@ -83,7 +83,7 @@
 }
 
 func (h *handler) leader(w http.ResponseWriter, _ *http.Request) {
-	h.write(w, h.control.Lead())
+	h.write(w, h.control.LeaderStatus())
 }
 
 func (h *handler) read(w http.ResponseWriter, r *http.Request, into any) bool {
--- a/io/tackhttp/attempt.go
+++ b/io/tackhttp/attempt.go
@@ -65,8 +65,8 @@
 func (a *attempt) run() *failure {
 	c := a.call
 	c.h.meters.dispatches.Inc(1)
-	a.timer = time.AfterFunc(c.h.limits.DialTimeout.Std()+c.h.limits.BodyWait.Std(), a.timerExpired)
-	a.resetTimer(c.h.limits.DialTimeout + c.h.limits.BodyWait)
+	a.timer = time.AfterFunc(c.h.limits.DialTimeout.Std()+c.h.limits.BodyTimeout.Std(), a.timerExpired)
+	a.resetTimer(c.h.limits.DialTimeout + c.h.limits.BodyTimeout)
 	resp, err := c.h.sender.transport(c).RoundTrip(a.request())
 	if err != nil && a.canReconnect() {
 		resp, err = c.h.sender.noReuse.RoundTrip(a.request())
@@ -263,7 +263,7 @@
 	a.buf = a.call.h.buffers.Get().(*[bufferSize]byte)
 	n, err := 0, error(nil)
 	for err == nil && n < bufferSize && (n == 0 || resp.ContentLength > int64(n) && resp.ContentLength <= bufferSize) {
-		a.resetTimer(a.call.h.limits.BodyWait)
+		a.resetTimer(a.call.h.limits.BodyTimeout)
 		var m int
 		m, err = resp.Body.Read(a.buf[n:])
 		n += m
--- a/io/tackhttp/body.go
+++ b/io/tackhttp/body.go
@@ -98,7 +98,7 @@
 
 // Read implements io.Reader.
 func (s *deadlineReader) Read(p []byte) (int, error) {
-	wait := min(s.call.h.limits.BodyWait, s.call.timeLeft())
+	wait := min(s.call.h.limits.BodyTimeout, s.call.timeLeft())
 	s.rc.SetReadDeadline(time.Now().Add(wait.Std()))
 	return s.call.r.Body.Read(p)
 }
@@ -143,7 +143,7 @@
 	}
 	c := s.attempt.call
 	c.bodyRead.Store(true)
-	wait := c.h.limits.BodyWait
+	wait := c.h.limits.BodyTimeout
 	s.attempt.resetTimer(2 * wait)
 	s.rc.SetReadDeadline(time.Now().Add(wait.Std()))
 	n, err := c.r.Body.Read(p)
--- a/io/tackhttp/call.go
+++ b/io/tackhttp/call.go
@@ -307,8 +307,8 @@
 		Outcome:    c.outcome,
 		Status:     c.status,
 		Late:       now.After(c.deadline),
-		Gone:       c.callerGone || c.r.Context().Err() != nil,
-		Took:       took,
+		CallerGone: c.callerGone || c.r.Context().Err() != nil,
+		Latency:    took,
 		Dispatches: c.tries,
 	})
 }
--- a/io/tackhttp/callers_test.go
+++ b/io/tackhttp/callers_test.go
@@ -161,7 +161,7 @@
 func TestSlowCallersAreCut(t *testing.T) {
 	backend := newScriptedBackend(t, echo)
 	limits := shortLimits()
-	limits.HeaderWait = 200 * tackclock.Millisecond
+	limits.HeaderTimeout = 200 * tackclock.Millisecond
 	e := newEntry(t, Config{Limits: limits}, backend.address)
 	if got := exchange(t, e.address, "GET /names HTTP/1.1\r\nHost:"); strings.Contains(got, "200") {
 		t.Errorf("half a header got %q", got)
@@ -249,7 +249,7 @@
 			io.CopyN(c, zeros{}, size/2)
 		}
 	})
-	e := newEntry(t, Config{Limits: Limits{BodyWait: 2 * tackclock.Second}}, backend.address)
+	e := newEntry(t, Config{Limits: Limits{BodyTimeout: 2 * tackclock.Second}}, backend.address)
 	c, err := net.Dial("tcp", e.address)
 	if err != nil {
 		t.Fatal(err)
--- a/io/tackhttp/deliver.go
+++ b/io/tackhttp/deliver.go
@@ -104,7 +104,7 @@
 			// The length is unknown: pass on each part as it arrives.
 			rc.Flush()
 		}
-		a.resetTimer(c.h.limits.BodyWait)
+		a.resetTimer(c.h.limits.BodyTimeout)
 		n, err := a.resp.Body.Read(a.buf[:])
 		a.timer.Stop() // while the caller receives
 		if n > 0 && !c.write(a.buf[:n]) {
--- a/io/tackhttp/handler.go
+++ b/io/tackhttp/handler.go
@@ -58,23 +58,23 @@
 		Outcome    tackledger.Outcome
 		Status     int
 		Late       bool // ended after the caller's deadline
-		Gone       bool // the caller closed its connection before the end
-		Took       tackclock.Duration
+		CallerGone bool // the caller closed its connection before the end
+		Latency    tackclock.Duration
 		Dispatches int // number of times it was sent to a backend server
 	}
 
 	// Config configures a Handler. Self and Routes must be set. Without a
 	// Ledger, requests with a key are refused.
 	Config struct {
-		Self     tackid.Peer
-		Home     tackid.DataCentre
-		Clock    *tackclock.Clock
-		Limits   Limits
-		Admit    tacklimit.Settings
-		Retry    tackretry.Settings
-		Logger   logrus.FieldLogger
-		Registry metrics.Registry
-		Ledger   Ledger
+		Self      tackid.Peer
+		Home      tackid.DataCentre
+		Clock     *tackclock.Clock
+		Limits    Limits
+		Admission tacklimit.Settings
+		Retry     tackretry.Settings
+		Logger    logrus.FieldLogger
+		Registry  metrics.Registry
+		Ledger    Ledger
 		// Routes returns the current routing table, or nil if there is none.
 		Routes func() *tackroute.Table
 		// Ready reports whether requests are accepted; nil means always. It
@@ -181,10 +181,10 @@
 	return loads
 }
 
-// Leave makes every further answer ask its caller to close the connection, so
+// DisableKeepAlives makes every further answer ask its caller to close the connection, so
 // that callers reconnect through the load balancer. Requests are still
 // accepted.
-func (h *Handler) Leave() {
+func (h *Handler) DisableKeepAlives() {
 	h.closeConns.Store(true)
 }
 
--- a/io/tackhttp/harness_test.go
+++ b/io/tackhttp/harness_test.go
@@ -215,7 +215,7 @@
 // shortLimits returns limits with short timeouts.
 func shortLimits() Limits {
 	return Limits{
-		BodyWait:         500 * tackclock.Millisecond,
+		BodyTimeout:      500 * tackclock.Millisecond,
 		FirstByteTimeout: 500 * tackclock.Millisecond,
 		DialTimeout:      500 * tackclock.Millisecond,
 	}
--- a/io/tackhttp/keyed.go
+++ b/io/tackhttp/keyed.go
@@ -130,7 +130,7 @@
 	collected := slices.Clone(a.body)
 	limit := c.h.limits.RecordBody
 	for len(collected) <= limit {
-		a.resetTimer(c.h.limits.BodyWait)
+		a.resetTimer(c.h.limits.BodyTimeout)
 		n, err := a.resp.Body.Read(a.buf[:])
 		collected = append(collected, a.buf[:n]...)
 		if errors.Is(err, io.EOF) {
--- a/io/tackhttp/limits.go
+++ b/io/tackhttp/limits.go
@@ -24,8 +24,8 @@
 	HeaderBytes        int                // bytes of a header, of requests and of answers; 64 KiB
 	MaxIdleConns       int                // idle connections kept to each backend server; 7
 	Timeout            tackclock.Duration // until the answer begins, if the caller sets no timeout; 30 s
-	HeaderWait         tackclock.Duration // for the header of a request; 10 s
-	BodyWait           tackclock.Duration // for the next bytes of a body, of requests and of answers; 10 s
+	HeaderTimeout      tackclock.Duration // for the header of a request; 10 s
+	BodyTimeout        tackclock.Duration // for the next bytes of a body, of requests and of answers; 10 s
 	CallerWriteTimeout tackclock.Duration // for a caller to accept the next bytes; 20 s
 	CallerIdleTimeout  tackclock.Duration // that a caller's idle connection is kept; 60 s
 	DialTimeout        tackclock.Duration // for a connection to a backend server; 1 s
@@ -47,8 +47,8 @@
 	// the 64 connections that a backend server accepts.
 	orDefault(&l.MaxIdleConns, 7)
 	orDefault(&l.Timeout, 30*tackclock.Second)
-	orDefault(&l.HeaderWait, 10*tackclock.Second)
-	orDefault(&l.BodyWait, 10*tackclock.Second)
+	orDefault(&l.HeaderTimeout, 10*tackclock.Second)
+	orDefault(&l.BodyTimeout, 10*tackclock.Second)
 	orDefault(&l.CallerWriteTimeout, 20*tackclock.Second)
 	orDefault(&l.CallerIdleTimeout, tackclock.Minute)
 	orDefault(&l.DialTimeout, tackclock.Second)
--- a/io/tackhttp/server.go
+++ b/io/tackhttp/server.go
@@ -36,7 +36,7 @@
 	s := &Server{h: h}
 	s.http = http.Server{
 		Handler:           h,
-		ReadHeaderTimeout: h.limits.HeaderWait.Std(),
+		ReadHeaderTimeout: h.limits.HeaderTimeout.Std(),
 		IdleTimeout:       h.limits.CallerIdleTimeout.Std(),
 		WriteTimeout:      (maxTimeout + writeMargin).Std(),
 		MaxHeaderBytes:    h.limits.HeaderBytes,
@@ -82,7 +82,7 @@
 // Shutdown stops accepting connections and waits for the requests in progress.
 // Those that are not done when ctx ends are aborted.
 func (s *Server) Shutdown(ctx context.Context) error {
-	s.h.Leave()
+	s.h.DisableKeepAlives()
 	err := s.http.Shutdown(ctx)
 	if err != nil {
 		s.http.Close()
--- a/io/tackhttp/service.go
+++ b/io/tackhttp/service.go
@@ -60,7 +60,7 @@
 
 func newService(h *Handler, name tackid.Service) *service {
 	s := &service{h: h, name: name, waiters: make(map[uint64]chan admission)}
-	s.gate.Settings = h.cfg.Admit
+	s.gate.Settings = h.cfg.Admission
 	s.gate.Quotas = &h.quotas.Quotas
 	s.budget.Settings = h.cfg.Retry
 	return s
--- a/io/tacklog/dropping.go
+++ b/io/tacklog/dropping.go
@@ -15,19 +15,19 @@
 	closeTimeout = 500 * time.Millisecond
 )
 
-// Dropping is a writer that never blocks its caller. Lines that do not fit into its queue are
+// DroppingWriter is a writer that never blocks its caller. Lines that do not fit into its queue are
 // dropped, and a line reports how many. Otherwise a process whose output is not read would
 // block in the middle of a decision.
-type Dropping struct {
+type DroppingWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
 	closing chan struct{}
 	closed  chan struct{}
 }
 
-// NewDropping returns a writer to w.
-func NewDropping(w io.Writer) *Dropping {
-	d := &Dropping{
+// NewDroppingWriter returns a writer to w.
+func NewDroppingWriter(w io.Writer) *DroppingWriter {
+	d := &DroppingWriter{
 		lines: make(chan []byte, maxQueuedLines), closing: make(chan struct{}), closed: make(chan struct{}),
 	}
 	go d.run(w)
@@ -35,7 +35,7 @@
 }
 
 // Write implements io.Writer. It always accepts all of p.
-func (d *Dropping) Write(p []byte) (int, error) {
+func (d *DroppingWriter) Write(p []byte) (int, error) {
 	select {
 	case d.lines <- append([]byte(nil), p...):
 	default:
@@ -46,7 +46,7 @@
 
 // Close writes the queued lines, as far as possible within closeTimeout. Write must not be
 // called after it.
-func (d *Dropping) Close() {
+func (d *DroppingWriter) Close() {
 	close(d.closing)
 	select {
 	case <-d.closed:
@@ -54,7 +54,7 @@
 	}
 }
 
-func (d *Dropping) run(w io.Writer) {
+func (d *DroppingWriter) run(w io.Writer) {
 	defer close(d.closed)
 	for {
 		select {
@@ -67,7 +67,7 @@
 	}
 }
 
-func (d *Dropping) drain(w io.Writer) {
+func (d *DroppingWriter) drain(w io.Writer) {
 	for {
 		select {
 		case line := <-d.lines:
@@ -79,7 +79,7 @@
 }
 
 // writeLine writes a line, preceded by the number of dropped lines if there are any.
-func (d *Dropping) writeLine(w io.Writer, line []byte) {
+func (d *DroppingWriter) writeLine(w io.Writer, line []byte) {
 	if n := d.dropped.Swap(0); n > 0 {
 		fmt.Fprintf(w, "{\"level\":\"warning\",\"msg\":\"log lines dropped\",\"lines\":%d}\n", n)
 	}
--- a/io/tacklog/dropping_test.go
+++ b/io/tacklog/dropping_test.go
@@ -26,7 +26,7 @@
 // line blocks forever in the middle of a decision.
 func TestDroppingNeverBlocks(t *testing.T) {
 	w := &blockedWriter{first: make(chan struct{}, 1), release: make(chan struct{})}
-	d := NewDropping(w)
+	d := NewDroppingWriter(w)
 	line := []byte("line\n")
 	_, _ = d.Write(line)
 	<-w.first // the line is being written, and blocks
--- a/io/tackmeasure/cluster.go
+++ b/io/tackmeasure/cluster.go
@@ -30,9 +30,9 @@
 // newCluster starts n daemons, distributed over up to ten data centres. The first replicas of
 // them have a disk.
 func newCluster(ctx context.Context, binary, folder string, n, replicas int) (*cluster, error) {
-	var places []tackstandin.Place
+	var places []tackstandin.DaemonSpec
 	for i := range n {
-		places = append(places, tackstandin.Place{
+		places = append(places, tackstandin.DaemonSpec{
 			DataCentre: fmt.Sprintf("dc-%d", i%dataCentres),
 			Replica:    i < replicas,
 		})
--- a/io/tackoperator/server.go
+++ b/io/tackoperator/server.go
@@ -43,7 +43,7 @@
 type (
 	// System is the VM that handles the requests of the port.
 	System interface {
-		Do(ctx context.Context, c Command) (Done, error)
+		Do(ctx context.Context, c Command) (CommandResult, error)
 		Ask(ctx context.Context, text string) (Answer, error)
 		Announce(a tackmember.Announcement) (tackmember.Reply, error)
 		Withdraw(b tackid.BackendServer, n tackid.Incarnation) bool
@@ -59,9 +59,9 @@
 		Expect tackid.Revision
 	}
 
-	// Done is the result of a command that was accepted at Revision. It is in force on
+	// CommandResult is the result of a command that was accepted at Revision. It is in force on
 	// all peers but those in NotInForce, which lost their lease before they applied it.
-	Done struct {
+	CommandResult struct {
 		Revision   tackid.Revision
 		NotInForce []tackid.Peer
 	}
--- a/io/tackoperator/server_test.go
+++ b/io/tackoperator/server_test.go
@@ -29,9 +29,9 @@
 	ready bool
 }
 
-func (s *fakeSystem) Do(_ context.Context, c Command) (Done, error) {
+func (s *fakeSystem) Do(_ context.Context, c Command) (CommandResult, error) {
 	s.got = c
-	return Done{Revision: 7, NotInForce: []tackid.Peer{"brest-1"}}, s.err
+	return CommandResult{Revision: 7, NotInForce: []tackid.Peer{"brest-1"}}, s.err
 }
 
 func (s *fakeSystem) Ask(_ context.Context, text string) (Answer, error) {
--- a/io/tackpeer/link.go
+++ b/io/tackpeer/link.go
@@ -74,7 +74,7 @@
 
 // awaitPeer waits until this VM must connect to the peer. It returns false if ctx has ended.
 func (k *link) awaitPeer(ctx context.Context) bool {
-	for k.peer.Answering && !k.hasIncoming() {
+	for k.peer.DialBack && !k.hasIncoming() {
 		select {
 		case <-ctx.Done():
 			return false
--- a/io/tackpeer/links.go
+++ b/io/tackpeer/links.go
@@ -46,9 +46,9 @@
 		DataCentre tackid.DataCentre
 		// Address is an IP address with a port.
 		Address string
-		// Answering reports whether this VM connects to the peer only while the peer is
+		// DialBack reports whether this VM connects to the peer only while the peer is
 		// connected to this VM.
-		Answering bool
+		DialBack bool
 	}
 
 	// Config configures the links of a VM. Durations and limits that are zero are replaced
--- a/io/tackpeer/links_test.go
+++ b/io/tackpeer/links_test.go
@@ -127,7 +127,7 @@
 		listeners := []net.Listener{listen(t), listen(t)}
 		var nodes []*node
 		for i, answers := range answering {
-			other := Peer{ID: tackid.Peer(fmt.Sprintf("vm-%d", 1-i)), Address: listeners[1-i].Addr().String(), Answering: answers}
+			other := Peer{ID: tackid.Peer(fmt.Sprintf("vm-%d", 1-i)), Address: listeners[1-i].Addr().String(), DialBack: answers}
 			n := serve(Config{Self: tackid.Peer(fmt.Sprintf("vm-%d", i)), Listener: listeners[i], Peers: []Peer{other}})
 			t.Cleanup(n.stop)
 			nodes = append(nodes, n)
--- a/io/tackprofile/profile.go
+++ b/io/tackprofile/profile.go
@@ -9,9 +9,9 @@
 
 const path = "/debug/pprof/"
 
-// Beside returns a handler that serves profiles under /debug/pprof/ and passes all other
+// Handler returns a handler that serves profiles under /debug/pprof/ and passes all other
 // requests to next.
-func Beside(next http.Handler) http.Handler {
+func Handler(next http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+path, pprof.Index) // also serves the memory profiles by name
 	mux.HandleFunc("GET "+path+"profile", pprof.Profile)
--- a/io/tackprofile/profile_test.go
+++ b/io/tackprofile/profile_test.go
@@ -16,7 +16,7 @@
 }
 
 func TestProfilesBesideOtherPages(t *testing.T) {
-	h := Beside(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) }))
+	h := Handler(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) }))
 	assertStatus(t, h, "/debug/pprof/heap", http.StatusOK)
 	assertStatus(t, h, "/debug/pprof/", http.StatusOK)
 	assertStatus(t, h, "/metrics", http.StatusTeapot)
--- a/io/tackserve/serve.go
+++ b/io/tackserve/serve.go
@@ -35,8 +35,8 @@
 		Stderr  io.Writer
 		Signals <-chan os.Signal // the first one requests a graceful stop, the second an immediate one
 		Run     Run
-		// More holds additional commands, such as other ways to serve.
-		More []*cobra.Command
+		// ExtraCommands holds additional commands, such as other ways to serve.
+		ExtraCommands []*cobra.Command
 
 		// after returns a channel that receives a value after d; nil means time.After.
 		after func(d time.Duration) <-chan time.Time
@@ -81,7 +81,7 @@
 	root.SetOut(d.Stdout)
 	root.SetErr(d.Stderr)
 	root.AddCommand(d.serveCommand(), d.checkCommand(), d.settingsCommand(), d.versionCommand())
-	root.AddCommand(d.More...)
+	root.AddCommand(d.ExtraCommands...)
 	return root
 }
 
--- a/io/tackstandin/callers.go
+++ b/io/tackstandin/callers.go
@@ -49,8 +49,8 @@
 		Unknown int
 		// Broken counts requests without a complete answer, Mixed those that
 		// got the answer to another request.
-		Broken int
-		Mixed  int
+		Broken     int
+		Mismatched int
 		// DidNotRun lists the bodies of which every request was refused: a key
 		// may be refused at first and run when it is repeated. OutcomeUnknown
 		// lists the bodies of Unknown, a repeated key possibly twice.
@@ -95,9 +95,9 @@
 	return counts
 }
 
-// Took returns the quantile p, from 0 to 1, of the durations of answered
+// Latency returns the quantile p, from 0 to 1, of the durations of answered
 // requests.
-func (c *Callers) Took(p float64) time.Duration {
+func (c *Callers) Latency(p float64) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.took) == 0 {
@@ -161,7 +161,7 @@
 	if outcome == "answered" && answer.StatusCode == http.StatusOK {
 		var decoded Answer
 		if json.Unmarshal(bytes.TrimSpace(got), &decoded) != nil || decoded.Body != body {
-			c.add(func(k *CallerCounts) { k.Mixed++ }, "%s: another's answer %q", body, got)
+			c.add(func(k *CallerCounts) { k.Mismatched++ }, "%s: another's answer %q", body, got)
 			return false
 		}
 		c.mu.Lock()
--- a/io/tackstandin/daemon.go
+++ b/io/tackstandin/daemon.go
@@ -54,8 +54,8 @@
 		logs   bytes.Buffer
 	}
 
-	// Place is the data centre and the role of a daemon of a cluster.
-	Place struct {
+	// DaemonSpec is the data centre and the role of a daemon of a cluster.
+	DaemonSpec struct {
 		DataCentre string
 		Replica    bool
 	}
@@ -78,7 +78,7 @@
 
 // NewCluster writes the settings file of one daemon for each place to folder and
 // appends extra, further settings, to every file. It starts no process.
-func NewCluster(binary, folder, extra string, places []Place) ([]*Daemon, error) {
+func NewCluster(binary, folder, extra string, places []DaemonSpec) ([]*Daemon, error) {
 	var daemons []*Daemon
 	for i, p := range places {
 		d, err := newDaemon(binary, folder, i+1, p)
@@ -90,9 +90,9 @@
 	return daemons, configure(daemons, extra, nil)
 }
 
-// Joining returns a daemon to be added to the cluster. Its settings list all
+// NewMember returns a daemon to be added to the cluster. Its settings list all
 // daemons of the cluster, whose settings do not list it.
-func Joining(cluster []*Daemon, extra string, p Place) (*Daemon, error) {
+func NewMember(cluster []*Daemon, extra string, p DaemonSpec) (*Daemon, error) {
 	d, err := newDaemon(cluster[0].binary, cluster[0].folder, len(cluster)+1, p)
 	if err != nil {
 		return nil, err
@@ -100,7 +100,7 @@
 	return d, d.configure(append(slices.Clone(cluster), d), extra, nil)
 }
 
-func newDaemon(binary, folder string, number int, p Place) (*Daemon, error) {
+func newDaemon(binary, folder string, number int, p DaemonSpec) (*Daemon, error) {
 	ports, err := FreePorts(3)
 	if err != nil {
 		return nil, err
@@ -117,10 +117,10 @@
 	}, nil
 }
 
-// Rewire rewrites the settings files so that every daemon connects to the others
+// UseProxies rewrites the settings files so that every daemon connects to the others
 // through proxies that can drop the traffic. Call it before the daemons are
 // started.
-func Rewire(daemons []*Daemon, extra string) (*Wires, error) {
+func UseProxies(daemons []*Daemon, extra string) (*Network, error) {
 	proxies, err := newNetwork(daemons)
 	if err != nil {
 		return nil, err
@@ -128,7 +128,7 @@
 	return proxies, configure(daemons, extra, proxies)
 }
 
-func configure(daemons []*Daemon, extra string, proxies *Wires) error {
+func configure(daemons []*Daemon, extra string, proxies *Network) error {
 	for _, d := range daemons {
 		if err := d.configure(daemons, extra, proxies); err != nil {
 			return err
@@ -137,7 +137,7 @@
 	return nil
 }
 
-func (d *Daemon) configure(all []*Daemon, extra string, proxies *Wires) error {
+func (d *Daemon) configure(all []*Daemon, extra string, proxies *Network) error {
 	d.config = filepath.Join(d.folder, d.ID+".ini")
 	if err := os.WriteFile(d.config, []byte(d.settings(all, proxies)+extra), 0o644); err != nil {
 		return fmt.Errorf("standin: %w", err)
@@ -171,7 +171,7 @@
 	return nil, fmt.Errorf("standin: no %d free ports from %d to %d", n, firstPort, lastPort)
 }
 
-func (d *Daemon) settings(all []*Daemon, proxies *Wires) string {
+func (d *Daemon) settings(all []*Daemon, proxies *Network) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[vm]\nid = %s\ndata_centre = %s\n", d.ID, d.DataCentre)
 	fmt.Fprintf(&b, "[listen]\ncaller = %s\noperator = %s\npeer = %s\n", d.Caller, d.Operator, d.Peer)
--- a/io/tackstandin/platform.go
+++ b/io/tackstandin/platform.go
@@ -64,8 +64,8 @@
 	p.vm(vm).failing = true
 }
 
-// Times returns the number of reboots and upgrades of the VM.
-func (p *Platform) Times(vm string) int {
+// Restarts returns the number of reboots and upgrades of the VM.
+func (p *Platform) Restarts(vm string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.vm(vm).restarts
--- a/io/tackstandin/tally.go
+++ b/io/tackstandin/tally.go
@@ -63,8 +63,8 @@
 	return t.bodies[body]
 }
 
-// DoubledKeys returns the number of idempotency keys with more than one execution.
-func (t *Tally) DoubledKeys() int {
+// RepeatedKeys returns the number of idempotency keys with more than one execution.
+func (t *Tally) RepeatedKeys() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
--- a/io/tackstandin/tasks.go
+++ b/io/tackstandin/tasks.go
@@ -56,9 +56,9 @@
 	return t.done[task]
 }
 
-// Doubled returns the number of starts of tasks on which another worker still
+// OverlappingLeases returns the number of starts of tasks on which another worker still
 // held a lease.
-func (t *TaskTally) Doubled() int {
+func (t *TaskTally) OverlappingLeases() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.doubled
--- a/io/tackstandin/wire.go
+++ b/io/tackstandin/wire.go
@@ -118,9 +118,9 @@
 	}
 }
 
-// Wires holds the proxies between the daemons of a cluster, one for each ordered
+// Network holds the proxies between the daemons of a cluster, one for each ordered
 // pair of daemons.
-type Wires struct {
+type Network struct {
 	between map[direction]*Proxy
 }
 
@@ -130,7 +130,7 @@
 
 // Cut separates the daemon from all others: on all of its connections, or only
 // on those that it opened itself, of which both directions are cut.
-func (w *Wires) Cut(d *Daemon, bothWays bool) {
+func (w *Network) Cut(d *Daemon, bothWays bool) {
 	for between, proxy := range w.between {
 		if between.from == d.ID || bothWays && between.to == d.ID {
 			proxy.Cut(true)
@@ -139,21 +139,21 @@
 }
 
 // Heal ends every cut.
-func (w *Wires) Heal() {
+func (w *Network) Heal() {
 	for _, proxy := range w.between {
 		proxy.Heal()
 	}
 }
 
 // Close closes every proxy.
-func (w *Wires) Close() {
+func (w *Network) Close() {
 	for _, proxy := range w.between {
 		proxy.Close()
 	}
 }
 
-func newNetwork(daemons []*Daemon) (*Wires, error) {
-	w := &Wires{between: make(map[direction]*Proxy)}
+func newNetwork(daemons []*Daemon) (*Network, error) {
+	w := &Network{between: make(map[direction]*Proxy)}
 	for _, from := range daemons {
 		for _, to := range daemons {
 			if from == to {
--- a/io/tackstandin/worker.go
+++ b/io/tackstandin/worker.go
@@ -28,11 +28,11 @@
 		Cores      int
 		MemoryMB   int
 		Operators  []string
-		// Takes is the duration of a task, Saving that of a checkpoint.
-		Takes  time.Duration
-		Saving time.Duration
-		// Lag is the age of the usage data that the worker reports.
-		Lag time.Duration
+		// TaskTime is the duration of a task, Saving that of a checkpoint.
+		TaskTime       time.Duration
+		CheckpointTime time.Duration
+		// UsageAge is the age of the usage data that the worker reports.
+		UsageAge time.Duration
 		// Failing makes every task fail at once.
 		Failing bool
 		// Tally counts executed tasks. Workers may share one.
@@ -154,7 +154,7 @@
 // caller holds w.mu.
 func (w *Worker) update(now time.Time) {
 	for _, t := range w.tasks {
-		switch end := t.began.Add(w.Takes); {
+		switch end := t.began.Add(w.TaskTime); {
 		case t.state != taskRunning:
 		case !t.until.After(now) && t.until.Before(end):
 			t.state = taskStopped
@@ -196,7 +196,7 @@
 // handle carries out a checkpoint, stop or renew request for a started task.
 func (w *Worker) handle(task, verb string, o taskOrder) error {
 	if verb == "checkpoint" {
-		time.Sleep(w.Saving)
+		time.Sleep(w.CheckpointTime)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -232,12 +232,12 @@
 	w.update(now)
 	list := make([]taskUsage, 0, len(w.tasks))
 	for id, t := range w.tasks {
-		if t.state == taskRunning && now.Sub(t.began) < w.Lag {
+		if t.state == taskRunning && now.Sub(t.began) < w.UsageAge {
 			continue
 		}
 		list = append(list, taskUsage{
 			Task: id, Token: t.order.Token, State: t.state,
-			Cores: float64(t.order.Cores), MemoryMB: float64(t.order.MemoryMB) * 0.8, LagMS: w.Lag.Milliseconds(),
+			Cores: float64(t.order.Cores), MemoryMB: float64(t.order.MemoryMB) * 0.8, LagMS: w.UsageAge.Milliseconds(),
 		})
 	}
 	slices.SortFunc(list, func(a, b taskUsage) int { return strings.Compare(a.Task, b.Task) })
--- a/io/tackvm/burn.go
+++ b/io/tackvm/burn.go
@@ -36,7 +36,7 @@
 
 // Count records a finished request.
 func (m *meter) Count(r tackhttp.Result) {
-	if r.Gone {
+	if r.CallerGone {
 		return
 	}
 	m.mu.Lock()
@@ -46,7 +46,7 @@
 		Service: r.Service,
 		Team:    r.Team,
 		Outcome: m.outcome(r),
-		Latency: r.Took,
+		Latency: r.Latency,
 	}, labels...)
 }
 
@@ -59,7 +59,7 @@
 		o = tackburn.OutcomeLost
 	case r.Outcome == tackledger.OutcomeDidNotRun:
 		o = tackburn.OutcomeRefused
-	case r.Late || m.settings.IsLate(r.Service, r.Took):
+	case r.Late || m.settings.IsLate(r.Service, r.Latency):
 		o = tackburn.OutcomeLate
 	}
 	if o != tackburn.OutcomeGood && m.inWave[r.Service] {
--- a/io/tackvm/burn_test.go
+++ b/io/tackvm/burn_test.go
@@ -23,10 +23,10 @@
 	if err := m.settings.Set("burn.late_ms.names-api", "100"); err != nil {
 		t.Fatal(err)
 	}
-	m.Count(tackhttp.Result{Service: "names-api", Team: "post", Outcome: tackledger.OutcomeAnswered, Took: 101})
+	m.Count(tackhttp.Result{Service: "names-api", Team: "post", Outcome: tackledger.OutcomeAnswered, Latency: 101})
 	first := m.takeSample("rennes-a-1", false)
 	m.Count(tackhttp.Result{Service: "communes", Team: "post", Outcome: tackledger.OutcomeUnknown})
-	m.Count(tackhttp.Result{Service: "communes", Team: "post", Gone: true})
+	m.Count(tackhttp.Result{Service: "communes", Team: "post", CallerGone: true})
 	if again := m.unanswered(); again == nil || again.Sequence != first.Sequence || len(again.Services) != 1 {
 		t.Fatalf("after a lost answer proposed %+v, want %+v", again, first)
 	}
--- a/io/tackvm/command.go
+++ b/io/tackvm/command.go
@@ -27,10 +27,10 @@
 )
 
 // Do executes a command and returns once it is in force.
-func (v *VM) Do(ctx context.Context, r tackoperator.Command) (tackoperator.Done, error) {
+func (v *VM) Do(ctx context.Context, r tackoperator.Command) (tackoperator.CommandResult, error) {
 	command, err := tackcommand.Parse(r.Text)
 	if err != nil {
-		return tackoperator.Done{}, err
+		return tackoperator.CommandResult{}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout.Std())
 	defer cancel()
@@ -44,22 +44,22 @@
 	change := tackfleet.Change{ID: id, Expect: r.Expect, Command: &command}
 	out, err := v.propose(ctx, tackstate.Proposal{Fleet: &change})
 	if err != nil {
-		return tackoperator.Done{}, asOperatorError(err)
+		return tackoperator.CommandResult{}, asOperatorError(err)
 	}
 	if out.Fleet.Refused != nil {
-		return tackoperator.Done{}, out.Fleet.Refused
+		return tackoperator.CommandResult{}, out.Fleet.Refused
 	}
 	return v.awaitDone(ctx, out.Fleet.Revision)
 }
 
 // awaitDone waits until the revision is in force. The result lists the peers whose lease
 // expired before they applied it.
-func (v *VM) awaitDone(ctx context.Context, rev tackid.Revision) (tackoperator.Done, error) {
+func (v *VM) awaitDone(ctx context.Context, rev tackid.Revision) (tackoperator.CommandResult, error) {
 	missing, err := v.awaitInForce(ctx, rev)
 	if err != nil {
-		return tackoperator.Done{}, asOperatorError(err)
+		return tackoperator.CommandResult{}, asOperatorError(err)
 	}
-	return tackoperator.Done{Revision: rev, NotInForce: missing}, nil
+	return tackoperator.CommandResult{Revision: rev, NotInForce: missing}, nil
 }
 
 func asOperatorError(err error) error {
@@ -77,13 +77,13 @@
 }
 
 // changeMembers adds or removes a VM of the system.
-func (v *VM) changeMembers(ctx context.Context, c tackcommand.Command) (tackoperator.Done, error) {
+func (v *VM) changeMembers(ctx context.Context, c tackcommand.Command) (tackoperator.CommandResult, error) {
 	answer, err := v.askLeader(ctx, confirm{Change: &c})
 	if err != nil {
-		return tackoperator.Done{}, asOperatorError(err)
+		return tackoperator.CommandResult{}, asOperatorError(err)
 	}
 	if answer.Refused != "" {
-		return tackoperator.Done{}, &tackfleet.RefusedError{Code: tackfleet.CodeState, Reason: answer.Refused}
+		return tackoperator.CommandResult{}, &tackfleet.RefusedError{Code: tackfleet.CodeState, Reason: answer.Refused}
 	}
 	return v.awaitDone(ctx, answer.Index)
 }
--- a/io/tackvm/meter_test.go
+++ b/io/tackvm/meter_test.go
@@ -12,7 +12,7 @@
 func TestMeterCountsTheLabelOfTheService(t *testing.T) {
 	m := meter{clock: new(tackclock.Clock)}
 	m.settings.Labels = []tackburn.LabelWindow{{Label: "fajr", Service: "dawn-svc", From: 0, To: tackclock.Day}}
-	m.Count(tackhttp.Result{Service: "dawn-svc", Team: "marawi", Outcome: tackledger.OutcomeAnswered, Took: 5})
+	m.Count(tackhttp.Result{Service: "dawn-svc", Team: "marawi", Outcome: tackledger.OutcomeAnswered, Latency: 5})
 	m.Count(tackhttp.Result{Service: "eid-svc", Outcome: tackledger.OutcomeDidNotRun})
 	sample := m.takeSample("marawi-hall-1", true)
 	if sample == nil || len(sample.Services) != 2 || len(sample.Teams) != 1 {
--- a/io/tackvm/run.go
+++ b/io/tackvm/run.go
@@ -62,7 +62,7 @@
 	defer stop()
 	operator := tackoperator.NewServer(v, v.registry, v.log)
 	if v.cfg.Log.Profiling {
-		operator.Handler = tackprofile.Beside(operator.Handler)
+		operator.Handler = tackprofile.Handler(operator.Handler)
 	}
 	supervisor := v.supervise(ports, caller, operator)
 	ended := supervisor.ServeBackground(serving)
@@ -253,7 +253,7 @@
 	limit := v.cfg.Stop.Deadline.Std()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	v.caller.Leave()
+	v.caller.DisableKeepAlives()
 	tackloop.Sleep(ctx, v.cfg.Stop.Linger.Std())
 	if err := caller.Shutdown(ctx); err != nil {
 		v.fail(&StoppedError{
--- a/io/tackvm/vm.go
+++ b/io/tackvm/vm.go
@@ -75,8 +75,8 @@
 
 		// proposals and confirms are the requests that callers on this VM wait for.
 		// pendingConfirms are the ones that this VM, as the leader, has yet to answer.
-		proposals       tackwait.Waiting[proposalResult]
-		confirms        tackwait.Waiting[confirmed]
+		proposals       tackwait.Callers[proposalResult]
+		confirms        tackwait.Callers[confirmed]
 		pendingConfirms []pendingConfirm
 
 		sharer        tackshare.Sharer
--- a/io/tackwait/wait.go
+++ b/io/tackwait/wait.go
@@ -11,9 +11,9 @@
 // dropped.
 const queueSize = 16
 
-// Waiting is a set of callers that wait for values of type T. Its zero value is empty. It is
+// Callers is a set of callers that wait for values of type T. Its zero value is empty. It is
 // safe for concurrent use.
-type Waiting[T any] struct {
+type Callers[T any] struct {
 	mu      sync.Mutex
 	next    uint64
 	callers map[uint64]chan T
@@ -22,7 +22,7 @@
 // Add adds a caller. It returns a unique serial and the channel that receives the values
 // delivered under it. Serials begin at a random number, so that a late value for an earlier
 // run of the process is not delivered to a caller of this one.
-func (w *Waiting[T]) Add() (uint64, <-chan T) {
+func (w *Callers[T]) Add() (uint64, <-chan T) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.callers == nil {
@@ -36,14 +36,14 @@
 }
 
 // Remove removes the caller with the serial.
-func (w *Waiting[T]) Remove(serial uint64) {
+func (w *Callers[T]) Remove(serial uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.callers, serial)
 }
 
 // Deliver sends v to the caller with the serial, if there is one. It never blocks.
-func (w *Waiting[T]) Deliver(serial uint64, v T) {
+func (w *Callers[T]) Deliver(serial uint64, v T) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	values, ok := w.callers[serial]
