--- a/io/tackforward/watch_test.go
+++ b/io/tackforward/watch_test.go
@@ -23,10 +23,10 @@
 
 func (f *fakeControl) Do(context.Context, *tackwork.Request) tackwork.Answer {
 	f.asked++
-	return f.Lead()
+	return f.LeaderStatus()
 }
 
-func (f *fakeControl) Lead() tackwork.Answer {
+func (f *fakeControl) LeaderStatus() tackwork.Answer {
 	if f.leads {
 		return tackwork.Answer{}
 	}
