--- a/cmd/auburntackd/config_bench_test.go
+++ b/cmd/auburntackd/config_bench_test.go
@@ -18,15 +18,15 @@
 // daemon was frozen, which delays the answer until that daemon's lease expires.
 func BenchmarkSetConfig(b *testing.B) {
 	sites := []struct {
-		name   string
-		places []tackstandin.DaemonSpec
+		name  string
+		specs []tackstandin.DaemonSpec
 	}{
-		{"3", places(3, "rennes-a", "quimper", "brest")},
-		{"8", places(5, "rennes-a", "rennes-b", "quimper", "brest", "rennes-a", "rennes-b", "quimper", "brest")},
+		{"3", daemonSpecs(3, "rennes-a", "quimper", "brest")},
+		{"8", daemonSpecs(5, "rennes-a", "rennes-b", "quimper", "brest", "rennes-a", "rennes-b", "quimper", "brest")},
 	}
 	for _, site := range sites {
 		b.Run("daemons="+site.name, func(b *testing.B) {
-			leader, other := newCluster(b, site.places)
+			leader, other := newCluster(b, site.specs)
 			b.Run("leader", func(b *testing.B) { benchmarkSet(b, leader, func() {}) })
 			b.Run("other", func(b *testing.B) { benchmarkSet(b, other, func() {}) })
 			b.Run("frozen", func(b *testing.B) {
@@ -36,9 +36,9 @@
 	}
 }
 
-// places returns one place in each of the data centres. The first replicas of
-// them are voting replicas.
-func places(replicas int, in ...string) []tackstandin.DaemonSpec {
+// daemonSpecs returns the spec of one daemon in each of the data centres. The
+// first replicas of them are voting replicas.
+func daemonSpecs(replicas int, in ...string) []tackstandin.DaemonSpec {
 	var all []tackstandin.DaemonSpec
 	for i, dc := range in {
 		all = append(all, tackstandin.DaemonSpec{DataCentre: dc, Replica: i < replicas})
@@ -46,11 +46,11 @@
 	return all
 }
 
-// newCluster starts one daemon for each place and returns the leader and the
-// last of the others.
-func newCluster(b *testing.B, places []tackstandin.DaemonSpec) (leader, other *tackstandin.Daemon) {
+// newCluster starts a daemon for each spec and returns the leader and the last
+// of the others.
+func newCluster(b *testing.B, specs []tackstandin.DaemonSpec) (leader, other *tackstandin.Daemon) {
 	b.Helper()
-	daemons, err := tackstandin.NewCluster(binary, b.TempDir(), "", places)
+	daemons, err := tackstandin.NewCluster(binary, b.TempDir(), "", specs)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -103,20 +103,20 @@
 
 func benchmarkSet(b *testing.B, d *tackstandin.Daemon, before func()) {
 	b.ReportAllocs()
-	var took []time.Duration
+	var latencies []time.Duration
 	for i := range b.N {
 		before()
 		began := time.Now()
 		reply, err := d.Do(fmt.Sprintf("set config key-%d value-%d", i%50, i), "")
-		took = append(took, time.Since(began))
+		latencies = append(latencies, time.Since(began))
 		if err != nil || reply.Status != http.StatusOK {
 			b.Fatalf("set config: %d %s %v", reply.Status, reply.Error.Message, err)
 		}
 	}
-	slices.Sort(took)
-	b.ReportMetric(milliseconds(took[len(took)/2]), "median_ms")
-	b.ReportMetric(milliseconds(took[len(took)*99/100]), "p99_ms")
-	b.ReportMetric(milliseconds(took[len(took)-1]), "longest_ms")
+	slices.Sort(latencies)
+	b.ReportMetric(milliseconds(latencies[len(latencies)/2]), "median_ms")
+	b.ReportMetric(milliseconds(latencies[len(latencies)*99/100]), "p99_ms")
+	b.ReportMetric(milliseconds(latencies[len(latencies)-1]), "longest_ms")
 }
 
 func milliseconds(d time.Duration) float64 {
--- a/cmd/auburntackd/faults_test.go
+++ b/cmd/auburntackd/faults_test.go
@@ -106,7 +106,7 @@
 // false_did_not_run and stale_reads must be 0; the other figures are totals. It
 // is a benchmark because it takes minutes: -benchtime 5x runs five seeds.
 func BenchmarkRandomFaults(b *testing.B) {
-	var doubled, mixed, falseRefusals, stale, sent, answered, reads int64
+	var repeatedKeys, mismatched, falseRefusals, stale, sent, answered, reads int64
 	for seed := range b.N {
 		s := newSite(b, 6)
 		f := faults{site: s, rand: rand.New(rand.NewPCG(uint64(seed), 1))}
@@ -132,15 +132,15 @@
 				b.Log("answered did_not_run but ran:", body)
 			}
 		}
-		doubled += int64(s.tally.RepeatedKeys())
-		mixed += int64(counts.Mismatched)
+		repeatedKeys += int64(s.tally.RepeatedKeys())
+		mismatched += int64(counts.Mismatched)
 		stale += o.stale.Load()
 		reads += o.reads.Load()
 		sent += int64(counts.Sent)
 		answered += int64(counts.Answered)
 	}
-	b.ReportMetric(float64(doubled), "doubled_keys")
-	b.ReportMetric(float64(mixed), "mixed_answers")
+	b.ReportMetric(float64(repeatedKeys), "doubled_keys")
+	b.ReportMetric(float64(mismatched), "mixed_answers")
 	b.ReportMetric(float64(falseRefusals), "false_did_not_run")
 	b.ReportMetric(float64(stale), "stale_reads")
 	b.ReportMetric(float64(reads), "confirmed_reads")
--- a/cmd/tacksoak/main.go
+++ b/cmd/tacksoak/main.go
@@ -42,7 +42,7 @@
 	f.StringVar(&cfg.Binary, "binary", "bin/auburntackd", "the daemon")
 	f.Uint64Var(&cfg.Seed, "seed", 1, "the first seed")
 	f.IntVar(&seeds, "seeds", 1, "how many seeds to play, one after the other")
-	f.DurationVar(&cfg.For, "for", 20*time.Second, "how long things are broken")
+	f.DurationVar(&cfg.For, "for", 20*time.Second, "how long faults are injected")
 	f.IntVar(&processes, "processes", 6, "processes of the system")
 	f.IntVar(&cfg.Controls, "controls", 3, "control VMs among them")
 	f.IntVar(&cfg.Workers, "workers", 12, "workers")
@@ -62,10 +62,10 @@
 		if err != nil {
 			return err
 		}
-		fmt.Printf("seed %d: %d faults, %d jobs accepted, %d starts, %d answers checked, %d jobs given up, %d broken\n",
+		fmt.Printf("seed %d: %d faults, %d jobs accepted, %d starts, %d answers checked, %d jobs given up, %d violations\n",
 			cfg.Seed, result.Faults, result.Accepted, result.Starts, result.Checked, result.GivenUp, len(result.Violations))
-		for _, b := range result.Violations {
-			fmt.Println("  broken at", b)
+		for _, v := range result.Violations {
+			fmt.Println("  violation:", v)
 		}
 		if len(result.Violations) > 0 {
 			failedSeeds++
@@ -79,7 +79,7 @@
 		}
 	}
 	if failedSeeds > 0 {
-		return fmt.Errorf("%d of %d seeds broke a promise", failedSeeds, seeds)
+		return fmt.Errorf("%d of %d seeds violated a guarantee", failedSeeds, seeds)
 	}
 	return nil
 }
--- a/cmd/tacksoak/soak_test.go
+++ b/cmd/tacksoak/soak_test.go
@@ -46,8 +46,8 @@
 			if err != nil {
 				t.Fatalf("%v\n%s", err, out.Bytes())
 			}
-			for _, b := range result.Violations {
-				t.Errorf("seed %d: %s", s.seed, b)
+			for _, v := range result.Violations {
+				t.Errorf("seed %d: %s", s.seed, v)
 			}
 			if result.Accepted == 0 || result.Starts == 0 {
 				t.Errorf("seed %d: no job was accepted or started: %+v", s.seed, result)
