--- a/cmd/tackmeasure/main.go
+++ b/cmd/tackmeasure/main.go
@@ -92,7 +92,7 @@
 	var sizes []int
 	cmd := &cobra.Command{
 		Use:   "platform --daemon PATH",
-		Short: "Load control VMs and entry VMs with stand-in workers, and show what each uses",
+		Short: "Load control VMs and entry VMs with simulated workers, and show the resource usage of each",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for _, cfg.Workers = range sizes {
 				if err := runLoad(cmd.Context(), cfg); err != nil {
@@ -107,8 +107,8 @@
 	f.IntSliceVar(&sizes, "workers", []int{349, 1500, 6000}, "numbers of workers, one run each")
 	f.IntVar(&cfg.Controls, "controls", 5, "control VMs")
 	f.IntVar(&cfg.Entries, "entries", 2, "entry VMs")
-	f.Float64Var(&cfg.Rate, "rate", 12, "jobs a second for each thousand workers")
-	f.DurationVar(&cfg.For, "for", 24*time.Second, "how long the load lasts")
+	f.Float64Var(&cfg.Rate, "rate", 12, "jobs per second per thousand workers")
+	f.DurationVar(&cfg.For, "for", 24*time.Second, "duration of the load")
 	f.BoolVar(&cfg.Kill, "kill", false, "kill the leader afterwards, and show how long it is missed")
 	f.StringVar(&cfg.Profile, "profile", "", "file for a processor profile of the leader")
 	f.StringVar(&cfg.Folder, "folder", "", "where the processes' logs and data are kept; left out, they are removed")
