--- a/cmd/auburntackd/cut_test.go
+++ b/cmd/auburntackd/cut_test.go
@@ -52,12 +52,12 @@
 	})
 	began := time.Now()
 	reply := s.acceptedBy(t, s.daemons[0], "set config colour blue", "blue-1")
-	t.Logf("a change was answered in %v with brest cut off", time.Since(began))
+	t.Logf("a change was answered in %v while brest was partitioned", time.Since(began))
 	read, readErr := brest.Ask("show config where key = colour")
 	refused, doErr := brest.Do("set config colour green", "green-1")
 	plain := callOn(t, brest, http.MethodPost, "while-cut-off", "")
 	keyed := callOn(t, brest, http.MethodPost, "keyed-while-cut-off", "key-1")
-	Convey("While cut off", t, func() {
+	Convey("During the partition", t, func() {
 		So(reply.NotInForce, ShouldResemble, []string{brest.ID})
 		So(readErr, ShouldBeNil)
 		So(read.Confirmed, ShouldBeFalse)
@@ -101,7 +101,7 @@
 	s.network.Cut(leader, false)
 	began := time.Now()
 	s.acceptedBy(t, others[0], "set config one way", "one-way-1")
-	t.Logf("a command was accepted %v after the leader was cut one way", time.Since(began))
+	t.Logf("a command was accepted %v after the leader's connections were blocked in one direction", time.Since(began))
 	s.network.Heal()
 	Convey("All daemons agree after the partition", t, func() {
 		s.await(t, "the former leader to catch up", func() bool {
--- a/cmd/auburntackd/cutoff_test.go
+++ b/cmd/auburntackd/cutoff_test.go
@@ -55,7 +55,7 @@
 		t.Run(test.command, func(t *testing.T) {
 			s := newSite(t, 2)
 			s.do(t, "create pool back")
-			early, got := s.whileCutOff(t, test.command, test.done)
+			early, got := s.duringPartition(t, test.command, test.done)
 			Convey("It is done only after the request has ended", t, func() {
 				So(early, ShouldBeFalse)
 				So(got.outcome, ShouldEqual, "answered")
@@ -64,11 +64,11 @@
 	}
 }
 
-// whileCutOff sends the command while brest is partitioned and has a request on
+// duringPartition sends the command while brest is partitioned and has a request on
 // its VM. It reports whether the query done had a row before the request ended,
 // and returns the answer to the request. After the partition the row must
 // appear.
-func (s *site) whileCutOff(t *testing.T, command, done string) (early bool, got answer) {
+func (s *site) duringPartition(t *testing.T, command, done string) (early bool, got answer) {
 	t.Helper()
 	cut, server := s.daemons[1], s.servers[1]
 	if leader, _ := s.leader(t); leader == cut {
--- a/cmd/tackmeasure/main.go
+++ b/cmd/tackmeasure/main.go
@@ -109,9 +109,9 @@
 	f.IntVar(&cfg.Entries, "entries", 2, "entry VMs")
 	f.Float64Var(&cfg.Rate, "rate", 12, "jobs per second per thousand workers")
 	f.DurationVar(&cfg.For, "for", 24*time.Second, "duration of the load")
-	f.BoolVar(&cfg.Kill, "kill", false, "kill the leader afterwards, and show how long it is missed")
-	f.StringVar(&cfg.Profile, "profile", "", "file for a processor profile of the leader")
-	f.StringVar(&cfg.Folder, "folder", "", "where the processes' logs and data are kept; left out, they are removed")
+	f.BoolVar(&cfg.Kill, "kill", false, "kill the leader afterwards, and show how long recovery takes")
+	f.StringVar(&cfg.Profile, "profile", "", "file for a CPU profile of the leader")
+	f.StringVar(&cfg.Folder, "folder", "", "folder for the processes' logs and data; if empty, they are removed")
 	f.Uint8Var(&cfg.Network, "network", 40, "second byte of the loopback addresses")
 	cmd.MarkFlagRequired("daemon")
 	return cmd
--- a/cmd/tacksoak/main.go
+++ b/cmd/tacksoak/main.go
@@ -28,7 +28,7 @@
 	var seeds, processes int
 	c := &cobra.Command{
 		Use:           "tacksoak --binary FILE",
-		Short:         "Break the system at random and check its promises",
+		Short:         "Inject random faults and check the guarantees of the system",
 		Example:       "  tacksoak --binary bin/auburntackd --seed 1 --seeds 50 --for 20s",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
@@ -41,7 +41,7 @@
 	f := c.Flags()
 	f.StringVar(&cfg.Binary, "binary", "bin/auburntackd", "the daemon")
 	f.Uint64Var(&cfg.Seed, "seed", 1, "the first seed")
-	f.IntVar(&seeds, "seeds", 1, "how many seeds to play, one after the other")
+	f.IntVar(&seeds, "seeds", 1, "number of seeds to run, one after the other")
 	f.DurationVar(&cfg.For, "for", 20*time.Second, "how long faults are injected")
 	f.IntVar(&processes, "processes", 6, "processes of the system")
 	f.IntVar(&cfg.Controls, "controls", 3, "control VMs among them")
--- a/internal/tackdocs/fitting_test.go
+++ b/internal/tackdocs/fitting_test.go
@@ -22,7 +22,7 @@
 // Guards against a decision that depends on names instead of on what is observed,
 // because it was tuned on the known deployments: it works well for these and badly for
 // others. Such a decision is recognised by a name of a deployment in the code.
-func TestNoDecisionGoesByTheUsersNames(t *testing.T) {
+func TestNoDecisionDependsOnDeploymentNames(t *testing.T) {
 	files := productFiles(t)
 	if len(files) < 100 {
 		t.Fatalf("%d files found, want at least 100", len(files))
--- a/internal/tackdocs/links_test.go
+++ b/internal/tackdocs/links_test.go
@@ -15,7 +15,7 @@
 	fenced  = regexp.MustCompile("(?ms)^```.*?^```$")
 )
 
-func TestLinksLeadSomewhere(t *testing.T) {
+func TestLinksHaveTargets(t *testing.T) {
 	for _, page := range pages(t) {
 		text := fenced.ReplaceAllString(read(t, page), "")
 		for _, m := range link.FindAllStringSubmatch(text, -1) {
@@ -26,7 +26,7 @@
 	}
 }
 
-// assertTarget checks that the file and the heading exist to which a link refers.
+// assertTarget checks that the file and the heading to which a link refers exist.
 func assertTarget(t *testing.T, page, target string) {
 	t.Helper()
 	file, anchor, _ := strings.Cut(target, "#")
--- a/internal/tackverdict/known.go
+++ b/internal/tackverdict/known.go
@@ -91,7 +91,7 @@
 	case value == "":
 		return fmt.Sprintf("%q: want a field and its value", line)
 	case field == "test" && k.name != testName{}, target != nil && *target != "":
-		return "a second " + field + " in one entry"
+		return "duplicate " + field + " in one entry"
 	case field == "test":
 		return k.parseName(value)
 	case target == nil:
@@ -107,7 +107,7 @@
 func (k *knownFailure) parseName(name string) string {
 	dot := strings.LastIndex(name, ".")
 	if dot <= 0 || !strings.HasPrefix(name[dot+1:], "Test") || strings.Contains(name[dot+1:], "/") {
-		return fmt.Sprintf("%q is no PACKAGE.TEST at top level", name)
+		return fmt.Sprintf("%q: want PACKAGE.TEST of a top-level test", name)
 	}
 	k.name = testName{pkg: name[:dot], test: name[dot+1:]}
 	return ""
--- a/internal/tackverdict/main.go
+++ b/internal/tackverdict/main.go
@@ -13,7 +13,7 @@
 func main() {
 	list := flag.String("known", "KNOWN-RED.txt", "`FILE` that lists the tests known to fail")
 	counts := flag.String("counts", "", "`FILE` to write the numbers of passed and failed tests to")
-	partial := flag.Bool("part", false, "judge a part of the tests, in which a listed one may be missing")
+	partial := flag.Bool("part", false, "the events are of a part of the tests, so listed ones may be missing")
 	flag.Parse()
 	ok, err := run(*list, *counts, *partial, os.Stdin, os.Stdout)
 	if err != nil {
--- a/internal/tackverdict/verdict.go
+++ b/internal/tackverdict/verdict.go
@@ -174,11 +174,11 @@
 	switch result {
 	case "":
 		if !v.partial {
-			fmt.Fprintf(w, "known red: %s: did not run, mend the list\n", k.name)
+			fmt.Fprintf(w, "known red: %s: did not run, correct the list\n", k.name)
 		}
 		return v.partial
 	case actionPass:
-		fmt.Fprintf(w, "known red: %s: passes now, take it off the list (%s)\n", k.name, k.issue)
+		fmt.Fprintf(w, "known red: %s: passes now, remove it from the list (%s)\n", k.name, k.issue)
 	default:
 		fmt.Fprintf(w, "known red: %s: %s (%s); %s\n", k.name, k.seen, k.issue, k.command)
 	}
--- a/internal/tackverdict/verdict_test.go
+++ b/internal/tackverdict/verdict_test.go
@@ -61,7 +61,7 @@
 		{"same name elsewhere", known, allPass + redTwo + redThree, false, "FAIL core/c.TestTwo", "1 2\n"},
 		{"package panics", known, allPass + panicTwo, false, "FAIL core/b.(package)", "1 2\n"},
 		{"package does not build", known, allPass + redTwo + noBuild, false, "undefined: x", "1 2\n"},
-		{"listed passes", strings.Replace(entryTwo, "core/b.TestTwo", "core/a.TestOne", 1), allPass, true, "passes now, take it off the list", "1 0\n"},
+		{"listed passes", strings.Replace(entryTwo, "core/b.TestTwo", "core/a.TestOne", 1), allPass, true, "passes now, remove it from the list", "1 0\n"},
 		{"listed did not run", known, allPass, false, "core/b.TestTwo: did not run", "1 0\n"},
 		{"nothing ran", "", "", false, "no test passed", "0 0\n"},
 	}
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestEntriesMustBeWhole(t *testing.T) {
+func TestIncompleteEntriesAreRefused(t *testing.T) {
 	without := func(field string) string {
 		var kept []string
 		for _, line := range strings.SplitAfter(entryTwo, "\n") {
