--- a/cmd/auburntackd/main.go
+++ b/cmd/auburntackd/main.go
@@ -32,9 +32,9 @@
 	c := &cobra.Command{
 		Use:   "platform",
 		Short: "Serve on the users' platform",
-		Long: "platform runs one VM by the settings file of the users' platform, whose path is in\n" +
-			"the environment variable " + platform.NodeFileVariable + ". A file of its own may hold the\n" +
-			"sections [job], [move] and [log].",
+		Long: "platform runs the roles of one VM with the settings file of the users' platform, whose path is in\n" +
+			"the environment variable " + platform.NodeFileVariable + ". A separate file (--config) may have\n" +
+			"the sections [job], [move] and [log].",
 		Example: "  " + platform.NodeFileVariable + "=/etc/auburntack/node.yaml auburntackd platform\n" +
 			"  auburntackd platform --config deploy/tunables.ini",
 		Args: cobra.NoArgs,
--- a/internal/tackdocs/deployment_names_test.go
+++ b/internal/tackdocs/deployment_names_test.go
@@ -9,7 +9,7 @@
 )
 
 // deploymentNames matches names of the users' deployments, data centres, services,
-// classes of requests and days. Names that the brief uses as examples are not included.
+// classes of requests and days. Names that the requirements use as examples are not included.
 var deploymentNames = regexp.MustCompile(`(?i)\b(` + strings.Join([]string{
 	"sscto", "ortb", "bsnc", "kamloops", "vernon", "salmon-arm", "cotabato-hall", "zamboanga-hall", "marawi-hall", "davao-hall",
 	"vannes", "saint-brieuc", "gift-pass", "group-desk", "lamp-room", "partner-ledger", "timed-entry", "dawn-svc", "eid-svc",
