--- a/cmd/auburntackd/drain_test.go
+++ b/cmd/auburntackd/drain_test.go
@@ -12,7 +12,7 @@
 // until the VM was idle. A daemon is shut down gracefully, for an upgrade, and
 // starts again; later a request through it runs on a VM that is drained. The
 // leader must not use the last report of the previous process, which had no
-// requests left and accepted no more.
+// requests in flight and accepted no more.
 func TestDrainWaitsForRestartedPeer(t *testing.T) {
 	s := newSite(t, 1)
 	s.servers[0].Delay = 4 * time.Second
@@ -35,9 +35,9 @@
 	s.await(t, "the VM to be drained", func() bool {
 		return len(s.rows(t, "show vms where state = drained")) == 1
 	})
-	left := s.servers[0].Active()
+	active := s.servers[0].Active()
 	Convey("The request has ended before the VM counts as drained", t, func() {
-		So(left, ShouldEqual, 0)
+		So(active, ShouldEqual, 0)
 		So(<-answered, ShouldEqual, http.StatusOK)
 	})
 }
--- a/cmd/auburntackd/keyed_test.go
+++ b/cmd/auburntackd/keyed_test.go
@@ -20,8 +20,8 @@
 	for _, b := range s.servers {
 		b.Delay = time.Second
 	}
-	dead := s.daemons[1]
-	r, err := http.NewRequest(http.MethodPost, "http://"+dead.Caller+"/names-api/once", strings.NewReader("once"))
+	killed := s.daemons[1]
+	r, err := http.NewRequest(http.MethodPost, "http://"+killed.Caller+"/names-api/once", strings.NewReader("once"))
 	must(t, err)
 	r.Header.Set("Idempotency-Key", "once")
 	go func() {
@@ -30,7 +30,7 @@
 		}
 	}()
 	s.await(t, "the work to begin", func() bool { return s.tally.OfKey("once") == 1 })
-	dead.Kill()
+	killed.Kill()
 	var repeats sync.WaitGroup
 	answers := make([]answer, 8)
 	for i := range answers {
@@ -41,8 +41,8 @@
 		}()
 	}
 	repeats.Wait()
-	must(t, dead.Start(waitTimeout))
-	late := callOn(t, dead, http.MethodPost, "once", "once")
+	must(t, killed.Start(waitTimeout))
+	late := callOn(t, killed, http.MethodPost, "once", "once")
 	Convey("It ran once, and no caller is told that it did not run", t, func() {
 		So(s.tally.OfKey("once"), ShouldEqual, 1)
 		for _, a := range append(answers, late) {
@@ -58,17 +58,17 @@
 func TestKeyedWorkInARace(t *testing.T) {
 	s := newSite(t, 4)
 	leader, others := s.leader(t)
-	var racers sync.WaitGroup
+	var calls sync.WaitGroup
 	answers := make([]answer, 12)
 	for i := range answers {
-		racers.Add(1)
+		calls.Add(1)
 		go func() {
-			defer racers.Done()
+			defer calls.Done()
 			answers[i] = callOn(t, others[i%2], http.MethodPost, "race", "race")
 		}()
 	}
 	leader.Kill()
-	racers.Wait()
+	calls.Wait()
 	var last answer
 	s.await(t, "the recorded answer", func() bool {
 		last = callOn(t, others[0], http.MethodPost, "race", "race")
--- a/cmd/auburntackd/partition_vm_test.go
+++ b/cmd/auburntackd/partition_vm_test.go
@@ -16,22 +16,22 @@
 // the daemon's own data centre.
 func TestCutOffPeerKeepsToItsDataCentre(t *testing.T) {
 	s := newSite(t, 2)
-	alone, home, far := s.daemons[1], s.servers[1], s.servers[0]
-	s.network.Cut(alone, true)
+	partitioned, local, remote := s.daemons[1], s.servers[1], s.servers[0]
+	s.network.Cut(partitioned, true)
 	s.await(t, "the lease to expire", func() bool {
-		reply, err := alone.Ask("show config")
+		reply, err := partitioned.Ask("show config")
 		return err == nil && !reply.Confirmed
 	})
-	served := far.Served()
-	before := callOn(t, alone, http.MethodPost, "at-home", "")
-	home.Leave()
-	after := callOn(t, alone, http.MethodPost, "nobody-at-home", "")
+	served := remote.Served()
+	before := callOn(t, partitioned, http.MethodPost, "at-home", "")
+	local.Leave()
+	after := callOn(t, partitioned, http.MethodPost, "nobody-at-home", "")
 	Convey("It sends nothing out of its own data centre", t, func() {
 		So(before.outcome, ShouldEqual, "answered")
-		So(before.body, ShouldContainSubstring, home.Name)
+		So(before.body, ShouldContainSubstring, local.Name)
 		So(after.status, ShouldEqual, http.StatusServiceUnavailable)
 		So(after.outcome, ShouldEqual, "did_not_run")
-		So(far.Served(), ShouldEqual, served)
+		So(remote.Served(), ShouldEqual, served)
 	})
 }
 
@@ -70,16 +70,16 @@
 // appear.
 func (s *site) duringPartition(t *testing.T, command, done string) (early bool, got answer) {
 	t.Helper()
-	cut, server := s.daemons[1], s.servers[1]
-	if leader, _ := s.leader(t); leader == cut {
-		cut.Kill()
-		must(t, cut.Start(waitTimeout))
+	partitioned, server := s.daemons[1], s.servers[1]
+	if leader, _ := s.leader(t); leader == partitioned {
+		partitioned.Kill()
+		must(t, partitioned.Start(waitTimeout))
 	}
 	server.Delay = 6 * time.Second
 	answered := make(chan answer, 1)
-	go func() { answered <- callOn(t, cut, http.MethodPost, "slow", "") }()
+	go func() { answered <- callOn(t, partitioned, http.MethodPost, "slow", "") }()
 	s.await(t, "the request to run", func() bool { return server.Active() == 1 })
-	s.network.Cut(cut, true)
+	s.network.Cut(partitioned, true)
 	s.acceptedBy(t, s.daemons[0], command, "while-cut-off")
 	isDone := func() bool { return len(s.rows(t, done)) == 1 }
 	s.await(t, "the request to end", func() bool {
