--- a/internal/tackdocs/fitting_test.go
+++ b/internal/tackdocs/deployment_names_test.go
@@ -9,7 +9,7 @@
 )
 
 // deploymentNames matches names of the users' deployments, data centres, services,
-// classes of requests and days. Names that the brief uses as examples are not included.
+// classes of requests and days. Names that the requirements use as examples are not included.
 var deploymentNames = regexp.MustCompile(`(?i)\b(` + strings.Join([]string{
 	"sscto", "ortb", "bsnc", "kamloops", "vernon", "salmon-arm", "cotabato-hall", "zamboanga-hall", "marawi-hall", "davao-hall",
 	"vannes", "saint-brieuc", "gift-pass", "group-desk", "lamp-room", "partner-ledger", "timed-entry", "dawn-svc", "eid-svc",
@@ -22,7 +22,7 @@
 // Guards against a decision that depends on names instead of on what is observed,
 // because it was tuned on the known deployments: it works well for these and badly for
 // others. Such a decision is recognised by a name of a deployment in the code.
-func TestNoDecisionGoesByTheUsersNames(t *testing.T) {
+func TestNoDecisionDependsOnDeploymentNames(t *testing.T) {
 	files := productFiles(t)
 	if len(files) < 100 {
 		t.Fatalf("%d files found, want at least 100", len(files))
