--- a/io/tackcontrol/control.go
+++ b/io/tackcontrol/control.go
@@ -47,8 +47,8 @@
 	Config struct {
 		Self       tackid.Peer
 		DataCentre tackid.DataCentre
-		// LinkPort is the port of the links between control VMs, Inner that of the calls from
-		// entry VMs. They are the same on all control VMs.
+		// LinkPort is the port of the links between control VMs, ForwardPort that of the calls
+		// from entry VMs. They are the same on all control VMs.
 		LinkPort    int
 		ForwardPort int
 		// Seeds returns the control VMs that existed when the settings were written. With
@@ -67,8 +67,8 @@
 		// CallsPerSecond is the rate of orders that the platform accepts for the VMs of all
 		// pools together; zero means no limit.
 		CallsPerSecond float64
-		// RelayThreshold is the number of workers from which on they report to control VMs other
-		// than the leader; zero means 1000.
+		// RelayThreshold is the number of workers at and above which they report to control
+		// VMs other than the leader; zero means 1000.
 		RelayThreshold int
 		// Files is the file system of the data folder; nil means that of the operating
 		// system.
@@ -152,7 +152,7 @@
 		dispatch:  tackdispatch.New(cfg.Dispatch),
 		moveSlots: make(chan struct{}, maxMovesInFlight),
 	}
-	c.cfg.RelayThreshold = cmp.Or(cfg.RelayThreshold, defaultRelayFrom)
+	c.cfg.RelayThreshold = cmp.Or(cfg.RelayThreshold, defaultRelayThreshold)
 	c.state.ClosedRetention = cfg.ClosedRetention
 	c.orders.perSecond = cfg.CallsPerSecond
 	stored, err := c.openDisk()
--- a/io/tackcontrol/control_test.go
+++ b/io/tackcontrol/control_test.go
@@ -48,11 +48,11 @@
 		number int
 		folder string
 		seeds  []tackid.Peer
-		// relayFrom is the number of workers from which on they report to relays; zero is the
-		// default.
-		relayFrom int
-		client    *tackforward.Client
-		log       *logrus.Logger
+		// relayThreshold is the number of workers at and above which they report to relays;
+		// zero is the default.
+		relayThreshold int
+		client         *tackforward.Client
+		log            *logrus.Logger
 
 		running map[tackid.Peer]*runningVM
 		disks   map[tackid.Peer]*fillingDisk
@@ -134,7 +134,7 @@
 	c.t.Helper()
 	c.disks[p] = new(fillingDisk)
 	control, err := tackcontrol.New(tackcontrol.Config{
-		Files: c.disks[p], RelayThreshold: c.relayFrom,
+		Files: c.disks[p], RelayThreshold: c.relayThreshold,
 		Self: p, LinkPort: c.links, ForwardPort: c.links + 1, Seeds: c.seedPeers, Bootstrap: bootstrap, Voters: 3,
 		Folder: filepath.Join(c.folder, string(p)), Cloud: noCloud{}, Clock: new(tackclock.Clock), Logger: c.log,
 	})
--- a/io/tackcontrol/jobs.go
+++ b/io/tackcontrol/jobs.go
@@ -34,7 +34,7 @@
 	return a
 }
 
-// LeaderStatus tells an entry VM whether this VM is the leader, and otherwise which one is.
+// LeaderStatus reports whether this VM is the leader, and otherwise which one is.
 func (c *Control) LeaderStatus() tackwork.Answer {
 	if _, leads := c.leads(c.clock.Now()); !leads {
 		return c.notLeader()
--- a/io/tackcontrol/relay.go
+++ b/io/tackcontrol/relay.go
@@ -29,8 +29,8 @@
 	// valid. An election takes one to two seconds; after a longer time this VM may be
 	// partitioned from the leader.
 	relayStatusTTL = 3 * tackclock.Second
-	// defaultRelayFrom is the default number of workers from which on they report to relays.
-	defaultRelayFrom = 1000
+	// defaultRelayThreshold is the default of Config.RelayThreshold.
+	defaultRelayThreshold = 1000
 )
 
 type (
--- a/io/tackcontrol/relay_test.go
+++ b/io/tackcontrol/relay_test.go
@@ -10,7 +10,7 @@
 // newRelayingCluster returns control VMs whose workers all report to relays.
 func newRelayingCluster(t *testing.T) *cluster {
 	c := newCluster(t)
-	c.relayFrom = 1
+	c.relayThreshold = 1
 	for _, p := range c.seeds {
 		c.start(p, true)
 	}
@@ -26,11 +26,11 @@
 	w.control = c.running[leader].control
 	c.await("the worker is redirected to a relay", func() bool {
 		w.heartbeat()
-		return w.ask != "" && w.ask != leader
+		return w.nextPeer != "" && w.nextPeer != leader
 	})
-	w.control = c.running[w.ask].control
+	w.control = c.running[w.nextPeer].control
 	c.await("the relay accepts its reports", w.relayed)
-	return w.ask
+	return w.nextPeer
 }
 
 func TestWorkersReportToRelays(t *testing.T) {
@@ -42,8 +42,8 @@
 		w.heartbeat()
 		return c.ask(tackwork.Lookup, jobA).Progress == tackwork.Complete
 	})
-	if w.ask != relay {
-		t.Errorf("told to ask %s, want to stay with %s", w.ask, relay)
+	if w.nextPeer != relay {
+		t.Errorf("told to ask %s, want to stay with %s", w.nextPeer, relay)
 	}
 }
 
@@ -60,8 +60,8 @@
 		return c.ask(tackwork.Lookup, jobA).Progress == tackwork.Complete
 	})
 	// The relay itself may have become the leader.
-	if _, leads := c.running[relay].control.Catalog(); !leads && w.ask != relay {
-		t.Errorf("told to ask %s, want to stay with %s", w.ask, relay)
+	if _, leads := c.running[relay].control.Catalog(); !leads && w.nextPeer != relay {
+		t.Errorf("told to ask %s, want to stay with %s", w.nextPeer, relay)
 	}
 }
 
--- a/io/tackcontrol/waves.go
+++ b/io/tackcontrol/waves.go
@@ -43,8 +43,8 @@
 		Fence  uint64
 	}
 
-	// CloudError reports a call that the platform certainly did not carry out. Gone says that
-	// there is no such VM, or that it is not part of the wave.
+	// CloudError reports a call that the platform certainly did not carry out. NotFound says
+	// that there is no such VM, or that it is not part of the wave.
 	CloudError struct {
 		Reason   string
 		NotFound bool
--- a/io/tackcontrol/worker_test.go
+++ b/io/tackcontrol/worker_test.go
@@ -21,7 +21,7 @@
 	sequence uint64
 	ended    []tackdispatch.Ended
 	number   uint64
-	ask      tackid.Peer // the control VM that the last answer named
+	nextPeer tackid.Peer // the control VM that the last answer named
 }
 
 func (w *worker) heartbeat() {
@@ -33,7 +33,7 @@
 	if err != nil {
 		return
 	}
-	w.ask = reply.NextPeer
+	w.nextPeer = reply.NextPeer
 	o := reply.Orders
 	kept := w.ended[:0]
 	for _, e := range w.ended {
--- a/io/tackcontrol/workers.go
+++ b/io/tackcontrol/workers.go
@@ -27,9 +27,9 @@
 	return "this VM does not lead"
 }
 
-// Heartbeat handles a worker's report and returns its orders. The error is an
-// *NotLeaderError, a *BusyError, or a *tackdispatch.ForeignError if the report is not from a
-// worker that may be used; such a report changes nothing.
+// Heartbeat handles a worker's report and returns its orders. The error is a *NotLeaderError,
+// a *BusyError, or a *tackdispatch.ForeignError if the report is not from a worker that may
+// be used; such a report changes nothing.
 func (c *Control) Heartbeat(ctx context.Context, r *tackdispatch.Report) (Reply, error) {
 	now := c.clock.Now()
 	if _, leads := c.leads(now); !leads && c.isRelay(now) {
@@ -39,7 +39,7 @@
 }
 
 // decide answers a report that the relay by has forwarded, or that came directly if by is
-// empty. The error is an *NotLeaderError or a *tackdispatch.ForeignError.
+// empty. The error is a *NotLeaderError or a *tackdispatch.ForeignError.
 func (c *Control) decide(r *tackdispatch.Report, by tackid.Peer) (Reply, error) {
 	now := c.clock.Now()
 	c.mu.Lock()
@@ -66,8 +66,8 @@
 	if _, leads := c.leads(c.clock.Now()); !leads {
 		return Reply{}, &NotLeaderError{}
 	}
-	ask := c.roster.Choose(now, r.Worker.Name(), r.Zone, by)
-	return Reply{Orders: orders, NextPeer: cmp.Or(ask, c.cfg.Self)}, nil
+	next := c.roster.Choose(now, r.Worker.Name(), r.Zone, by)
+	return Reply{Orders: orders, NextPeer: cmp.Or(next, c.cfg.Self)}, nil
 }
 
 // poolExists reports whether the catalog names the service, or an earlier catalog did and
--- a/io/tacklog/dropping.go
+++ b/io/tacklog/dropping.go
@@ -15,9 +15,9 @@
 	closeTimeout = 500 * time.Millisecond
 )
 
-// DroppingWriter is a writer that never blocks its caller. Lines that do not fit into its queue are
-// dropped, and a line reports how many. Otherwise a process whose output is not read would
-// block in the middle of a decision.
+// DroppingWriter is a writer that never blocks its caller. Lines that do not fit into its
+// queue are dropped, and a line reports how many. Otherwise a process whose output is not
+// read would block in the middle of a decision.
 type DroppingWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
