--- a/io/tackcontrol/events.go
+++ b/io/tackcontrol/events.go
@@ -6,8 +6,8 @@
 	"auburntack/core/tackdispatch"
 )
 
-// maxEventLines is the maximum number of log lines per tick of 25 ms. When it is a queue's
-// turn, about a hundred items can start at once.
+// maxEventLines is the maximum number of log lines per tick of 25 ms. At the start of a
+// queue's burst about a hundred items can start at once.
 const maxEventLines = 200
 
 // logEvents writes a log line for each dispatch decision. Lines above the limit are counted
--- a/io/tackcontrol/members.go
+++ b/io/tackcontrol/members.go
@@ -27,7 +27,7 @@
 	checkAt tackclock.Time
 	// joining contains the VMs that asked to become members.
 	joining map[tackid.Peer]tackreplica.Member
-	// known contains control VMs that this one was told of and that may not be members.
+	// known contains control VMs that this one has learned of and that may not be members.
 	known        map[tackid.Peer]bool
 	leadingSince tackclock.Time // when this VM became the leader
 	leading      bool
@@ -47,7 +47,7 @@
 	})
 }
 
-// AddPeers links this VM with control VMs that it was told of.
+// AddPeers links this VM with control VMs that it has learned of.
 func (c *Control) AddPeers(peers []tackid.Peer) {
 	c.loop.Post(context.Background(), func() {
 		if c.members.known == nil {
@@ -66,7 +66,7 @@
 	})
 }
 
-// relink links this VM with all members, with the seeds, and with the VMs that it was told
+// relink links this VM with all members, with the seeds, and with the VMs that it has learned
 // of.
 func (c *Control) relink() {
 	c.links.SetPeers(c.peers(c.node.Members()))
--- a/io/tackcontrol/moves.go
+++ b/io/tackcontrol/moves.go
@@ -21,7 +21,7 @@
 	inventoryRetryDelay = tackclock.Second
 	// A round makes at most minMoveLimit moves or 1/moveLimitDivisor of the fleet's VMs,
 	// whichever is more, so that the pools are evaluated again before more VMs are moved.
-	// When a queue in its turn needs half of the fleet, these are all under way within a
+	// When a queue needs half of the fleet for a burst, all these VMs are under way within a
 	// second. With a limit of 12 it took seven seconds for 542 VMs, while 110 to 240 of them
 	// were idle.
 	minMoveLimit     = 12
--- a/io/tackcontrol/moves_test.go
+++ b/io/tackcontrol/moves_test.go
@@ -6,8 +6,7 @@
 	"auburntack/core/tackpool"
 )
 
-// Guards against a queue in its turn that waits seven seconds for VMs while hundreds are
-// idle. Its pool has a tenth of a fleet of 542 VMs and needs half of it. The fault was that
+// Guards against a queue whose burst waits seven seconds for VMs while hundreds are idle. Its pool has a tenth of a fleet of 542 VMs and needs half of it. The fault was that
 // each round moved at most twelve VMs, whatever the size of the fleet.
 func TestMoveLimitGrowsWithFleet(t *testing.T) {
 	for _, test := range []struct{ vms, want int }{{0, 12}, {49, 12}, {144, 18}, {542, 67}} {
--- a/io/tackcontrol/orders.go
+++ b/io/tackcontrol/orders.go
@@ -85,9 +85,9 @@
 // one was applied here.
 //
 // A VM that starts applies all of its log at once. By the local clock alone no VM could be
-// moved for the handover time: after a restart of all control VMs a pool whose queue had its
-// turn had 5 VMs for four seconds, next to 30 empty VMs. Times of different terms are not
-// compared, since the clocks of the leaders may differ.
+// moved for the handover time: after a restart of all control VMs during the burst of a
+// queue, its pool had 5 VMs for four seconds, next to 30 empty VMs. Times of different terms
+// are not compared, since the clocks of the leaders may differ.
 func (o *orders) age(now tackclock.Time, last lastOrder) tackclock.Duration {
 	age := now.Sub(last.applied)
 	newest, ok := o.newest[last.term]
--- a/io/tackcontrol/orders_test.go
+++ b/io/tackcontrol/orders_test.go
@@ -46,7 +46,7 @@
 }
 
 // Guards against a pool that has 5 VMs for four seconds, next to 30 empty VMs, after all
-// control VMs restarted during its queue's turn. The new leader applies its whole log at
+// control VMs restarted during its queue's burst. The new leader applies its whole log at
 // once. The fault was that all orders that the log contains, and all that an earlier part may
 // have contained, counted as given at that moment.
 func TestOrdersReadFromLogAtStart(t *testing.T) {
--- a/io/tackcontrol/relay.go
+++ b/io/tackcontrol/relay.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// sendHello tells the leader periodically that this VM is available as a relay. It is called
-// by the loop.
+// sendHello reports to the leader periodically that this VM is available as a relay. It is
+// called by the loop.
 func (c *Control) sendHello(now tackclock.Time) {
 	leader := c.Leader()
 	if now < c.relay.nextHello || leader == "" || leader == c.cfg.Self {
--- a/io/tackcontrol/relay_test.go
+++ b/io/tackcontrol/relay_test.go
@@ -43,7 +43,7 @@
 		return c.ask(tackwork.Lookup, jobA).Progress == tackwork.Complete
 	})
 	if w.nextPeer != relay {
-		t.Errorf("told to ask %s, want to stay with %s", w.nextPeer, relay)
+		t.Errorf("redirected to %s, want to stay with %s", w.nextPeer, relay)
 	}
 }
 
@@ -61,7 +61,7 @@
 	})
 	// The relay itself may have become the leader.
 	if _, leads := c.running[relay].control.Catalog(); !leads && w.nextPeer != relay {
-		t.Errorf("told to ask %s, want to stay with %s", w.nextPeer, relay)
+		t.Errorf("redirected to %s, want to stay with %s", w.nextPeer, relay)
 	}
 }
 
--- a/io/tackforward/client.go
+++ b/io/tackforward/client.go
@@ -55,7 +55,7 @@
 
 type (
 	// Client sends requests to the leader. It learns the leader from the answers, and
-	// remembers all control VMs that it was told of.
+	// remembers all control VMs that it has learned of.
 	Client struct {
 		port  int
 		seeds func() []tackid.Peer
--- a/io/tackforward/watch_test.go
+++ b/io/tackforward/watch_test.go
@@ -89,7 +89,7 @@
 	})
 	t.Run("not with a minority", func(t *testing.T) {
 		c, _ := newWatchedClient(t, &fakeControl{})
-		c.known = []tackid.Peer{"127.0.0.2", "127.0.0.3"} // nobody listens there
+		c.known = []tackid.Peer{"127.0.0.2", "127.0.0.3"} // nothing listens there
 		c.probe(ctx, 0)
 		assertReady(t, c, false)
 	})
@@ -155,7 +155,7 @@
 	// that it reaches cannot elect a leader.
 	t.Run("a VM that reaches a minority is cut off soon", func(t *testing.T) {
 		c, clock := newWatchedClient(t, &fakeControl{})
-		c.known = []tackid.Peer{"127.0.0.2", "127.0.0.3"} // nobody listens there
+		c.known = []tackid.Peer{"127.0.0.2", "127.0.0.3"} // nothing listens there
 		probe(c, clock)
 		assertCutOff(t, c, false)
 		probe(c, clock)
--- a/io/tackvm/loop.go
+++ b/io/tackvm/loop.go
@@ -114,7 +114,7 @@
 	defer v.mu.Unlock()
 	if err := v.state.Restore(snap.Data); err != nil {
 		return &StoppedError{
-			What:   "restore the leader's snapshot",
+			What:   "install the leader's snapshot",
 			Advice: "run the same version of auburntackd on every VM",
 			Err:    err,
 		}
@@ -225,7 +225,7 @@
 // logged and dropped; the sender retransmits the messages that matter.
 func (v *VM) decode(from tackid.Peer, body []byte, into any) bool {
 	if err := cbor.Unmarshal(body, into); err != nil {
-		v.log.WithField("peer", from).WithError(err).Warn("dropping a message that cannot be decoded")
+		v.log.WithField("peer", from).WithError(err).Warn("message cannot be decoded")
 		return false
 	}
 	return true
--- a/io/tackvm/routes.go
+++ b/io/tackvm/routes.go
@@ -27,7 +27,7 @@
 }
 
 // publishRoutes builds the table by which callers' requests are routed. It runs before
-// the log is told that an entry was applied: once this VM reports a revision, it routes
+// the log is notified that an entry was applied: once this VM reports a revision, it routes
 // no request by an older one.
 func (v *VM) publishRoutes(now tackclock.Time) {
 	leased := v.node.Leased(now)
--- a/io/tackvm/run.go
+++ b/io/tackvm/run.go
@@ -134,7 +134,7 @@
 func (v *VM) serveLoop(ctx context.Context) error {
 	defer func() {
 		if r := recover(); r != nil {
-			v.fail(&StoppedError{What: "run the log", Advice: "report this as a fault", Err: fmt.Errorf("panic: %v", r)})
+			v.fail(&StoppedError{What: "run the log", Advice: "report this as a bug", Err: fmt.Errorf("panic: %v", r)})
 		}
 	}()
 	if err := v.runLoop(ctx); err != nil {
