--- a/io/tackcontrol/control_test.go
+++ b/io/tackcontrol/control_test.go
@@ -284,7 +284,7 @@
 }
 
 // Guards against the loss of something that was acknowledged: the leader is lost right after
-// it accepted a job, the two others continue, it comes back with an empty folder, and another
+// it accepted a job, the two others continue, it restarts with an empty folder, and another
 // VM is lost.
 func TestAcceptedJobSurvivesLossOfLeaderAndFolder(t *testing.T) {
 	c := newRunningCluster(t)
@@ -317,9 +317,9 @@
 	return false
 }
 
-// Guards against a system that stops with the next loss after a VM was lost for good. An
-// empty VM at a new address asks to become a member, a voter is lost for good, then another
-// one.
+// Guards against a system that stops with the next loss after a VM was lost permanently. An
+// empty VM at a new address asks to become a member, a voter is lost permanently, then
+// another one.
 func TestNewVMReplacesLostVoter(t *testing.T) {
 	c := newRunningCluster(t)
 	c.assertAsk(tackwork.Submit, jobA, tackwork.Done)
@@ -391,7 +391,7 @@
 
 // Guards against a second start of what already runs on a worker. Another program sends a
 // heartbeat with the worker's VM, a new id and a pool that no catalog names. The fault was
-// that it was taken for the VM's next worker, so the current one was considered ended.
+// that it was mistaken for the VM's next worker, so the current one was considered ended.
 func TestHeartbeatFromUnknownPoolEndsNoWorker(t *testing.T) {
 	c := newRunningCluster(t)
 	leader := c.running[c.leader()].control
--- a/io/tackloop/loop_test.go
+++ b/io/tackloop/loop_test.go
@@ -30,7 +30,7 @@
 }
 
 // Guards against a process that never stops: its loop has ended, and a link's handler blocks
-// on a full queue that nobody empties.
+// on a full queue that is no longer processed.
 func TestPostReturnsAfterLoopEnded(t *testing.T) {
 	l := New(0)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/io/tackoperator/server_test.go
+++ b/io/tackoperator/server_test.go
@@ -64,8 +64,8 @@
 }
 
 // Each way in which a command can fail must have its own status and code. If an error is
-// reported with the status of another, operators repeat a command that was refused for
-// good, or give up on one that may have been executed.
+// reported with the status of another, operators repeat a command that was refused
+// permanently, or give up on one that may have been executed.
 func TestDoTellsFailuresApart(t *testing.T) {
 	_, syntax := tackcommand.Parse("crate pool p")
 	tests := []struct {
--- a/io/tackplatform/client.go
+++ b/io/tackplatform/client.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// url returns the URL of the call. A slash in a name is escaped; a name that a server would
-// take for a step up the path is rejected.
+// url returns the URL of the call. A slash in a name is escaped; an empty name and the path
+// elements "." and ".." are rejected, since a server would resolve them to another path.
 func (c *Client) url(k call) (string, error) {
 	var b strings.Builder
 	b.WriteString("http://" + c.Address)
--- a/io/tackserve/advice.go
+++ b/io/tackserve/advice.go
@@ -14,7 +14,7 @@
 	{syscall.EACCES, "let the daemon's user write to state.folder and use the ports under [listen]"},
 	{syscall.EPERM, "let the daemon's user write to state.folder and use the ports under [listen]"},
 	{syscall.EROFS, "mount the file system of state.folder for writing"},
-	{syscall.ENOSPC, "make room on the file system of state.folder"},
+	{syscall.ENOSPC, "free space on the file system of state.folder"},
 	{syscall.EIO, "replace the disk of state.folder; see docs/OPERATING.md on a lost disk"},
 	{syscall.ENOTDIR, "give a folder as state.folder"},
 }
--- a/io/tackserve/serve_test.go
+++ b/io/tackserve/serve_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestServeSaysWhatToDoWhenItCannotGoOn(t *testing.T) {
+func TestServeLogsAdviceWhenItCannotContinue(t *testing.T) {
 	var errs bytes.Buffer
 	d := Daemon{Stdout: &errs, Stderr: &errs, Run: func(context.Context, tacksettings.Settings, *logrus.Logger) error {
 		return fmt.Errorf("tackvm: %w", &os.PathError{Op: "open", Path: "lock", Err: syscall.EROFS})
--- a/io/tacksettings/page_test.go
+++ b/io/tacksettings/page_test.go
@@ -11,7 +11,7 @@
 
 var update = flag.Bool("update", false, "write docs/SETTINGS.md from the table")
 
-func TestPageIsTheTable(t *testing.T) {
+func TestPageMatchesTable(t *testing.T) {
 	var b bytes.Buffer
 	if err := WritePage(&b); err != nil {
 		t.Fatal(err)
--- a/io/tacksettings/reader.go
+++ b/io/tacksettings/reader.go
@@ -125,7 +125,7 @@
 	name := s.Name()
 	if name == ini.DefaultSection {
 		for _, k := range s.Keys() {
-			r.add("", k.Name(), "the key stands in no section", "allowed is below a [section]")
+			r.add("", k.Name(), "the key is in no section", "allowed is below a [section]")
 		}
 		return
 	}
--- a/io/tacksettings/settings_test.go
+++ b/io/tacksettings/settings_test.go
@@ -95,7 +95,7 @@
 	_, err := Load(file)
 	assertProblems(t, file, err,
 		`peer.x.replica: the line has no '='`,
-		`stray: the key stands in no section`,
+		`stray: the key is in no section`,
 		`vm.id: "rennes a" holds ' '`,
 		`vm.data_center: the key is unknown, did you mean "data_centre"`,
 		`vm.data_centre: the key is missing`,
@@ -144,7 +144,7 @@
 		`peer.rennes-a-1: the VM itself is listed as a peer`,
 		`peer.brest-1.address: 127.0.0.1:7102 is also the address of rennes-b-1`,
 		`peer.brest-2.address: 127.0.0.1:7002 is also the address of rennes-a-1`,
-		`listen.operator: 0.0.0.0:7000 is taken by listen.caller`,
+		`listen.operator: 0.0.0.0:7000 is already used by listen.caller`,
 	)
 }
 
--- a/io/tacksettings/together.go
+++ b/io/tacksettings/together.go
@@ -36,7 +36,7 @@
 		if p.Address == "" {
 			continue
 		}
-		if other, taken := addresses[p.Address]; taken {
+		if other, used := addresses[p.Address]; used {
 			r.add(section, "address", fmt.Sprintf("%s is also the address of %s", p.Address, other), "allowed is an address of its own")
 		}
 		addresses[p.Address] = p.ID
@@ -50,7 +50,7 @@
 	for i, p := range ports {
 		for _, q := range ports[:i] {
 			if overlap(p.address, q.address) {
-				r.add("listen", p.key, fmt.Sprintf("%s is taken by listen.%s", p.address, q.key), "allowed is another port")
+				r.add("listen", p.key, fmt.Sprintf("%s is already used by listen.%s", p.address, q.key), "allowed is another port")
 			}
 		}
 	}
--- a/io/tackvm/meter_test.go
+++ b/io/tackvm/meter_test.go
@@ -24,6 +24,6 @@
 	}
 	m.acknowledge()
 	if sample := m.takeSample("marawi-hall-1", true); sample != nil {
-		t.Errorf("taken twice: %+v", sample)
+		t.Errorf("sampled twice: %+v", sample)
 	}
 }
--- a/io/tackvm/tasks_test.go
+++ b/io/tackvm/tasks_test.go
@@ -46,24 +46,24 @@
 // With many workers and a task on only one of them, the busy worker must be polled in
 // each round and the idle ones less often. If all are polled equally often, the leader
 // uses its bandwidth on idle workers and learns late what a task uses.
-func TestIdleWorkersAreAskedLessOften(t *testing.T) {
+func TestIdleWorkersArePolledLessOften(t *testing.T) {
 	const workers, rounds = 40, 30
 	f, busy := fleetOfWorkers(t, workers)
-	asked := make(map[tackid.VM]int)
+	polled := make(map[tackid.VM]int)
 	tasks := tasks{polledAt: make(map[tackid.VM]tackclock.Time)}
 	now := tackclock.Time(tackclock.Minute)
 	for range rounds {
 		due := tasks.dueWorkers(now, f)
 		if !slices.Contains(due, busy) || len(due) > 1+maxPolledIdleWorkers {
-			t.Fatalf("asked %v, want %s and at most %d others", due, busy, maxPolledIdleWorkers)
+			t.Fatalf("polled %v, want %s and at most %d others", due, busy, maxPolledIdleWorkers)
 		}
 		for _, vm := range due {
 			tasks.polledAt[vm] = now
-			asked[vm]++
+			polled[vm]++
 		}
 		now = now.Add(usagePollInterval)
 	}
-	if len(asked) != workers {
-		t.Errorf("%d of %d workers were ever asked", len(asked), workers)
+	if len(polled) != workers {
+		t.Errorf("%d of %d workers were ever polled", len(polled), workers)
 	}
 }
