--- a/io/tackcontrol/moves.go
+++ b/io/tackcontrol/moves.go
@@ -30,7 +30,7 @@
 	// reported twice.
 	moveDelay = 1200 * tackclock.Millisecond
 	// poolStatusInterval is the minimum interval between two logs of the pool statuses. A log
-	// of all pools writes five lines on today's deployments.
+	// of all pools writes five lines on current deployments.
 	poolStatusInterval = tackclock.Second
 )
 
--- a/io/tackcontrol/orders.go
+++ b/io/tackcontrol/orders.go
@@ -73,8 +73,8 @@
 
 // byEarlierLeader reports whether the log says that the leader of another term gave an order
 // for the VM within the given time. Unlike free it assumes no order for VMs that the log does
-// not name, so the end of a worker there counts as a crash: if all VMs were excused after
-// each start, crashes one after the other would go unnoticed.
+// not name, so the end of a worker there counts as a crash: if the ends on all VMs were
+// excused after each start, successive crashes would go unnoticed.
 func (o *orders) byEarlierLeader(now tackclock.Time, term tackreplica.Term, vm tackid.VM, within tackclock.Duration) bool {
 	last, known := o.last[vm]
 	return known && last.term != term && o.age(now, last) < within
@@ -121,6 +121,6 @@
 	if p.status == committed {
 		return true
 	}
-	c.log.WithField("vms", vms).Warn("orders could not be logged; none given")
+	c.log.WithField("vms", vms).Warn("orders could not be committed to the replicated log; none are given")
 	return false
 }
--- a/io/tackcontrol/orders_test.go
+++ b/io/tackcontrol/orders_test.go
@@ -81,7 +81,7 @@
 			}
 		})
 	}
-	t.Run("a short log proves little", func(t *testing.T) {
+	t.Run("a short log may lack recent orders", func(t *testing.T) {
 		o.reset(now)
 		apply(0)
 		apply(tackclock.Second)
--- a/io/tackcontrol/propose.go
+++ b/io/tackcontrol/propose.go
@@ -225,7 +225,7 @@
 	if f != committed {
 		// The workers report the ends again. The state of dispatch is now wrong, so it is
 		// rebuilt from the workers' reports.
-		c.log.WithField("term", uint64(term)).Warn("ends of runs were not committed")
+		c.log.WithField("term", uint64(term)).Warn("ends of runs were not committed; dispatch is rebuilt from the workers' reports")
 		c.dispatchTerm = 0
 		return
 	}
--- a/io/tackcontrol/relay.go
+++ b/io/tackcontrol/relay.go
@@ -126,7 +126,7 @@
 func (c *Control) sendReports(leader tackid.Peer, list []tackrelay.NumberedReport) {
 	m := tackrelay.Reports{DataCentre: c.cfg.DataCentre, List: list, On: c.isRelay(c.clock.Now())}
 	if err := c.links.Send(leader, kindReports, m); err != nil {
-		c.log.WithField("peer", leader).WithField("reports", len(list)).WithError(err).Debug("reports not sent")
+		c.log.WithField("peer", leader).WithField("reports", len(list)).WithError(err).Debug("reports not forwarded to the leader")
 	}
 }
 
@@ -145,7 +145,7 @@
 func (c *Control) onReports(from tackid.Peer, body []byte) {
 	var m tackrelay.Reports
 	if err := cbor.Unmarshal(body, &m); err != nil {
-		c.log.WithField("peer", from).WithError(err).Warn("reports cannot be decoded")
+		c.log.WithField("peer", from).WithError(err).Warn("relayed reports cannot be decoded")
 		return
 	}
 	now := c.clock.Now()
@@ -164,7 +164,7 @@
 
 func (c *Control) sendAnswers(to tackid.Peer, answers tackrelay.Answers) {
 	if err := c.links.Send(to, kindAnswers, answers); err != nil {
-		c.log.WithField("peer", to).WithField("answers", len(answers.List)).WithError(err).Debug("answers not sent")
+		c.log.WithField("peer", to).WithField("answers", len(answers.List)).WithError(err).Debug("answers to relayed reports not sent")
 	}
 }
 
@@ -187,7 +187,7 @@
 func (c *Control) onAnswers(from tackid.Peer, body []byte) {
 	var m tackrelay.Answers
 	if err := cbor.Unmarshal(body, &m); err != nil {
-		c.log.WithField("peer", from).WithError(err).Warn("answers cannot be decoded")
+		c.log.WithField("peer", from).WithError(err).Warn("answers to relayed reports cannot be decoded")
 		return
 	}
 	now := c.clock.Now()
--- a/io/tackserve/serve.go
+++ b/io/tackserve/serve.go
@@ -74,7 +74,7 @@
 	root := &cobra.Command{
 		Use:           "auburntackd",
 		Short:         "One VM of auburntack",
-		Long:          "auburntackd runs one VM of auburntack: it takes callers' requests to backend servers\nand carries pools of VMs through maintenance.",
+		Long:          "auburntackd runs one VM of auburntack: it forwards callers' requests to backend servers\nand carries out the maintenance of pools of VMs.",
 		SilenceErrors: true,
 		SilenceUsage:  true,
 	}
--- a/io/tackvm/burn.go
+++ b/io/tackvm/burn.go
@@ -172,7 +172,7 @@
 		err := s.Set(c.Key, c.Value)
 		if err != nil && c.Revision > v.meter.warnedRevision {
 			v.meter.warnedRevision = c.Revision
-			v.log.WithError(err).Warn("ignoring an invalid setting; set it again")
+			v.log.WithError(err).Warn("ignoring an invalid service-level setting; set it again")
 		}
 	}
 	return s
--- a/io/tackvm/tasks.go
+++ b/io/tackvm/tasks.go
@@ -118,7 +118,7 @@
 	v.countOrder(outcome)
 	v.reconciler.tasks.addAnswer(o, outcome, reason)
 	if err != nil {
-		v.log.WithField("worker", o.Worker).WithField("task", o.Task).WithError(err).Debug("order failed")
+		v.log.WithField("worker", o.Worker).WithField("task", o.Task).WithError(err).Debug("order to the worker failed")
 	}
 }
 
