--- a/io/tackcontrol/control_test.go
+++ b/io/tackcontrol/control_test.go
@@ -228,7 +228,7 @@
 	})
 }
 
-func (c *cluster) ask(op tackwork.Operation, id string) tackwork.Answer {
+func (c *cluster) request(op tackwork.Operation, id string) tackwork.Answer {
 	r := &tackwork.Request{Operation: op, Host: "a.example", Path: "/q/" + id}
 	if op == tackwork.Submit {
 		r.Spec = &tackjob.Spec{Steps: []tackjob.Step{{Count: 2, Estimate: 100, Resources: tackroom.Resources{MilliCores: 500}}}}
@@ -236,11 +236,11 @@
 	return c.client.Do(context.Background(), r)
 }
 
-func (c *cluster) assertAsk(op tackwork.Operation, id string, want tackwork.Verdict) {
+func (c *cluster) assertVerdict(op tackwork.Operation, id string, want tackwork.Verdict) {
 	c.t.Helper()
 	var got tackwork.Answer
 	for range 20 {
-		if got = c.ask(op, id); got.Verdict != tackwork.Unavailable && got.Verdict != tackwork.Unknown {
+		if got = c.request(op, id); got.Verdict != tackwork.Unavailable && got.Verdict != tackwork.Unknown {
 			break
 		}
 	}
@@ -265,20 +265,20 @@
 
 func TestJobThroughTheLog(t *testing.T) {
 	c := newRunningCluster(t)
-	c.assertAsk(tackwork.Lookup, jobA, tackwork.NoJob)
-	c.assertAsk(tackwork.Submit, jobA, tackwork.Done)
-	c.assertAsk(tackwork.Submit, jobA, tackwork.Done)
-	if a := c.ask(tackwork.Lookup, ""); !a.Queue || a.Pending != 1 {
+	c.assertVerdict(tackwork.Lookup, jobA, tackwork.NoJob)
+	c.assertVerdict(tackwork.Submit, jobA, tackwork.Done)
+	c.assertVerdict(tackwork.Submit, jobA, tackwork.Done)
+	if a := c.request(tackwork.Lookup, ""); !a.Queue || a.Pending != 1 {
 		t.Errorf("pending %+v, want one job", a)
 	}
 	w := &worker{id: "i-1", control: c.running[c.leader()].control}
 	c.await("the job complete", func() bool {
 		w.heartbeat()
-		return c.ask(tackwork.Lookup, jobA).Progress == tackwork.Complete
+		return c.request(tackwork.Lookup, jobA).Progress == tackwork.Complete
 	})
-	c.assertAsk(tackwork.Submit, jobB, tackwork.Done)
-	c.assertAsk(tackwork.Cancel, jobB, tackwork.Done)
-	if a := c.ask(tackwork.Lookup, jobB); a.Progress != tackwork.Cancelled {
+	c.assertVerdict(tackwork.Submit, jobB, tackwork.Done)
+	c.assertVerdict(tackwork.Cancel, jobB, tackwork.Done)
+	if a := c.request(tackwork.Lookup, jobB); a.Progress != tackwork.Cancelled {
 		t.Errorf("progress %v, want cancelled", a.Progress)
 	}
 }
@@ -288,11 +288,11 @@
 // VM is lost.
 func TestAcceptedJobSurvivesLossOfLeaderAndFolder(t *testing.T) {
 	c := newRunningCluster(t)
-	c.assertAsk(tackwork.Submit, jobA, tackwork.Done)
+	c.assertVerdict(tackwork.Submit, jobA, tackwork.Done)
 	lost := c.leader()
 	c.stop(lost)
-	c.assertAsk(tackwork.Lookup, jobA, tackwork.Done)
-	c.assertAsk(tackwork.Submit, jobB, tackwork.Done)
+	c.assertVerdict(tackwork.Lookup, jobA, tackwork.Done)
+	c.assertVerdict(tackwork.Submit, jobB, tackwork.Done)
 	if err := os.RemoveAll(filepath.Join(c.folder, string(lost))); err != nil {
 		t.Fatal(err)
 	}
@@ -303,8 +303,8 @@
 		return second != lost && c.votes(lost)
 	})
 	c.stop(c.leader())
-	c.assertAsk(tackwork.Lookup, jobA, tackwork.Done)
-	c.assertAsk(tackwork.Lookup, jobB, tackwork.Done)
+	c.assertVerdict(tackwork.Lookup, jobA, tackwork.Done)
+	c.assertVerdict(tackwork.Lookup, jobB, tackwork.Done)
 }
 
 // votes reports whether the leader counts p among the up-to-date voters.
@@ -322,7 +322,7 @@
 // another one.
 func TestNewVMReplacesLostVoter(t *testing.T) {
 	c := newRunningCluster(t)
-	c.assertAsk(tackwork.Submit, jobA, tackwork.Done)
+	c.assertVerdict(tackwork.Submit, jobA, tackwork.Done)
 	added := c.peer(4)
 	c.start(added, false)
 	c.await("the new VM a member", func() bool { return c.running[added].control.Member() })
@@ -338,7 +338,7 @@
 		return n == 3
 	})
 	c.stop(c.leader())
-	c.assertAsk(tackwork.Lookup, jobA, tackwork.Done)
+	c.assertVerdict(tackwork.Lookup, jobA, tackwork.Done)
 }
 
 // Guards against a control VM that exits at each start, with its ports closed, while its disk
@@ -346,11 +346,11 @@
 // failed write stopped the process.
 func TestFullDisk(t *testing.T) {
 	c := newRunningCluster(t)
-	c.assertAsk(tackwork.Submit, jobA, tackwork.Done)
+	c.assertVerdict(tackwork.Submit, jobA, tackwork.Done)
 	full := c.leader()
 	c.disks[full].full.Store(true)
 	// The first of these writes to the full disk. Its result is unknown, so it is sent again.
-	c.assertAsk(tackwork.Submit, jobB, tackwork.Done)
+	c.assertVerdict(tackwork.Submit, jobB, tackwork.Done)
 	if second := c.leader(); second == full {
 		t.Error("the VM whose disk is full leads")
 	}
@@ -365,15 +365,15 @@
 			break
 		}
 	}
-	c.assertAsk(tackwork.Lookup, jobA, tackwork.Done)
-	c.assertAsk(tackwork.Lookup, jobB, tackwork.Done)
-	c.assertAsk(tackwork.Cancel, jobA, tackwork.Done)
+	c.assertVerdict(tackwork.Lookup, jobA, tackwork.Done)
+	c.assertVerdict(tackwork.Lookup, jobB, tackwork.Done)
+	c.assertVerdict(tackwork.Cancel, jobA, tackwork.Done)
 }
 
 // A minority gives no answer that could be outdated, and reports this at once.
 func TestMinorityAnswersUnavailable(t *testing.T) {
 	c := newRunningCluster(t)
-	c.assertAsk(tackwork.Submit, jobA, tackwork.Done)
+	c.assertVerdict(tackwork.Submit, jobA, tackwork.Done)
 	leader := c.leader()
 	for _, p := range c.seeds {
 		if p != leader {
@@ -384,7 +384,7 @@
 		_, sure := c.running[leader].control.Catalog()
 		return !sure
 	})
-	if a := c.ask(tackwork.Lookup, jobA); a.Verdict != tackwork.Unavailable || a.RetryAfter == 0 {
+	if a := c.request(tackwork.Lookup, jobA); a.Verdict != tackwork.Unavailable || a.RetryAfter == 0 {
 		t.Errorf("a minority answers %v with retry after %v", a.Verdict, a.RetryAfter)
 	}
 }
@@ -395,17 +395,17 @@
 func TestHeartbeatFromUnknownPoolEndsNoWorker(t *testing.T) {
 	c := newRunningCluster(t)
 	leader := c.running[c.leader()].control
-	sound := &worker{id: "i-1", control: leader}
-	sound.heartbeat()
+	registered := &worker{id: "i-1", control: leader}
+	registered.heartbeat()
 	foreign := &tackdispatch.Report{
 		Worker: "i-9", VM: "m-i-1", Service: "elsewhere", Sequence: 1, Capacity: tackroom.Resources{MilliCores: 4000, MemoryMB: 4000},
 	}
 	if _, err := leader.Heartbeat(t.Context(), foreign); !errors.As(err, new(*tackdispatch.ForeignError)) {
 		t.Errorf("error %v, want a *ForeignError", err)
 	}
-	sound.sequence++
+	registered.sequence++
 	reply, err := leader.Heartbeat(t.Context(), &tackdispatch.Report{
-		Worker: sound.id, VM: "m-i-1", Service: "names-api", Sequence: sound.sequence, Capacity: foreign.Capacity,
+		Worker: registered.id, VM: "m-i-1", Service: "names-api", Sequence: registered.sequence, Capacity: foreign.Capacity,
 	})
 	if err != nil || reply.Orders.Hold == 0 {
 		t.Errorf("the worker's own heartbeat gets %+v, %v, want a lease", reply, err)
--- a/io/tackcontrol/relay_test.go
+++ b/io/tackcontrol/relay_test.go
@@ -37,10 +37,10 @@
 	c := newRelayingCluster(t)
 	w := &worker{id: "i-1"}
 	relay := c.redirected(w)
-	c.assertAsk(tackwork.Submit, jobA, tackwork.Done)
+	c.assertVerdict(tackwork.Submit, jobA, tackwork.Done)
 	c.await("the job complete", func() bool {
 		w.heartbeat()
-		return c.ask(tackwork.Lookup, jobA).Progress == tackwork.Complete
+		return c.request(tackwork.Lookup, jobA).Progress == tackwork.Complete
 	})
 	if w.nextPeer != relay {
 		t.Errorf("redirected to %s, want to stay with %s", w.nextPeer, relay)
@@ -54,10 +54,10 @@
 	w := &worker{id: "i-1"}
 	relay := c.redirected(w)
 	c.stop(c.leader())
-	c.assertAsk(tackwork.Submit, jobA, tackwork.Done)
+	c.assertVerdict(tackwork.Submit, jobA, tackwork.Done)
 	c.await("the job complete", func() bool {
 		w.heartbeat()
-		return c.ask(tackwork.Lookup, jobA).Progress == tackwork.Complete
+		return c.request(tackwork.Lookup, jobA).Progress == tackwork.Complete
 	})
 	// The relay itself may have become the leader.
 	if _, leads := c.running[relay].control.Catalog(); !leads && w.nextPeer != relay {
--- a/io/tackcontrol/submissions_test.go
+++ b/io/tackcontrol/submissions_test.go
@@ -45,7 +45,7 @@
 		accepted++
 	}
 	for n := range accepted / 3 {
-		c.assertAsk(tackwork.Cancel, numberedID(n), tackwork.Done)
+		c.assertVerdict(tackwork.Cancel, numberedID(n), tackwork.Done)
 	}
 	c.stall(leader, true)
 	if a := submitTo(control, "r-1", jobA, shortTimeout); a.Verdict != tackwork.Unknown {
@@ -61,7 +61,7 @@
 		}
 	}
 	c.stall(leader, false)
-	c.assertAsk(tackwork.Lookup, jobB, tackwork.NoJob)
+	c.assertVerdict(tackwork.Lookup, jobB, tackwork.NoJob)
 }
 
 // Guards against the same fault when a retry overtakes the first request.
@@ -78,7 +78,7 @@
 		t.Fatalf("%v (%s), want refused", a.Verdict, a.Reason)
 	}
 	for k := range n {
-		c.assertAsk(tackwork.Cancel, numberedID(k), tackwork.Done)
+		c.assertVerdict(tackwork.Cancel, numberedID(k), tackwork.Done)
 	}
 	if a := submitTo(control, "r-1", jobA, eventually); a.Verdict != tackwork.Refused {
 		t.Errorf("%v (%s) for another attempt of the request, want it refused as well", a.Verdict, a.Reason)
--- a/io/tackcontrol/worker_test.go
+++ b/io/tackcontrol/worker_test.go
@@ -82,7 +82,7 @@
 			c.stop(leader)
 			c.start(leader, false)
 		}
-		return c.ask(tackwork.Lookup, jobA).Progress == tackwork.Failed
+		return c.request(tackwork.Lookup, jobA).Progress == tackwork.Failed
 	})
 	// Two crashes of VMs that ran only this item suffice for the failure, and one crash may be
 	// counted by neither leader.
