--- a/io/tackcontrol/orders.go
+++ b/io/tackcontrol/orders.go
@@ -73,8 +73,8 @@
 
 // byEarlierLeader reports whether the log says that the leader of another term gave an order
 // for the VM within the given time. Unlike free it assumes no order for VMs that the log does
-// not name, so the end of a worker there counts as a crash: if all VMs were excused after
-// each start, crashes one after the other would go unnoticed.
+// not name, so the end of a worker there counts as a crash: if the ends on all VMs were
+// excused after each start, successive crashes would go unnoticed.
 func (o *orders) byEarlierLeader(now tackclock.Time, term tackreplica.Term, vm tackid.VM, within tackclock.Duration) bool {
 	last, known := o.last[vm]
 	return known && last.term != term && o.age(now, last) < within
@@ -85,9 +85,9 @@
 // one was applied here.
 //
 // A VM that starts applies all of its log at once. By the local clock alone no VM could be
-// moved for the handover time: after a restart of all control VMs a pool whose queue had its
-// turn had 5 VMs for four seconds, next to 30 empty VMs. Times of different terms are not
-// compared, since the clocks of the leaders may differ.
+// moved for the handover time: after a restart of all control VMs during the burst of a
+// queue, its pool had 5 VMs for four seconds, next to 30 empty VMs. Times of different terms
+// are not compared, since the clocks of the leaders may differ.
 func (o *orders) age(now tackclock.Time, last lastOrder) tackclock.Duration {
 	age := now.Sub(last.applied)
 	newest, ok := o.newest[last.term]
@@ -121,6 +121,6 @@
 	if p.status == committed {
 		return true
 	}
-	c.log.WithField("vms", vms).Warn("orders could not be logged; none given")
+	c.log.WithField("vms", vms).Warn("orders could not be committed to the replicated log; none are given")
 	return false
 }
--- a/io/tackcontrol/worker_test.go
+++ b/io/tackcontrol/worker_test.go
@@ -21,7 +21,7 @@
 	sequence uint64
 	ended    []tackdispatch.Ended
 	number   uint64
-	ask      tackid.Peer // the control VM that the last answer named
+	nextPeer tackid.Peer // the control VM that the last answer named
 }
 
 func (w *worker) heartbeat() {
@@ -33,7 +33,7 @@
 	if err != nil {
 		return
 	}
-	w.ask = reply.NextPeer
+	w.nextPeer = reply.NextPeer
 	o := reply.Orders
 	kept := w.ended[:0]
 	for _, e := range w.ended {
@@ -82,7 +82,7 @@
 			c.stop(leader)
 			c.start(leader, false)
 		}
-		return c.ask(tackwork.Lookup, jobA).Progress == tackwork.Failed
+		return c.request(tackwork.Lookup, jobA).Progress == tackwork.Failed
 	})
 	// Two crashes of VMs that ran only this item suffice for the failure, and one crash may be
 	// counted by neither leader.
