--- a/io/tackhttp/bench_test.go
+++ b/io/tackhttp/bench_test.go
@@ -64,13 +64,13 @@
 
 // measurement holds the latencies of requests and the CPU time that they took.
 type measurement struct {
-	took []time.Duration
-	cpu  time.Duration // of the whole process
+	latencies []time.Duration
+	cpu       time.Duration // of the whole process
 }
 
 func (l *measurement) quantile(q float64) time.Duration {
-	slices.Sort(l.took)
-	return l.took[int(q*float64(len(l.took)-1))]
+	slices.Sort(l.latencies)
+	return l.latencies[int(q*float64(len(l.latencies)-1))]
 }
 
 func cpuTime() time.Duration {
@@ -87,7 +87,7 @@
 	before := cpuTime()
 	for range callers {
 		running.Go(func() {
-			took := make([]time.Duration, 0, n/callers)
+			latencies := make([]time.Duration, 0, n/callers)
 			for range n / callers {
 				start := time.Now()
 				resp, err := client.Get("http://" + address + "/names/kemper")
@@ -101,11 +101,11 @@
 					b.Errorf("status %d", resp.StatusCode)
 					return
 				}
-				took = append(took, time.Since(start))
+				latencies = append(latencies, time.Since(start))
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			l.took = append(l.took, took...)
+			l.latencies = append(l.latencies, latencies...)
 		})
 	}
 	running.Wait()
@@ -148,7 +148,7 @@
 				b.ReportMetric(float64(added)/float64(relayed), fmt.Sprintf("p%v_added_ratio", q*100))
 				b.ReportMetric(float64(added.Microseconds()), fmt.Sprintf("p%v_added_us", q*100))
 			}
-			per := func(l *measurement) float64 { return float64(l.cpu.Microseconds()) / float64(len(l.took)) }
+			per := func(l *measurement) float64 { return float64(l.cpu.Microseconds()) / float64(len(l.latencies)) }
 			b.ReportMetric((per(own)-per(direct))/(per(other)-per(direct)), "cpu_added_ratio")
 			b.ReportMetric(per(own)-per(direct), "cpu_added_us")
 			b.ReportMetric(per(other)-per(direct), "relay_cpu_added_us")
--- a/io/tackhttp/call.go
+++ b/io/tackhttp/call.go
@@ -294,9 +294,9 @@
 // count records the end of the request in the metrics and the Meter.
 func (c *call) count() {
 	now := c.h.clock.Now()
-	took := now.Sub(c.began)
+	latency := now.Sub(c.began)
 	c.h.meters.requests.Inc(1)
-	c.h.meters.took.Update(int64(took))
+	c.h.meters.latency.Update(int64(latency))
 	if c.h.cfg.Meter == nil || c.service == nil {
 		return
 	}
@@ -308,7 +308,7 @@
 		Status:     c.status,
 		Late:       now.After(c.deadline),
 		CallerGone: c.callerGone || c.r.Context().Err() != nil,
-		Latency:    took,
+		Latency:    latency,
 		Dispatches: c.tries,
 	})
 }
--- a/io/tackhttp/handler.go
+++ b/io/tackhttp/handler.go
@@ -49,8 +49,8 @@
 		Count(r Result)
 	}
 
-	// Result describes how one request ended, for a Meter. Took is the time
-	// from its arrival to the last byte of its answer.
+	// Result describes how one request ended, for a Meter. Latency is the
+	// time from its arrival to the last byte of its answer.
 	Result struct {
 		Service    tackid.Service
 		Team       tackid.Team
@@ -181,9 +181,9 @@
 	return loads
 }
 
-// DisableKeepAlives makes every further answer ask its caller to close the connection, so
-// that callers reconnect through the load balancer. Requests are still
-// accepted.
+// DisableKeepAlives makes every further answer ask its caller to close the
+// connection, so that callers reconnect through the load balancer. Requests are
+// still accepted.
 func (h *Handler) DisableKeepAlives() {
 	h.closeConns.Store(true)
 }
--- a/io/tackhttp/metrics.go
+++ b/io/tackhttp/metrics.go
@@ -29,7 +29,7 @@
 	setAside      metrics.Counter
 	finishRetries metrics.Counter
 	finishLost    metrics.Counter
-	took          metrics.Histogram
+	latency       metrics.Histogram
 }
 
 func newMeters(r metrics.Registry) meters {
@@ -55,7 +55,7 @@
 		setAside:      counter("jobs_set_aside"),
 		finishRetries: counter("key_finish_retries"),
 		finishLost:    counter("key_finish_lost"),
-		took:          metrics.GetOrRegisterHistogram("caller_request_ms", r, metrics.NewUniformSample(sampleSize)),
+		latency:       metrics.GetOrRegisterHistogram("caller_request_ms", r, metrics.NewUniformSample(sampleSize)),
 	}
 }
 
--- a/io/tackhttp/service.go
+++ b/io/tackhttp/service.go
@@ -205,15 +205,15 @@
 }
 
 // recordFirstByte records how long an answer took to begin.
-func (s *service) recordFirstByte(took tackclock.Duration) {
+func (s *service) recordFirstByte(latency tackclock.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	took = max(took, tackclock.Millisecond) // zero means that no answer was recorded
-	if took >= s.slowest {
-		s.slowest = took
+	latency = max(latency, tackclock.Millisecond) // zero means that no answer was recorded
+	if latency >= s.slowest {
+		s.slowest = latency
 		return
 	}
-	s.slowest -= (s.slowest - took) / slowestDecay
+	s.slowest -= (s.slowest - latency) / slowestDecay
 }
 
 // earlyRetryDelay returns how long to wait for an answer before an idempotent
--- a/io/tackmeasure/cluster.go
+++ b/io/tackmeasure/cluster.go
@@ -30,9 +30,9 @@
 // newCluster starts n daemons, distributed over up to ten data centres. The first replicas of
 // them have a disk.
 func newCluster(ctx context.Context, binary, folder string, n, replicas int) (*cluster, error) {
-	var places []tackstandin.DaemonSpec
+	var specs []tackstandin.DaemonSpec
 	for i := range n {
-		places = append(places, tackstandin.DaemonSpec{
+		specs = append(specs, tackstandin.DaemonSpec{
 			DataCentre: fmt.Sprintf("dc-%d", i%dataCentres),
 			Replica:    i < replicas,
 		})
@@ -43,7 +43,7 @@
 	}
 	var err error
 	settings := fmt.Sprintf("[platform]\naddress = %s\n", c.platform.address)
-	c.daemons, err = tackstandin.NewCluster(binary, folder, settings, places)
+	c.daemons, err = tackstandin.NewCluster(binary, folder, settings, specs)
 	if err != nil {
 		c.stop()
 		return nil, err
--- a/io/tackprofile/profile.go
+++ b/io/tackprofile/profile.go
@@ -9,8 +9,8 @@
 
 const path = "/debug/pprof/"
 
-// Handler returns a handler that serves profiles under /debug/pprof/ and passes all other
-// requests to next.
+// Handler returns a handler that serves profiles under /debug/pprof/ and passes all
+// other requests to next.
 func Handler(next http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+path, pprof.Index) // also serves the memory profiles by name
--- a/io/tackstandin/callers.go
+++ b/io/tackstandin/callers.go
@@ -34,9 +34,9 @@
 		running sync.WaitGroup
 		client  *http.Client
 
-		mu     sync.Mutex
-		counts CallerCounts
-		took   []time.Duration
+		mu        sync.Mutex
+		counts    CallerCounts
+		latencies []time.Duration
 	}
 
 	// CallerCounts counts the callers' requests by result.
@@ -47,8 +47,8 @@
 		// Unknown those with another outcome or status.
 		Refused int
 		Unknown int
-		// Broken counts requests without a complete answer, Mixed those that
-		// got the answer to another request.
+		// Broken counts requests without a complete answer, Mismatched those
+		// that got the answer to another request.
 		Broken     int
 		Mismatched int
 		// DidNotRun lists the bodies of which every request was refused: a key
@@ -100,10 +100,10 @@
 func (c *Callers) Latency(p float64) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.took) == 0 {
+	if len(c.latencies) == 0 {
 		return 0
 	}
-	sorted := slices.Sorted(slices.Values(c.took))
+	sorted := slices.Sorted(slices.Values(c.latencies))
 	return sorted[min(int(p*float64(len(sorted))), len(sorted)-1)]
 }
 
@@ -156,7 +156,7 @@
 }
 
 // record counts the answer and reports whether it is a refusal.
-func (c *Callers) record(answer *http.Response, got []byte, body string, took time.Duration) bool {
+func (c *Callers) record(answer *http.Response, got []byte, body string, latency time.Duration) bool {
 	outcome := answer.Header.Get("Auburntack-Outcome")
 	if outcome == "answered" && answer.StatusCode == http.StatusOK {
 		var decoded Answer
@@ -167,7 +167,7 @@
 		c.mu.Lock()
 		c.counts.Sent++
 		c.counts.Answered++
-		c.took = append(c.took, took)
+		c.latencies = append(c.latencies, latency)
 		c.mu.Unlock()
 		return false
 	}
--- a/io/tackstandin/daemon.go
+++ b/io/tackstandin/daemon.go
@@ -76,11 +76,11 @@
 	}
 )
 
-// NewCluster writes the settings file of one daemon for each place to folder and
-// appends extra, further settings, to every file. It starts no process.
-func NewCluster(binary, folder, extra string, places []DaemonSpec) ([]*Daemon, error) {
+// NewCluster writes the settings file of one daemon for each element of specs to
+// folder and appends extra, further settings, to every file. It starts no process.
+func NewCluster(binary, folder, extra string, specs []DaemonSpec) ([]*Daemon, error) {
 	var daemons []*Daemon
-	for i, p := range places {
+	for i, p := range specs {
 		d, err := newDaemon(binary, folder, i+1, p)
 		if err != nil {
 			return nil, err
@@ -117,9 +117,9 @@
 	}, nil
 }
 
-// UseProxies rewrites the settings files so that every daemon connects to the others
-// through proxies that can drop the traffic. Call it before the daemons are
-// started.
+// UseProxies rewrites the settings files so that every daemon connects to the
+// others through proxies that can drop the traffic. Call it before the daemons
+// are started.
 func UseProxies(daemons []*Daemon, extra string) (*Network, error) {
 	proxies, err := newNetwork(daemons)
 	if err != nil {
--- a/io/tackstandin/tally.go
+++ b/io/tackstandin/tally.go
@@ -63,7 +63,8 @@
 	return t.bodies[body]
 }
 
-// RepeatedKeys returns the number of idempotency keys with more than one execution.
+// RepeatedKeys returns the number of idempotency keys with more than one
+// execution.
 func (t *Tally) RepeatedKeys() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/io/tackstandin/tasks.go
+++ b/io/tackstandin/tasks.go
@@ -12,7 +12,7 @@
 	}
 	t.starts[task]++
 	if l, live := t.leases[task]; live && l.worker != worker && l.until.After(time.Now()) {
-		t.doubled++
+		t.overlapping++
 	}
 	t.leases[task] = taskLease{worker, until}
 }
@@ -56,12 +56,12 @@
 	return t.done[task]
 }
 
-// OverlappingLeases returns the number of starts of tasks on which another worker still
-// held a lease.
+// OverlappingLeases returns the number of starts of tasks on which another
+// worker still held a lease.
 func (t *TaskTally) OverlappingLeases() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.doubled
+	return t.overlapping
 }
 
 // Cut returns the number of tasks that were cut by a reboot.
--- a/io/tackstandin/wire.go
+++ b/io/tackstandin/wire.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// Network holds the proxies between the daemons of a cluster, one for each ordered
-// pair of daemons.
+// Network holds the proxies between the daemons of a cluster, one for each
+// ordered pair of daemons.
 type Network struct {
 	between map[direction]*Proxy
 }
@@ -130,8 +130,8 @@
 
 // Cut separates the daemon from all others: on all of its connections, or only
 // on those that it opened itself, of which both directions are cut.
-func (w *Network) Cut(d *Daemon, bothWays bool) {
-	for between, proxy := range w.between {
+func (n *Network) Cut(d *Daemon, bothWays bool) {
+	for between, proxy := range n.between {
 		if between.from == d.ID || bothWays && between.to == d.ID {
 			proxy.Cut(true)
 		}
@@ -139,21 +139,21 @@
 }
 
 // Heal ends every cut.
-func (w *Network) Heal() {
-	for _, proxy := range w.between {
+func (n *Network) Heal() {
+	for _, proxy := range n.between {
 		proxy.Heal()
 	}
 }
 
 // Close closes every proxy.
-func (w *Network) Close() {
-	for _, proxy := range w.between {
+func (n *Network) Close() {
+	for _, proxy := range n.between {
 		proxy.Close()
 	}
 }
 
 func newNetwork(daemons []*Daemon) (*Network, error) {
-	w := &Network{between: make(map[direction]*Proxy)}
+	n := &Network{between: make(map[direction]*Proxy)}
 	for _, from := range daemons {
 		for _, to := range daemons {
 			if from == to {
@@ -161,11 +161,11 @@
 			}
 			proxy, err := NewProxy(to.Peer)
 			if err != nil {
-				w.Close()
+				n.Close()
 				return nil, err
 			}
-			w.between[direction{from.ID, to.ID}] = proxy
+			n.between[direction{from.ID, to.ID}] = proxy
 		}
 	}
-	return w, nil
+	return n, nil
 }
--- a/io/tackstandin/worker.go
+++ b/io/tackstandin/worker.go
@@ -28,7 +28,7 @@
 		Cores      int
 		MemoryMB   int
 		Operators  []string
-		// TaskTime is the duration of a task, Saving that of a checkpoint.
+		// TaskTime is the duration of a task, CheckpointTime that of a checkpoint.
 		TaskTime       time.Duration
 		CheckpointTime time.Duration
 		// UsageAge is the age of the usage data that the worker reports.
@@ -48,12 +48,12 @@
 
 	// TaskTally counts starts and ends of tasks on all workers that share it.
 	TaskTally struct {
-		mu      sync.Mutex
-		starts  map[string]int
-		done    map[string]int
-		leases  map[string]taskLease
-		doubled int
-		cut     int
+		mu          sync.Mutex
+		starts      map[string]int
+		done        map[string]int
+		leases      map[string]taskLease
+		overlapping int
+		cut         int
 	}
 
 	taskLease struct {
@@ -224,7 +224,7 @@
 }
 
 // usage returns the usage of all tasks except those that have been running for
-// less than Lag, which have not been measured yet.
+// less than UsageAge, which have not been measured yet.
 func (w *Worker) usage() []taskUsage {
 	w.mu.Lock()
 	defer w.mu.Unlock()
