--- a/io/tackclient/call.go
+++ b/io/tackclient/call.go
@@ -34,7 +34,7 @@
 	// again.
 	kindNotRun
 	// kindUnknown means that the request may have had an effect. It is sent
-	// again, and only a final answer tells what became of it.
+	// again, and only a final answer shows whether it had one.
 	kindUnknown
 )
 
--- a/io/tackdemo/report.go
+++ b/io/tackdemo/report.go
@@ -59,12 +59,12 @@
 		}
 	}
 	return []invariant{
-		{"availability budget", fmt.Sprintf("%d looks, %d below %d", mon.samples, mon.breaches, minAvailable), mon.breaches == 0 && mon.samples > 0},
+		{"availability budget", fmt.Sprintf("%d samples, %d below %d", mon.samples, mon.breaches, minAvailable), mon.breaches == 0 && mon.samples > 0},
 		{"a VM is in exactly one pool", fmt.Sprintf("%d otherwise", mon.poolErrors), mon.poolErrors == 0},
 		{"one whole answer for each request", fmt.Sprintf("%d sent, %d answered, %d refused, %d unknown, %d broken", c.Sent, c.Answered, c.Refused, c.Unknown, c.Broken), c.Broken == 0 && unknown <= m.lostCut && c.Sent > 0},
-		{"never part of another's answer", fmt.Sprintf("%d mixed", c.Mismatched), c.Mismatched == 0},
-		{"did_not_run did not run", fmt.Sprintf("%d said, %d ran", c.Refused, falseRefusals), falseRefusals == 0},
-		{"work with a key runs at most once", fmt.Sprintf("%d doubled", d.tally.RepeatedKeys()), d.tally.RepeatedKeys() == 0},
+		{"never part of another's answer", fmt.Sprintf("%d mismatched", c.Mismatched), c.Mismatched == 0},
+		{"did_not_run did not run", fmt.Sprintf("%d refused, %d ran", c.Refused, falseRefusals), falseRefusals == 0},
+		{"work with a key runs at most once", fmt.Sprintf("%d repeated", d.tally.RepeatedKeys()), d.tally.RepeatedKeys() == 0},
 		{"no work for a VM that left, after 2 s", fmt.Sprintf("%d requests", m.leavingWork), m.leavingWork == 0},
 		{"a planned stop cuts nothing", fmt.Sprintf("%d cut, and %d by the VM that was lost", planned, m.lostCut), planned == 0},
 		{"every VM maintained once", fmt.Sprintf("%d otherwise", notOnce), notOnce == 0},
--- a/io/tackdisk/disk.go
+++ b/io/tackdisk/disk.go
@@ -201,7 +201,7 @@
 	}
 	d.failed = &FailedError{Folder: d.folder, Err: err}
 	d.opt.Logger.WithError(err).WithField("folder", d.folder).
-		Error("data folder failed; it is not used again until a restart")
+		Error("data folder failed; it is not used again until it is reopened")
 	return d.failed
 }
 
--- a/io/tackmeasure/announcers.go
+++ b/io/tackmeasure/announcers.go
@@ -199,7 +199,7 @@
 }
 
 // Counts returns the numbers of accepted and of failed announcements.
-func (a *Announcers) Counts() (taken, failed int64) {
+func (a *Announcers) Counts() (accepted, failed int64) {
 	return a.sent.Load(), a.failed.Load()
 }
 
--- a/io/tackmeasure/worst.go
+++ b/io/tackmeasure/worst.go
@@ -34,7 +34,7 @@
 		{"learner restarted", r.restartLearner},
 		{"leader killed", r.killLeader},
 		{"data centre lost", r.loseDataCentre},
-		{"data centre back", r.returnDataCentre},
+		{"data centre back", r.restoreDataCentre},
 	}
 	for _, s := range steps {
 		if err := r.measureStep(ctx, c, s.name, s.do); err != nil {
@@ -47,7 +47,7 @@
 // measureStep measures the resource usage from the start of do for the duration of a window, or
 // longer if do takes longer.
 func (r *run) measureStep(ctx context.Context, c *cluster, name string, do func(context.Context, *cluster) error) error {
-	taken, failed := c.announcers.Counts()
+	accepted, failed := c.announcers.Counts()
 	began := time.Now()
 	uses, err := c.measureWhile(func() error {
 		if err := do(ctx, c); err != nil {
@@ -61,9 +61,9 @@
 	if err != nil {
 		return err
 	}
-	nowTaken, nowFailed := c.announcers.Counts()
+	nowAccepted, nowFailed := c.announcers.Counts()
 	r.minute.Add(name, time.Since(began).Seconds(),
-		fmt.Sprintf("announcements taken %d, failed %d", nowTaken-taken, nowFailed-failed))
+		fmt.Sprintf("announcements accepted %d, failed %d", nowAccepted-accepted, nowFailed-failed))
 	r.record(c, name, worstMinute, uses)
 	if !sleep(ctx, r.Settle) {
 		return ctx.Err()
@@ -156,8 +156,8 @@
 	return nil
 }
 
-// returnDataCentre restarts what loseDataCentre stopped.
-func (r *run) returnDataCentre(_ context.Context, c *cluster) error {
+// restoreDataCentre restarts what loseDataCentre stopped.
+func (r *run) restoreDataCentre(_ context.Context, c *cluster) error {
 	lost := c.daemons[0].DataCentre
 	began := time.Now()
 	for _, d := range c.daemons {
--- a/io/tackpeer/conn.go
+++ b/io/tackpeer/conn.go
@@ -91,14 +91,14 @@
 	return c.received.Load() + c.largeProgress.Load()
 }
 
-// watch calls beat at every heartbeat. It returns errSilent when the connection has become
+// watch calls heartbeat at every interval. It returns errSilent when the connection has become
 // silent, or the error of ctx when ctx ends.
-func (c *countedConn) watch(ctx context.Context, every tackclock.Duration, beat func()) error {
-	ticker := time.NewTicker(every.Std())
+func (c *countedConn) watch(ctx context.Context, interval tackclock.Duration, heartbeat func()) error {
+	ticker := time.NewTicker(interval.Std())
 	defer ticker.Stop()
 	s := silenceDetector{last: c.progress()}
 	for {
-		beat()
+		heartbeat()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
--- a/io/tackpeer/failure_test.go
+++ b/io/tackpeer/failure_test.go
@@ -245,9 +245,9 @@
 	long, _ := encode("text", strings.Repeat("x", batchBytes))
 	forged, _ := cbor.Marshal(Envelope{From: "c", Kind: "text", Body: text})
 	cases := map[string]struct {
-		batch   []byte
-		arrives int
-		stands  bool
+		batch     []byte
+		arrives   int
+		staysOpen bool
 	}{
 		"fields and kinds":  {append(append([]byte{}, unknown...), known...), 1, true},
 		"no message":        {append(append([]byte{}, known...), 0xff, 0x00), 1, false},
@@ -269,7 +269,7 @@
 				for range c.arrives {
 					So(<-a.got, ShouldEqual, "b: hello")
 				}
-				if c.stands {
+				if c.staysOpen {
 					ws.CloseRead(context.Background())
 					So(ws.Ping(context.Background()), ShouldBeNil)
 					return
