--- a/io/tackcli/tool.go
+++ b/io/tackcli/tool.go
@@ -76,8 +76,8 @@
 func (t *Tool) command() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "auburntack",
-		Short:         "Ask and command a fleet that auburntack keeps serving",
-		Long:          "auburntack asks what runs where and what a wave would cost, and issues moves, drains,\nwaves and configuration. Exit codes: 0 done, 1 refused or failed, 2 wrong usage,\n3 outcome unknown (nobody answered).",
+		Short:         "Query and control a fleet that auburntack manages",
+		Long:          "auburntack shows what runs where and what a wave would cost, and runs commands for moves,\ndrains, waves and configuration. Exit codes: 0 done, 1 refused or failed, 2 wrong usage,\n3 outcome unknown (nobody answered).",
 		SilenceErrors: true,
 		SilenceUsage:  true,
 		PersistentPreRun: func(*cobra.Command, []string) {
@@ -121,7 +121,7 @@
 	var expect uint64
 	c := &cobra.Command{
 		Use:   `do "COMMAND"`,
-		Short: "Run a command and print the revision at which it stands",
+		Short: "Run a command and print the revision at which it was accepted",
 		Long: `do runs one command:
 
   create pool P                      delete pool P
@@ -150,7 +150,7 @@
 		},
 	}
 	c.Flags().StringVar(&id, "id", "", "command id, to send a command again safely (random if left out)")
-	c.Flags().Uint64Var(&expect, "expect", 0, "refuse if what the command touches has changed since this `REVISION`")
+	c.Flags().Uint64Var(&expect, "expect", 0, "refuse if what the command affects has changed since this `REVISION`")
 	return c
 }
 
@@ -158,7 +158,7 @@
 	return &cobra.Command{
 		Use:     "demo",
 		Short:   "Run the whole system in this process, with a wave and the loss of a VM",
-		Long:    "demo runs three data centres on loopback in this process, with stand-in backend servers,\ncallers and a platform, takes a pool through a wave and loses a VM in its middle. It prints\nthe three measures and each invariant, and exits with 1 if one broke. It takes under a minute.",
+		Long:    "demo runs three data centres on loopback in this process, with stand-in backend servers,\ncallers and a platform, runs a wave over a pool and loses a VM during the wave. It prints\nthe three measures and each invariant, and exits with 1 if one broke. It takes under a minute.",
 		Example: "  auburntack demo",
 		Args:    cobra.NoArgs,
 		RunE:    func(c *cobra.Command, _ []string) error { return t.Demo(c.Context(), t.Stdout) },
--- a/io/tackcli/workspace.go
+++ b/io/tackcli/workspace.go
@@ -13,11 +13,11 @@
 func (t *Tool) workspaceCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "workspace",
-		Short: "Tell of workspaces: keys, weights, caps and what they have running",
-		Long: `workspace tells of the workspaces that the configuration names. --entry is a control VM's
-metrics address. A VM that does not lead knows their configuration and not what runs.
+		Short: "Show workspaces: their keys, weights, caps and running work",
+		Long: `workspace shows the workspaces in the configuration. --entry is the metrics address of a
+control VM. A VM that does not lead knows their configuration but not what is running.
 Keys are shown by the first digits of their SHA-256 sums; printf %s "$KEY" | sha256sum gives
-them. Keys are added and taken away by new versions of the configuration.`,
+them. Keys are added and removed by new versions of the configuration.`,
 		Example: `  auburntack --entry 10.0.0.1:9464,10.0.1.1:9464 workspace list
   auburntack --entry 10.0.0.1:9464 workspace show mairies --output json`,
 		Args: cobra.NoArgs,
@@ -31,7 +31,7 @@
 		RunE:    func(c *cobra.Command, _ []string) error { return t.workspaces(c.Context(), "") },
 	}, &cobra.Command{
 		Use:     "show NAME",
-		Short:   "Show one workspace in full",
+		Short:   "Show one workspace in detail",
 		Example: "  auburntack --entry 10.0.0.1:9464 workspace show mairies",
 		Args:    cobra.ExactArgs(1),
 		RunE:    func(c *cobra.Command, args []string) error { return t.workspaces(c.Context(), args[0]) },
--- a/io/tackdemo/demo.go
+++ b/io/tackdemo/demo.go
@@ -217,7 +217,7 @@
 	for !done() {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("tackdemo: waited in vain for %s", what)
+			return fmt.Errorf("tackdemo: timed out waiting for %s", what)
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
--- a/io/tackhttp/answers_test.go
+++ b/io/tackhttp/answers_test.go
@@ -98,7 +98,7 @@
 				_, err = io.ReadAll(resp.Body)
 			}
 			if err == nil && resp.Header.Get(headerOutcome) != "unknown" {
-				t.Error("the answer looks whole")
+				t.Error("the truncated answer looks complete")
 			}
 			if got := e.counter("answers_cut") + e.counter("caller_unknown"); got != 1 {
 				t.Errorf("%d answers were cut or given up, want 1", got)
@@ -142,8 +142,8 @@
 }
 
 // A retry must use a new connection. After a restart of a firewall had killed
-// all open connections, retries on open connections met the next dead one, and
-// requests kept failing although new connections worked.
+// all open connections, each retry on an open connection used another dead
+// one, and requests kept failing although new connections worked.
 func TestSecondTryUsesNewConnection(t *testing.T) {
 	var lost atomic.Bool
 	loses := func(s *scriptedBackend, n int, c net.Conn, r *bufio.Reader) {
@@ -207,7 +207,7 @@
 		}
 	}
 	if s := e.service(&e.table, "names"); !s.healthy(e.table.Services["names"][0]) {
-		t.Error("the backend server is taken for broken")
+		t.Error("the backend server is considered broken")
 	}
 }
 
--- a/io/tackhttp/body.go
+++ b/io/tackhttp/body.go
@@ -73,7 +73,7 @@
 }
 
 // reserve reserves n bytes of the memory for buffered bodies, and reports
-// whether there were as many left.
+// whether that many were available.
 func (c *call) reserve(n int64) bool {
 	if c.h.bufferedBytes.Add(n) > c.h.limits.BufferTotal {
 		c.h.bufferedBytes.Add(-n)
--- a/io/tackhttp/callers_test.go
+++ b/io/tackhttp/callers_test.go
@@ -149,7 +149,7 @@
 			rest, _ := io.ReadAll(r)
 			assertContains(t, string(rest[:100]), "HTTP/1.1 200 OK\r\n")
 			if n := strings.Count(string(rest), "x"); n < test.length {
-				t.Errorf("%d bytes came back", n)
+				t.Errorf("received %d bytes", n)
 			}
 		})
 	}
@@ -225,7 +225,7 @@
 	}
 	n, err := io.Copy(io.Discard, resp.Body)
 	if err != nil || n != size {
-		t.Errorf("%d bytes came back, %v", n, err)
+		t.Errorf("received %d bytes, %v", n, err)
 	}
 	runtime.ReadMemStats(&after)
 	return after.TotalAlloc - before.TotalAlloc
@@ -263,7 +263,7 @@
 	}
 	io.CopyN(c, zeros{}, rest)
 	if n, err := io.Copy(io.Discard, resp.Body); err != nil || n != size {
-		t.Errorf("%d bytes came back, %v", n, err)
+		t.Errorf("received %d bytes, %v", n, err)
 	}
 }
 
--- a/io/tackhttp/deliver.go
+++ b/io/tackhttp/deliver.go
@@ -16,7 +16,7 @@
 // deliver passes the answer on to the caller and ends the attempt. If the
 // answer breaks off, it panics with http.ErrAbortHandler, so that the server
 // closes the caller's connection without completing the answer; otherwise the
-// caller could take a part of the answer for all of it.
+// caller could mistake a part of the answer for the whole.
 func (a *attempt) deliver(c *call) *failure {
 	defer a.releaseBuffer()
 	result := tackroute.Answered
--- a/io/tackhttp/handler_test.go
+++ b/io/tackhttp/handler_test.go
@@ -78,7 +78,8 @@
 
 // Header fields of auburntack that callers must not set, and hop-by-hop fields,
 // must not be passed on to a backend server. Otherwise it could confuse two
-// dispatches, or continue to work for a caller whose time is up.
+// dispatches, or continue to work for a caller whose deadline has
+// passed.
 func TestRequestHeaderCannotBeForged(t *testing.T) {
 	seen := make(chan http.Header, 1)
 	backend := newScriptedBackend(t, func(s *scriptedBackend, _ int, c net.Conn, r *bufio.Reader) {
--- a/io/tackhttp/service.go
+++ b/io/tackhttp/service.go
@@ -181,7 +181,7 @@
 	}
 }
 
-// pick chooses a backend server and takes one of its slots.
+// pick chooses a backend server and reserves one of its slots.
 func (s *service) pick(exclude []tackid.BackendServer) (tackroute.Candidate, bool) {
 	now := s.h.clock.Now()
 	s.mu.Lock()
@@ -240,8 +240,8 @@
 	return s.chooser.Healthy(c.BackendServer)
 }
 
-// retry reports whether a failed attempt may be retried, and takes the retry
-// from the budget if so.
+// retry reports whether a failed attempt may be retried, and charges the retry
+// to the budget if so.
 func (s *service) retry(a tackretry.Attempt) bool {
 	now := s.h.clock.Now()
 	s.mu.Lock()
--- a/io/tackhttp/share.go
+++ b/io/tackhttp/share.go
@@ -52,7 +52,7 @@
 	return usage
 }
 
-// setTable takes the quotas from a table. If a team's quota is divided among
+// setTable sets the quotas from a table. If a team's quota is divided among
 // the entry VMs, its share remains in effect.
 func (q *quotas) setTable(table *tackroute.Table) {
 	q.mu.Lock()
--- a/io/tackstandin/daemon.go
+++ b/io/tackstandin/daemon.go
@@ -22,7 +22,7 @@
 
 const (
 	// Ports are below the ephemeral range of the kernel, so that no outgoing
-	// connection takes a daemon's port before the daemon listens on it.
+	// connection occupies a daemon's port before the daemon listens on it.
 	firstPort = 20000
 	lastPort  = 30000
 )
