--- a/io/tackdemo/scenario.go
+++ b/io/tackdemo/scenario.go
@@ -26,7 +26,7 @@
 		poolErrors int // VMs not in exactly one pool, summed over all samples
 	}
 
-	// measures are the measurements of the demonstration.
+	// measures holds the results of the demonstration that are not sampled by monitor.
 	measures struct {
 		rollOut       time.Duration
 		moves         int
--- a/io/tackhttp/attempt.go
+++ b/io/tackhttp/attempt.go
@@ -284,7 +284,7 @@
 		err = cause
 	}
 	c := a.call
-	c.h.log.WithError(err).WithField("backend_server", string(a.candidate.BackendServer)).Debug("dispatch failed")
+	c.h.log.WithError(err).WithField("backend_server", string(a.candidate.BackendServer)).Debug("dispatch to backend server failed")
 	result, f := a.classify(err, sent)
 	if result == tackroute.Silent && a.reused.Load() {
 		c.h.sender.closeIdle(c.h.clock.Now())
--- a/io/tackhttp/handler.go
+++ b/io/tackhttp/handler.go
@@ -1,5 +1,6 @@
 // Package tackhttp implements the caller port: it accepts the requests of
-// callers and has each run by a backend server of the service that it names.
+// callers and has each run by a backend server of the service that it names. A
+// VM that serves the caller port is called an entry VM.
 //
 // A request passes admission control, is sent over one connection and gets one
 // answer, which is either complete or visibly truncated. Package tackretry
--- a/io/tackhttp/keyed.go
+++ b/io/tackhttp/keyed.go
@@ -84,7 +84,7 @@
 	if err == nil {
 		return claim, nil
 	}
-	c.h.log.WithError(err).Debug("claiming an idempotency key failed")
+	c.h.log.WithError(err).Debug("idempotency key could not be claimed")
 	// The claim may still be recorded later, even after its release. Without
 	// the release the key would be blocked.
 	c.h.recordFinishLater(c.finish(id, tackledger.OutcomeDidNotRun))
--- a/io/tackmeasure/announcers.go
+++ b/io/tackmeasure/announcers.go
@@ -18,7 +18,7 @@
 const (
 	announceTimeout = 5 * time.Second
 	retryInterval   = 500 * time.Millisecond
-	// operatorConns is the maximum number of connections to the operators' port of a daemon.
+	// operatorConns is the maximum number of connections to the operator port of a daemon.
 	operatorConns = 32
 	vmsPerRack    = 4
 	pools         = 36
--- a/io/tackmeasure/cluster.go
+++ b/io/tackmeasure/cluster.go
@@ -151,7 +151,7 @@
 			return ctx.Err()
 		}
 	}
-	return fmt.Errorf("measure: %q was not accepted: %s", command, last)
+	return fmt.Errorf("tackmeasure: %q was not accepted: %s", command, last)
 }
 
 // load sends configuration changes at the given rate until ctx ends. It returns the latencies of
@@ -193,7 +193,7 @@
 			}
 		}
 		if !sleep(ctx, retryInterval/10) {
-			return nil, fmt.Errorf("measure: no leader: %w", ctx.Err())
+			return nil, fmt.Errorf("tackmeasure: no leader: %w", ctx.Err())
 		}
 	}
 }
--- a/io/tackmeasure/fits.go
+++ b/io/tackmeasure/fits.go
@@ -22,7 +22,7 @@
 	fits := r.fits()
 	for _, t := range []*Table{&r.steady, &r.minute, &fits} {
 		if err := r.writeTable(t); err != nil {
-			return fmt.Errorf("measure: %w", err)
+			return fmt.Errorf("tackmeasure: %w", err)
 		}
 	}
 	return nil
--- a/io/tackmeasure/measure.go
+++ b/io/tackmeasure/measure.go
@@ -1,5 +1,5 @@
 // Package tackmeasure measures the resource usage of the daemons: bytes on the links between them
-// and on the operators' port, CPU time and memory. It measures them by the number of daemons, of
+// and on the operator port, CPU time and memory. It measures them by the number of daemons, of
 // VMs and of changes per second, and in the worst minutes, such as after the loss of a data
 // centre. It starts real daemons on loopback, and simulates the backend servers and workers.
 package tackmeasure
@@ -59,7 +59,8 @@
 	}
 )
 
-// worstMinute is the value of sample.changes for samples of a worst minute.
+// worstMinute is the value of sample.changes for samples of a worst minute, which
+// have no rate of changes.
 const worstMinute = -1
 
 // replicasOf returns the number of daemons with a disk in a cluster of n daemons.
@@ -115,7 +116,7 @@
 func (r *run) measureCluster(ctx context.Context, n int, last bool) error {
 	folder := filepath.Join(r.Folder, fmt.Sprintf("daemons-%d", n))
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return fmt.Errorf("measure: %w", err)
+		return fmt.Errorf("tackmeasure: %w", err)
 	}
 	c, err := newCluster(ctx, r.Binary, folder, n, replicasOf(n))
 	if c != nil {
--- a/io/tackmeasure/platform.go
+++ b/io/tackmeasure/platform.go
@@ -27,7 +27,7 @@
 func (p *platform) start() error {
 	port, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return fmt.Errorf("measure: %w", err)
+		return fmt.Errorf("tackmeasure: %w", err)
 	}
 	p.address = port.Addr().String()
 	mux := http.NewServeMux()
--- a/io/tackmeasure/sample.go
+++ b/io/tackmeasure/sample.go
@@ -30,7 +30,7 @@
 	Usage struct {
 		Role Role
 		// Sent, Received and Messages are the bytes and messages per second on the links to
-		// peers, Operator the bytes per second on the operators' port.
+		// peers, Operator the bytes per second on the operator port.
 		Sent     float64
 		Received float64
 		Messages float64
@@ -56,11 +56,11 @@
 func get(d *tackstandin.Daemon, path string, into any) error {
 	r, err := metricsClient.Get("http://" + d.Operator + path)
 	if err != nil {
-		return fmt.Errorf("measure: %w", err)
+		return fmt.Errorf("tackmeasure: %w", err)
 	}
 	defer r.Body.Close()
 	if err := json.NewDecoder(r.Body).Decode(into); err != nil {
-		return fmt.Errorf("measure: %s of %s: %w", path, d.ID, err)
+		return fmt.Errorf("tackmeasure: %s of %s: %w", path, d.ID, err)
 	}
 	return nil
 }
@@ -74,7 +74,7 @@
 	}
 	cpu, memory, err := d.CPU()
 	if err != nil {
-		return reading{}, fmt.Errorf("measure: %w", err)
+		return reading{}, fmt.Errorf("tackmeasure: %w", err)
 	}
 	return reading{
 		at:       time.Now(),
--- a/io/tackstandin/announce.go
+++ b/io/tackstandin/announce.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// announceTo sends an announcement to the operators' ports in turn until one
+// announceTo sends an announcement to the operator ports in turn until one
 // accepts it, and returns the time until the next announcement is due.
 func announceTo(operators []string, body []byte) time.Duration {
 	for _, operator := range operators {
--- a/io/tackstandin/backend.go
+++ b/io/tackstandin/backend.go
@@ -1,6 +1,6 @@
 // Package tackstandin provides test doubles of the systems around auburntack:
 // backend servers and workers that announce themselves, the platform, callers,
-// and the balancer before the callers' ports. It also starts daemons as
+// and the balancer before the caller ports. It also starts daemons as
 // processes and simulates network partitions between them. The demonstration,
 // the measuring tool and the tests of whole processes use it. Everything listens
 // on loopback.
@@ -19,7 +19,7 @@
 
 type (
 	// BackendServer answers requests on a loopback port and announces itself
-	// to the operators' ports. Set the fields, then call Start.
+	// to the operator ports. Set the fields, then call Start.
 	BackendServer struct {
 		Name       string
 		VM         string
@@ -27,7 +27,7 @@
 		DataCentre string
 		Rack       string
 		Slots      int
-		// Operators are the addresses of the operators' ports, which it
+		// Operators are the addresses of the operator ports, which it
 		// tries in order for each announcement.
 		Operators []string
 		// Delay is the duration of each request.
@@ -78,7 +78,7 @@
 	}
 	port, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return fmt.Errorf("standin: %w", err)
+		return fmt.Errorf("tackstandin: %w", err)
 	}
 	b.incarnation++
 	b.state = "serving"
@@ -149,7 +149,7 @@
 	return b.server != nil
 }
 
-// Announce sends one announcement, to the first of the operators' ports that
+// Announce sends one announcement, to the first of the operator ports that
 // accepts it, and returns the time until the next one is due.
 func (b *BackendServer) Announce() time.Duration {
 	b.mu.Lock()
--- a/io/tackstandin/balancer.go
+++ b/io/tackstandin/balancer.go
@@ -36,7 +36,7 @@
 )
 
 func (e *NoEntryError) Error() string {
-	return fmt.Sprintf("standin: none of %d entries is ready", e.Entries)
+	return fmt.Sprintf("tackstandin: none of %d entries is ready", e.Entries)
 }
 
 // Start checks the readiness of the entries once, then repeatedly in the
@@ -59,7 +59,7 @@
 // Stop ends the readiness checks.
 func (b *Balancer) Stop() { close(b.stop) }
 
-// Pick returns the callers' port of a ready entry.
+// Pick returns the caller port of a ready entry.
 func (b *Balancer) Pick() (string, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -69,7 +69,7 @@
 	return b.ready[b.next.Add(1)%uint64(len(b.ready))], nil
 }
 
-// Ready returns the callers' ports of the entries that are ready.
+// Ready returns the caller ports of the entries that are ready.
 func (b *Balancer) Ready() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/io/tackstandin/daemon.go
+++ b/io/tackstandin/daemon.go
@@ -60,7 +60,7 @@
 		Replica    bool
 	}
 
-	// Reply is the answer of a daemon's operators' port.
+	// Reply is the answer of a daemon's operator port.
 	Reply struct {
 		Status     int
 		Accepted   bool     `json:"accepted"`
@@ -140,7 +140,7 @@
 func (d *Daemon) configure(all []*Daemon, extra string, proxies *Network) error {
 	d.config = filepath.Join(d.folder, d.ID+".ini")
 	if err := os.WriteFile(d.config, []byte(d.settings(all, proxies)+extra), 0o644); err != nil {
-		return fmt.Errorf("standin: %w", err)
+		return fmt.Errorf("tackstandin: %w", err)
 	}
 	return nil
 }
@@ -168,7 +168,7 @@
 		allocated.ports[address] = true
 		ports = append(ports, address)
 	}
-	return nil, fmt.Errorf("standin: no %d free ports from %d to %d", n, firstPort, lastPort)
+	return nil, fmt.Errorf("tackstandin: no %d free ports from %d to %d", n, firstPort, lastPort)
 }
 
 func (d *Daemon) settings(all []*Daemon, proxies *Network) string {
@@ -202,10 +202,10 @@
 	cmd := exec.Command(d.binary, "serve", "--config", d.config)
 	out, err := cmd.StderrPipe()
 	if err != nil {
-		return fmt.Errorf("standin: %w", err)
+		return fmt.Errorf("tackstandin: %w", err)
 	}
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("standin: %w", err)
+		return fmt.Errorf("tackstandin: %w", err)
 	}
 	ready := make(chan struct{})
 	exited := make(chan struct{})
@@ -221,9 +221,9 @@
 	case <-ready:
 		return nil
 	case <-exited:
-		return fmt.Errorf("standin: %s ended: %s", d.ID, d.Logs())
+		return fmt.Errorf("tackstandin: %s ended: %s", d.ID, d.Logs())
 	case <-time.After(timeout):
-		return fmt.Errorf("standin: %s not ready after %v: %s", d.ID, timeout, d.Logs())
+		return fmt.Errorf("tackstandin: %s not ready after %v: %s", d.ID, timeout, d.Logs())
 	}
 }
 
@@ -303,12 +303,12 @@
 	return d.cmd.Process.Pid
 }
 
-// Do sends a command to the operators' port.
+// Do sends a command to the operator port.
 func (d *Daemon) Do(command, id string) (Reply, error) {
 	return call(d.Operator, "/do", command, id)
 }
 
-// Ask sends a query to the operators' port.
+// Ask sends a query to the operator port.
 func (d *Daemon) Ask(query string) (Reply, error) {
 	return call(d.Operator, "/ask", query, "")
 }
--- a/io/tackstandin/proxy.go
+++ b/io/tackstandin/proxy.go
@@ -25,7 +25,7 @@
 func NewProxy(target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("standin: %w", err)
+		return nil, fmt.Errorf("tackstandin: %w", err)
 	}
 	p := &Proxy{target: target, listener: listener}
 	go p.accept()
--- a/io/tackstandin/worker.go
+++ b/io/tackstandin/worker.go
@@ -19,7 +19,7 @@
 
 type (
 	// Worker runs tasks under leases on request of the platform, and announces
-	// itself to the operators' ports. Its tasks only wait. Set the fields, then
+	// itself to the operator ports. Its tasks only wait. Set the fields, then
 	// call Start.
 	Worker struct {
 		Name       string
