--- a/io/tackhttp/handler.go
+++ b/io/tackhttp/handler.go
@@ -1,5 +1,6 @@
 // Package tackhttp implements the caller port: it accepts the requests of
-// callers and has each run by a backend server of the service that it names.
+// callers and has each run by a backend server of the service that it names. A
+// VM that serves the caller port is called an entry VM.
 //
 // A request passes admission control, is sent over one connection and gets one
 // answer, which is either complete or visibly truncated. Package tackretry
@@ -49,8 +50,8 @@
 		Count(r Result)
 	}
 
-	// Result describes how one request ended, for a Meter. Took is the time
-	// from its arrival to the last byte of its answer.
+	// Result describes how one request ended, for a Meter. Latency is the
+	// time from its arrival to the last byte of its answer.
 	Result struct {
 		Service    tackid.Service
 		Team       tackid.Team
@@ -181,9 +182,9 @@
 	return loads
 }
 
-// DisableKeepAlives makes every further answer ask its caller to close the connection, so
-// that callers reconnect through the load balancer. Requests are still
-// accepted.
+// DisableKeepAlives makes every further answer ask its caller to close the
+// connection, so that callers reconnect through the load balancer. Requests are
+// still accepted.
 func (h *Handler) DisableKeepAlives() {
 	h.closeConns.Store(true)
 }
--- a/io/tackmeasure/announcers.go
+++ b/io/tackmeasure/announcers.go
@@ -18,7 +18,7 @@
 const (
 	announceTimeout = 5 * time.Second
 	retryInterval   = 500 * time.Millisecond
-	// operatorConns is the maximum number of connections to the operators' port of a daemon.
+	// operatorConns is the maximum number of connections to the operator port of a daemon.
 	operatorConns = 32
 	vmsPerRack    = 4
 	pools         = 36
@@ -199,7 +199,7 @@
 }
 
 // Counts returns the numbers of accepted and of failed announcements.
-func (a *Announcers) Counts() (taken, failed int64) {
+func (a *Announcers) Counts() (accepted, failed int64) {
 	return a.sent.Load(), a.failed.Load()
 }
 
