--- a/core/tackdispatch/crash.go
+++ b/core/tackdispatch/crash.go
@@ -48,8 +48,8 @@
 }
 
 // doubtRuns records doubts about the runs of a worker that fell silent or whose
-// incarnation is over. Runs that it had listed for long are left out, since its crash
-// says nothing about them.
+// incarnation is over. Runs that the worker had listed for long are left out, since its
+// crash says nothing about them.
 func (d *Dispatcher) doubtRuns(now tackclock.Time, w *worker) {
 	if w.doubted || w.vm == "" || w.draining || w.leaving || d.endedByOrder(now, w.vm, w.id) {
 		return
--- a/core/tackdispatch/loss.go
+++ b/core/tackdispatch/loss.go
@@ -61,9 +61,9 @@
 	d.noteWorker(now, EventLost, w, reason)
 }
 
-// Leave handles a worker's goodbye: it runs nothing any more. A goodbye without the time
-// when the incarnation began may be a delayed one of a former incarnation; it is accepted
-// for an incarnation that drains and ignored otherwise.
+// Leave handles a worker's goodbye: the worker runs nothing any more. A goodbye without
+// the time when the incarnation began may be a delayed one of a former incarnation; it is
+// accepted for an incarnation that drains and ignored otherwise.
 func (d *Dispatcher) Leave(now tackclock.Time, id WorkerID) {
 	if w := d.workersByName[id.Name()]; w != nil && id.StartedAt() == 0 && w.id != id {
 		if !w.draining {
--- a/core/tackdispatch/start.go
+++ b/core/tackdispatch/start.go
@@ -16,10 +16,11 @@
 	// spreadPatience is how long a long-running item waits for a worker with few items of
 	// its step. The platform allows three seconds while there is free room.
 	spreadPatience = 1500 * tackclock.Millisecond
-	// packFactor is how many times the work that waits must fit the room of the busy
-	// workers for idle ones to get nothing: an item that waits costs its caller time.
+	// packFactor is how many times over the free capacity of the busy workers must hold
+	// all waiting items for idle workers to get nothing: an item that waits costs its
+	// caller time.
 	packFactor = 3
-	// packPatience is how long anything waits before idle workers get it after all. The
+	// packPatience is how long items wait before idle workers get them after all. The
 	// free capacity of the busy workers may suffice in total, but not on any one of them.
 	packPatience = 300 * tackclock.Millisecond
 )
--- a/core/tackdispatch/trial.go
+++ b/core/tackdispatch/trial.go
@@ -20,7 +20,7 @@
 	// reserved.
 	trialReserveAfter = 200 * tackclock.Millisecond
 	// trialReserveWithin is the longest remaining work of a worker that is reserved: with
-	// more it would come too late for the trial.
+	// more it would be free too late for the trial.
 	trialReserveWithin = tackclock.Second
 	// trialReserveEvery is the interval between choices of reserved workers.
 	trialReserveEvery = 100 * tackclock.Millisecond
@@ -145,9 +145,9 @@
 // startTrials starts an item that needs a trial, and reports whether the worker must get
 // nothing else.
 //
-// Load pattern: an item crashes each worker that starts it. Started beside others it
-// takes them down as well, and each of them becomes suspect; a pool of thirty VMs loses
-// one a second.
+// Load pattern: an item crashes each worker that starts it. If it starts beside other
+// items, they are lost with the worker, and each of them becomes suspect; a pool of
+// thirty VMs loses one a second.
 func (d *Dispatcher) startTrials(now tackclock.Time, p *pool, w *worker) bool {
 	if !p.summary.trials {
 		return false
--- a/core/tackdispatch/upkeep.go
+++ b/core/tackdispatch/upkeep.go
@@ -10,8 +10,8 @@
 	// drainLimit is how long a VM that is next for upkeep is kept free of new work, so
 	// that what runs there can end by itself.
 	drainLimit = 4 * tackclock.Second
-	// waveReserve is the part of a wave's time that is kept in reserve: once only it is
-	// left, running work is given up rather than the wave's schedule.
+	// waveReserve is the remaining time of a wave from which on VMs are taken down even if
+	// batch items still run there, so that the wave ends on schedule.
 	waveReserve = 4 * tackclock.Second
 	// downLimit is the time after which a VM that was taken down and has not come back no
 	// longer counts towards the limit of VMs that are down at once.
@@ -45,9 +45,9 @@
 	incarnation WorkerID
 	// callFrom is when the next call may be made at the earliest.
 	callFrom tackclock.Time
-	// consentIsFinal says that the platform has not done the upkeep before, so its
-	// consent means that the incarnation is over. callMade is set once a call was made
-	// that the platform may have carried out.
+	// consentIsFinal says that no earlier call can have been carried out, so the
+	// platform's consent means that the incarnation is over. callMade is set once a call
+	// was made that the platform may have carried out.
 	consentIsFinal bool
 	callMade       bool
 	// uncertainSince is when a consent came that may refer to an earlier call.
--- a/core/tackdispatch/world_check_test.go
+++ b/core/tackdispatch/world_check_test.go
@@ -60,8 +60,8 @@
 }
 
 // checkCap fails the test if with an item that starts its workspace has more running than
-// its cap, on all workers that are up, whoever ordered it. An item that is larger than
-// the cap may run by itself.
+// its cap, on all workers that are up, whichever leader ordered it. An item that is
+// larger than the cap may run by itself.
 func (w *world) checkCap(j *tackjob.Job, item tackjob.Item) {
 	w.t.Helper()
 	limit, capped := w.caps[j.Workspace]
--- a/core/tackjob/criticalpath.go
+++ b/core/tackjob/criticalpath.go
@@ -33,8 +33,7 @@
 	return longest
 }
 
-// Work returns the estimated work of one occurrence, in milliseconds of thousandths of a
-// core.
+// Work returns the estimated work of one occurrence, in millicore-milliseconds.
 func (s *Spec) Work() int64 {
 	var total int64
 	for i := range s.Steps {
@@ -44,7 +43,7 @@
 }
 
 // Work returns the estimated work of the given number of items of the step, in
-// milliseconds of thousandths of a core.
+// millicore-milliseconds.
 func (s *Step) Work(items int) int64 {
 	return int64(items) * int64(s.MilliCores) * int64(s.Estimate)
 }
--- a/core/tackjob/job.go
+++ b/core/tackjob/job.go
@@ -46,7 +46,7 @@
 	// Step is a set of items with the same requirements.
 	Step struct {
 		Count int `cbor:"1,keyasint"`
-		// Room is encoded under a key of its own: if it were inlined, its keys would
+		// Resources is encoded under a key of its own: if it were inlined, its keys would
 		// collide with those of the step's first fields, and the codec drops colliding
 		// fields silently.
 		tackroom.Resources `cbor:"2,keyasint"`
--- a/core/tacklimit/gate_bench_test.go
+++ b/core/tacklimit/gate_bench_test.go
@@ -61,7 +61,7 @@
 			t.Errorf("after %d cancellations %d wait, and each allocated %v times; want none", n, g.Waiting(), allocs)
 		}
 		if started, expired := g.Tick(tackclock.Time(tackclock.Hour)); len(started)+len(expired) > 0 {
-			t.Errorf("cancelled requests came back: started %v, expired %v", started, expired)
+			t.Errorf("cancelled requests are still queued: started %v, expired %v", started, expired)
 		}
 	}
 }
--- a/core/tackmember/failure_test.go
+++ b/core/tackmember/failure_test.go
@@ -188,14 +188,14 @@
 // the other for that of the backend servers.
 func TestTwoPeersLoseEachOtherForMinutes(t *testing.T) {
 	for _, cut := range [][]path{{{0, 1}}, {{1, 0}}, {{0, 1}, {1, 0}}} {
-		for _, turns := range []int{1, 100} {
+		for _, perSwitch := range []int{1, 100} {
 			c := newCluster(3, 1)
 			var next tackclock.Time
 			n := 0
 			announce := func() {
 				if c.now >= next {
 					n++
-					next = c.now.Add(c.announce(n/turns%2, c.server(1, 0, 1, StateServing)).NextWithin)
+					next = c.now.Add(c.announce(n/perSwitch%2, c.server(1, 0, 1, StateServing)).NextWithin)
 				}
 			}
 			c.checked = announce
--- a/core/tackpool/free.go
+++ b/core/tackpool/free.go
@@ -35,8 +35,7 @@
 	return free
 }
 
-// spare returns the thousandths of a core that the pool has beyond what its work
-// requires.
+// spare returns the millicores that the pool has beyond what its work requires.
 //
 // Load pattern: a burst is over, and what is left of it waits for earlier steps or for a
 // few slow items while many VMs are idle. If those were held until nothing is left, the
@@ -145,7 +144,7 @@
 	return min(vm.Idle, p.SinceFirstWork)
 }
 
-// isSurplus reports whether a pool with the given spare thousandths of a core still has
+// isSurplus reports whether a pool with the given spare millicores still has
 // its reserve without the VM.
 func (p *Planner) isSurplus(vm *freeVM, spare int) bool {
 	return p.Reserve > 0 && vm.Idle >= surplusAfter && spare-vm.Resources.MilliCores >= p.Reserve
--- a/core/tackpool/plan.go
+++ b/core/tackpool/plan.go
@@ -25,14 +25,14 @@
 	// defaultFinishWithin leaves time for a move and for the run of the job itself: jobs
 	// are due within some five seconds.
 	defaultFinishWithin = 2500 * tackclock.Millisecond
-	// defaultLateWithin is four times that: a late answer is worth a fraction of one in
-	// time, and the burst of the next queue begins seconds later.
+	// defaultLateWithin is four times defaultFinishWithin: a late answer is worth a
+	// fraction of one in time, and the burst of the next queue begins seconds later.
 	defaultLateWithin = 10 * tackclock.Second
 	// defaultEmptyWithin is about the duration of an item and a move. A VM that is busy
 	// for longer would arrive when the jobs that need it are half way to their deadlines.
 	defaultEmptyWithin = 2 * tackclock.Second
 	// defaultParkAfter is the break-even time: parking a VM and recalling it takes two
-	// moves of a second and a half each, and callers wait for the second one, to whom the
+	// moves of a second and a half each, and callers wait for the second one. To them the
 	// work of a VM is assumed to be worth some twenty times its cost. With 2.5 s instead,
 	// the net gain under faults, with a burst of each queue every 20 s, is 0.618 instead
 	// of 0.638 (49 VMs, 30 paired runs, standard error of the difference 0.005).
@@ -52,7 +52,8 @@
 		// FinishWithin is the time within which a pool should do work without deadlines:
 		// what was refused just now, and what requires a label.
 		FinishWithin tackclock.Duration
-		// LateWithin is the same for jobs that can no longer meet their deadlines.
+		// LateWithin is the time within which a pool should do the work of jobs that can
+		// no longer meet their deadlines.
 		LateWithin tackclock.Duration
 		// ArrivingPercent is the percentage of the arriving work for which VMs are sent,
 		// in addition to those that the backlog needs.
@@ -66,9 +67,9 @@
 		// KeepPercent is the percentage of the VMs of a pool that stay no matter how long
 		// they are idle, so that the first jobs of a burst start at once.
 		KeepPercent int
-		// Reserve is the capacity in thousandths of a core that each pool keeps ready
-		// beyond what its work requires. VMs beyond it are parked without waiting for
-		// ParkAfter. Zero means that it is not known. See the type Reserve.
+		// Reserve is the capacity in millicores that each pool keeps ready beyond what
+		// its work requires. VMs beyond it are parked without waiting for ParkAfter. Zero
+		// means that it is not known. See the type Reserve.
 		Reserve int
 		// SinceFirstWork is the time since work was first wanted; zero if there was none
 		// yet. Idle time before that does not indicate how soon a VM is needed.
@@ -115,20 +116,19 @@
 		// Item is the resources that the largest item requires.
 		Item tackroom.Resources
 		// Backlog is the accepted work that is not done, and the work that was refused
-		// just now, in milliseconds of thousandths of a core.
+		// just now, in millicore-milliseconds.
 		Backlog int64
-		// Pressing is the capacity in thousandths of a core that finishes the part of the
-		// backlog with deadlines in good time. Soon is the rest of it, which is to be
-		// done within FinishWithin.
+		// Pressing is the capacity in millicores that finishes the part of the backlog
+		// with deadlines in good time. Soon is the rest of the backlog, in
+		// millicore-milliseconds, which is to be done within FinishWithin.
 		Pressing int
 		Soon     int64
 		// Late is the work of jobs that can no longer meet their deadlines.
 		Late int64
-		// Arriving is the work submitted recently, as the thousandths of a core that it
-		// keeps busy.
+		// Arriving is the work submitted recently, as the millicores that it keeps busy.
 		Arriving int
-		// Unplaced is the thousandths of a core of items that must always run, or that no
-		// present worker could ever start. VMs are sent for them at once.
+		// Unplaced is the millicores of items that must always run, or that no present
+		// worker could ever start. VMs are sent for them at once.
 		Unplaced int
 	}
 
@@ -139,7 +139,7 @@
 		To   tackid.Service
 	}
 
-	// need is the shortfall of a pool for one demand, in thousandths of a core.
+	// need is the shortfall of a pool for one demand, in millicores.
 	need struct {
 		*Demand
 		service   tackid.Service
@@ -233,7 +233,7 @@
 	return vm.Resources.Fits(d.Item) && (d.Label == "" || slices.Contains(vm.Labels, d.Label))
 }
 
-// cores returns the thousandths of a core of the VMs that can do the work.
+// cores returns the millicores of the VMs that can do the work.
 func (d *Demand) cores(vms []VM) int {
 	sum := 0
 	for i := range vms {
@@ -244,7 +244,7 @@
 	return sum
 }
 
-// isBehind reports whether the given thousandths of a core need too long for the work.
+// isBehind reports whether the given millicores need too long for the work.
 func (p *Planner) isBehind(d *Demand, cores int) bool {
 	work := d.Backlog + d.Late*int64(p.FinishWithin)/int64(p.LateWithin)
 	return work > 0 && work/int64(max(cores, 1)) >= int64(p.BehindAfter)
@@ -295,8 +295,8 @@
 	return 1
 }
 
-// wanted returns the thousandths of a core that finish the backlog in time, in addition
-// to arriving work.
+// wanted returns the millicores that finish the backlog in time, in addition to arriving
+// work.
 func (p *Planner) wanted(d *Demand) int {
 	return d.Pressing + int(d.Soon/int64(p.FinishWithin)+d.Late/int64(p.LateWithin)) + d.Arriving*p.ArrivingPercent/100
 }
--- a/core/tackpool/plan_test.go
+++ b/core/tackpool/plan_test.go
@@ -35,8 +35,7 @@
 	}
 }
 
-// seconds returns the work of the given cores in s seconds, in milliseconds of
-// thousandths of a core.
+// seconds returns the work of the given cores in s seconds, in millicore-milliseconds.
 func seconds(cores, s int64) int64 {
 	return cores * 1000 * s * 1000
 }
--- a/core/tackpool/reserve.go
+++ b/core/tackpool/reserve.go
@@ -45,7 +45,7 @@
 
 	demandSample struct {
 		at     tackclock.Time
-		wanted int // thousandths of a core
+		wanted int // millicores
 	}
 )
 
@@ -101,7 +101,7 @@
 	return now.Sub(r.firstWork) + 1
 }
 
-// MilliCores returns the reserve in thousandths of a core that each pool must have beyond
+// MilliCores returns the reserve in millicores that each pool must have beyond
 // what its work requires; zero while it is not known.
 func (r *Reserve) MilliCores(now tackclock.Time) int {
 	if r.firstWork == 0 || now.Sub(r.firstWork) < reserveKnownAfter {
--- a/core/tackpool/reserve_test.go
+++ b/core/tackpool/reserve_test.go
@@ -37,7 +37,7 @@
 }
 
 // run simulates planner rounds over the time d, in which pool 0 wants the given
-// thousandths of a core. Moves take effect at once.
+// number of millicores. Moves take effect at once.
 func (f *fleet) run(d tackclock.Duration, wanted func(tackclock.Duration) int) {
 	began := f.now
 	for f.now.Sub(began) < d {
--- a/core/tackpool/status.go
+++ b/core/tackpool/status.go
@@ -3,7 +3,7 @@
 import "auburntack/core/tackid"
 
 // PoolStatus summarizes what a pool has and what its work requires. It is logged to show
-// why VMs were moved or not. Cores are in thousandths.
+// why VMs were moved or not. Cores are given in millicores.
 type PoolStatus struct {
 	Service tackid.Service
 	VMs     int
--- a/core/tackqueue/queue.go
+++ b/core/tackqueue/queue.go
@@ -51,7 +51,7 @@
 	// Key determines the place of an entry. It must not change while the entry is queued.
 	Key struct {
 		Rank Rank
-		// MilliCores is the size of one item, in thousandths of a core.
+		// MilliCores is the size of one item, in millicores.
 		MilliCores int
 		// Partition is the partition of the entry, below Partitions. Entries that some
 		// workers cannot start at some times are kept in other partitions than the rest.
@@ -93,8 +93,8 @@
 	)
 }
 
-// SizeClass returns the size class of an amount in thousandths of a core, below
-// SizeClasses. Larger amounts have the same or a higher class.
+// SizeClass returns the size class of an amount in millicores, below SizeClasses. Larger
+// amounts have the same or a higher class.
 func SizeClass(milliCores int) int {
 	if milliCores <= 1 {
 		return 0
@@ -183,9 +183,9 @@
 	return q.Fitting(math.MaxInt, func(int) bool { return true })
 }
 
-// Fitting returns, in order of rank, the entries that may fit in the given thousandths of
-// a core, from the partitions for which has returns true. Entries that are certainly too
-// large are left out. The queue must not change during the iteration.
+// Fitting returns, in order of rank, the entries that may fit in the given millicores,
+// from the partitions for which has returns true. Entries that are certainly too large
+// are left out. The queue must not change during the iteration.
 func (q *Queue[E]) Fitting(milliCores int, has func(partition int) bool) iter.Seq[E] {
 	return func(yield func(E) bool) {
 		var space [SizeClasses][]E
@@ -204,8 +204,7 @@
 	}
 }
 
-// Fits reports whether any entry of these partitions may fit in the given thousandths of
-// a core.
+// Fits reports whether any entry of these partitions may fit in the given millicores.
 func (q *Queue[E]) Fits(milliCores int, has func(partition int) bool) bool {
 	for i := range q.partitions {
 		if q.partitions[i].nonEmpty&fitting(milliCores) != 0 && has(i) {
@@ -215,8 +214,7 @@
 	return false
 }
 
-// fitting returns the mask of the size classes that may fit in the given thousandths of a
-// core.
+// fitting returns the mask of the size classes that may fit in the given millicores.
 func fitting(milliCores int) uint64 {
 	return uint64(1)<<(SizeClass(max(milliCores, 0))+1) - 1
 }
--- a/core/tackreplica/membership_test.go
+++ b/core/tackreplica/membership_test.go
@@ -44,22 +44,22 @@
 }
 
 // Guards against a cluster without a leader, or led by a removed VM: the leader is removed,
-// and lives on or dies just after it proposed that. Fails if transferIfRemoved does
+// and keeps running or crashes just after it proposed that. Fails if transferIfRemoved does
 // nothing.
 func TestLeaderIsRemoved(t *testing.T) {
-	for name, dies := range map[string]bool{"and lives": false, "and dies": true} {
+	for name, crashes := range map[string]bool{"and keeps running": false, "and crashes": true} {
 		t.Run(name, func(t *testing.T) {
 			convey.Convey("Another leads, with one membership", t, func() {
 				c := newCluster(t, 11, "a", "b", "c")
 				old := c.waitForLeader()
 				convey.So(old.removeMember(old.peer), convey.ShouldBeNil)
-				if dies {
+				if crashes {
 					c.run(1)
 					old.kill()
 				}
 				next := c.waitForLeader()
 				convey.So(next.peer, convey.ShouldNotEqual, old.peer)
-				if dies {
+				if crashes {
 					old.start()
 				}
 				c.run(second)
--- a/core/tackroom/resources.go
+++ b/core/tackroom/resources.go
@@ -6,7 +6,7 @@
 
 // Resources is an amount of each kind of resource.
 type Resources struct {
-	// MilliCores are thousandths of a core.
+	// MilliCores is the processor capacity in millicores; 1000 are one core.
 	MilliCores int `cbor:"1,keyasint,omitempty"`
 	MemoryMB   int `cbor:"2,keyasint,omitempty"`
 	GPUs       int `cbor:"3,keyasint,omitempty"`
--- a/core/tackwave/step.go
+++ b/core/tackwave/step.go
@@ -93,7 +93,7 @@
 }
 
 // losses counts the recent losses for which the wave takes fewer VMs: VMs that
-// it lost or that are overdue, and the other VMs of the pool lost recently but
+// it lost or that are overdue, and the other VMs of the pool lost recently, less
 // one. A single loss outside the wave means little, and the budget counts that
 // VM as down already.
 func (t *tick) losses(w *tackfleet.Wave, p *progress) int {
