--- a/core/tackdispatch/loss.go
+++ b/core/tackdispatch/loss.go
@@ -73,7 +73,7 @@
 	}
 	if w := d.workers[id]; w != nil {
 		d.resolveDoubts(now, w.vm, id)
-		d.lose(now, w, "worker left")
+		d.lose(now, w, "left")
 	}
 	if l, ok := d.lapsed[id]; ok {
 		d.resolveDoubts(now, l.vm, id)
